--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -49,7 +49,7 @@
 // checkUp looks at a machine that has reported.
 func (s *failureScan) checkUp(m *machine) {
 	switch {
-	case faulty(m) && len(m.attempts) == 0:
+	case s.faulty(m) && len(m.attempts) == 0:
 		s.release(m, releaseFaulty)
 	case m.notice && len(m.attempts)+len(m.unknownAttempts) == 0:
 		s.release(m, releaseNoticed)
--- a/controller/job.go
+++ b/controller/job.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"pumicefront/failureclass"
 	"pumicefront/reduction"
 	"pumicefront/scheduler"
 	"pumicefront/wire"
@@ -35,7 +36,8 @@
 	retryAt        map[int]time.Time
 	fails          map[int]int
 	avoid          map[string]bool
-	dirty          bool // chunks hold what their records don't, or the job is over
+	failures       failureclass.Job // whether it fails on every machine
+	dirty          bool             // chunks hold what their records don't, or the job is over
 	dirtyAt        time.Time
 	urgent         bool // its write starts tasks or tells the end; counts alone can wait
 	write          *write
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -94,6 +94,3 @@
 	}
 	return m
 }
-
-// faulty reports whether unlike jobs have failed on a machine and none has finished.
-func faulty(m *machine) bool { return len(m.faults) >= 2 }
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"net/http"
 	"slices"
-	"time"
 
 	"pumicefront/mesh"
 	"pumicefront/reduction"
@@ -187,21 +186,18 @@
 		m.images[j.spec.Image] = true
 		clear(m.faults)
 		delete(j.fails, a.task)
+		j.failures.Succeeded()
 		l.gone(a, reduction.Succeeded, proofReported(why))
 		return
 	case why == wire.WhyError:
-		j.avoid[m.id] = true
-		m.faults[j.id] = true
-		if len(j.avoid) >= max(2, len(l.machines)/2) {
-			clear(j.avoid) // it fails everywhere: any machine is as good
-		}
+		l.taskFailed(a)
 	}
 	if why != wire.WhyStopped {
 		// A reset outcome: tried again, later each time. An accepted job is never given up.
-		n := min(j.fails[a.task], 5)
+		pause := j.failures.RetryDelay(j.fails[a.task])
 		j.fails[a.task]++
-		j.retryAt[a.task] = l.c.now.Add(500 * time.Millisecond << n)
-		l.c.after(500*time.Millisecond<<n, l.wantPlacement)
+		j.retryAt[a.task] = l.c.now.Add(pause)
+		l.c.after(pause, l.wantPlacement)
 	}
 	l.gone(a, reduction.Reset, proofReported(why))
 }
--- a/controller/snapshots.go
+++ b/controller/snapshots.go
@@ -49,7 +49,7 @@
 	}
 	s.Fetching = l.spreading.fetching(m)
 	s.Free = s.Free.Add(l.spreading.heldOn(m.id), -1)
-	if faulty(m) {
+	if l.faulty(m) {
 		s.Penalty = 1
 	}
 	for k := range m.unknownAttempts {
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -497,7 +497,12 @@
 			t.Errorf("written: %+v", call.Txn)
 		}
 	}
-	l.machines["m0001"].faults["req-1"], l.machines["m0001"].faults["req-2"], l.machines["m0001"].snapshot = true, true, nil
+	// Two jobs failed on it that have run well elsewhere: the fault is the machine's.
+	for _, j := range jobs[:2] {
+		l.machines["m0001"].faults[j.id] = true
+		j.failures.Succeeded()
+	}
+	l.machines["m0001"].snapshot = nil
 	for _, m := range l.spreading.picture(l.view(false)).Machines {
 		if m.ID == "m0001" {
 			t.Error("a faulty machine counts")
--- /dev/null
+++ b/failureclass/failureclass_test.go
@@ -0,0 +1,77 @@
+package failureclass
+
+import (
+	"testing"
+	"time"
+)
+
+// A job is broken only once it has failed on three different machines without a success;
+// failures on the same machine again are the machine's.
+func TestBrokenAfterThreeMachines(t *testing.T) {
+	var j Job
+	for i, machine := range []string{"i-1", "i-1", "i-2", "i-2"} {
+		if j.Failed(machine, time.Second) || j.Broken() {
+			t.Fatalf("broken after failure %d on %v", i+1, j.Machines())
+		}
+	}
+	if !j.Failed("i-3", 2*time.Second) {
+		t.Fatal("a failure on a third machine did not make the job broken")
+	}
+	if j.Failed("i-4", time.Second) {
+		t.Fatal("becameBroken told twice")
+	}
+	if !j.Broken() {
+		t.Fatal("not broken after four machines")
+	}
+	if got := j.Machines(); len(got) != 4 || got[0] != "i-1" || got[3] != "i-4" {
+		t.Fatalf("machines %v, want i-1 to i-4 in order", got)
+	}
+	if attempts, lost := j.Lost(); attempts != 6 || lost != 7*time.Second {
+		t.Fatalf("lost %d attempts and %v, want 6 and 7s", attempts, lost)
+	}
+}
+
+// One success shows that the job can run: its failures were the machines'.
+func TestSuccessEndsTheVerdict(t *testing.T) {
+	var j Job
+	for _, machine := range []string{"i-1", "i-2", "i-3"} {
+		j.Failed(machine, 0)
+	}
+	j.Succeeded()
+	if !j.HasSucceeded() || j.Broken() {
+		t.Fatal("broken, or not known to have succeeded, after a success")
+	}
+	if j.Failed("i-4", 0) || j.Broken() {
+		t.Fatal("broken again after a success")
+	}
+}
+
+// A job that is not broken keeps the backoff it always had, 500 ms doubling up to 16 s; a
+// broken one doubles on to 30 s and no further.
+func TestRetryDelay(t *testing.T) {
+	var healthy Job
+	want := []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second,
+		8 * time.Second, 16 * time.Second, 16 * time.Second, 16 * time.Second}
+	for n, w := range want {
+		if got := healthy.RetryDelay(n); got != w {
+			t.Errorf("not broken, failure %d: %v, want %v", n, got, w)
+		}
+	}
+	var broken Job
+	for _, machine := range []string{"i-1", "i-2", "i-3"} {
+		broken.Failed(machine, 0)
+	}
+	want = []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second,
+		8 * time.Second, 16 * time.Second, 30 * time.Second, 30 * time.Second, 30 * time.Second}
+	for n, w := range want {
+		if got := broken.RetryDelay(n); got != w {
+			t.Errorf("broken, failure %d: %v, want %v", n, got, w)
+		}
+	}
+	if got := broken.RetryDelay(1000); got != BrokenRetryMost {
+		t.Errorf("broken, failure 1000: %v, want %v", got, BrokenRetryMost)
+	}
+	if got := healthy.RetryDelay(-1); got != RetryBase {
+		t.Errorf("failure -1: %v, want %v", got, RetryBase)
+	}
+}
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -484,7 +484,7 @@
 	h.soon()
 	_, n, _ := wire.SplitTask(t.id)
 	switch {
-	case h.faulty:
+	case h.faulty || j.broken:
 		h.later(t, time.Second, func() { h.exit(t, wire.WhyError) })
 	case j.spec.Kind == wire.KindArray:
 		run := max(j.run-j.saved[n], 0)
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -34,6 +34,7 @@
 	known       time.Duration // when a question about it was answered last
 	needs       []*simJob
 	saved       map[int]time.Duration // by task, how much of its run is saved; nil: nothing ever is
+	broken      bool                  // submitted with a mistake: it fails on every machine
 }
 
 func (j *simJob) left() int {
