--- a/cells/holder.go
+++ b/cells/holder.go
@@ -14,19 +14,19 @@
 // HolderRecord is what a holder keeps of a home's job. Its epoch is a fence: grants at or below an
 // ended one are never accepted. It is kept until the home's floor has passed it, see Droppable.
 type HolderRecord struct {
-	Home   Cell
-	Job    string
-	Team   string
-	Epoch  Epoch
-	State  HolderState
-	Cancel bool // it stops for a cancellation
-	Result Result
+	Home   Cell        // the cell whose job it is
+	Job    string      // the job's id
+	Team   string      // the team that owns the job
+	Epoch  Epoch       // of the grant that the record is about
+	State  HolderState // what the holder has recorded of that grant
+	Cancel bool        // it stops for a cancellation
+	Result Result      // how the epoch has ended, once it has
 }
 
 // Facts are what a cell knows when an offer comes.
 type Facts struct {
-	KnowsJob  bool // a job of that id, its own or another cell's
-	KnowsTeam bool
+	KnowsJob  bool  // a job of that id, its own or another cell's
+	KnowsTeam bool  // the team that owns the job is one of this cell's teams
 	Willing   bool  // it has room within the share that it lends
 	Floor     Epoch // of the home, as it is on record here
 }
--- a/cells/home.go
+++ b/cells/home.go
@@ -17,13 +17,13 @@
 // HomeRecord is what a home keeps of a job that was ever granted. Its writes are conditional on its
 // version, on the home's leadership and on the job's header.
 type HomeRecord struct {
-	Job    string
-	Team   string
-	State  HomeState
-	Holder Cell
-	Epoch  Epoch // of the last grant
-	Cancel bool  // the user has asked for a cancellation
-	Result Result
+	Job    string    // the job's id
+	Team   string    // the team that owns the job
+	State  HomeState // who may run the job
+	Holder Cell      // the cell of the last grant, if any
+	Epoch  Epoch     // of the last grant
+	Cancel bool      // the user has asked for a cancellation
+	Result Result    // how the job has ended, once it is over
 }
 
 // Errors of decisions that a record does not allow.
--- a/cells/message.go
+++ b/cells/message.go
@@ -24,11 +24,11 @@
 
 // Message is a message between two cells about one job. It may be lost, late, doubled and overtaken.
 type Message struct {
-	Kind     Kind
-	From, To Cell
-	Job      string
-	Epoch    Epoch
-	Floor    Epoch // from the home: every grant of it to this holder up to here is over
+	Kind     Kind   // what the message is for
+	From, To Cell   // the cell that sends it and the one that it is for
+	Job      string // the job's id
+	Epoch    Epoch  // of the grant that it is about
+	Floor    Epoch  // from the home: every grant of it to this holder up to here is over
 
 	Team   string      // KindOffer: the team that owns the job
 	Cancel bool        // KindRecall: its user has cancelled it
--- a/cells/planner.go
+++ b/cells/planner.go
@@ -4,14 +4,14 @@
 
 // Waiting is a job that may go to another cell.
 type Waiting struct {
-	Job  string
+	Job  string  // the job's id
 	Size float64 // in cores, of all its tasks
 }
 
 // Move is a job that should go to a cell.
 type Move struct {
-	Job string
-	To  Cell
+	Job string // the job's id
+	To  Cell   // the cell that should run it
 }
 
 // Plan sends jobs, in the order in which they come, whole to the cell that has most room then. A job
--- a/cells/status.go
+++ b/cells/status.go
@@ -9,34 +9,34 @@
 
 // Status is what the leader tells operators of the other cells.
 type Status struct {
-	Member  string       `json:"member"`
+	Member  string       `json:"member"`           // the controller that answers
 	Leader  string       `json:"leader,omitempty"` // who leads as far as this member knows
 	Leading bool         `json:"leading"`          // whether the rest is known here
-	Cell    Cell         `json:"cell,omitempty"`
-	Ready   bool         `json:"ready"` // every controller of the cell knows that jobs go from cell to cell
-	Lends   float64      `json:"lends"` // cores that are lent still
-	Links   []LinkStatus `json:"links,omitempty"`
-	Out     []TeamStatus `json:"out,omitempty"`
-	In      []TeamStatus `json:"in,omitempty"`
+	Cell    Cell         `json:"cell,omitempty"`   // this cell
+	Ready   bool         `json:"ready"`            // every controller of the cell knows that jobs go from cell to cell
+	Lends   float64      `json:"lends"`            // cores that are lent still
+	Links   []LinkStatus `json:"links,omitempty"`  // one for each other cell, by name
+	Out     []TeamStatus `json:"out,omitempty"`    // jobs of this cell granted to others, by team
+	In      []TeamStatus `json:"in,omitempty"`     // jobs of other cells that may run here, by team
 }
 
 // LinkStatus is the way to another cell.
 type LinkStatus struct {
-	Cell        Cell    `json:"cell"`
-	AnsweredS   float64 `json:"answered_s"` // ago; negative: it has not answered this leader
-	Failures    int     `json:"failures"`   // calls in a row without an answer
-	Room        float64 `json:"room"`       // in cores, that it lent when it answered
-	Granted     int     `json:"granted"`    // jobs
-	OldestEpoch Epoch   `json:"oldest_epoch,omitempty"`
-	GoneEpoch   Epoch   `json:"gone_epoch,omitempty"` // declared gone up to here
-	GoneBy      string  `json:"gone_by,omitempty"`
+	Cell        Cell    `json:"cell"`                   // the other cell
+	AnsweredS   float64 `json:"answered_s"`             // ago; negative: it has not answered this leader
+	Failures    int     `json:"failures"`               // calls in a row without an answer
+	Room        float64 `json:"room"`                   // in cores, that it lent when it answered
+	Granted     int     `json:"granted"`                // jobs
+	OldestEpoch Epoch   `json:"oldest_epoch,omitempty"` // of the oldest grant to it that is still open
+	GoneEpoch   Epoch   `json:"gone_epoch,omitempty"`   // declared gone up to here
+	GoneBy      string  `json:"gone_by,omitempty"`      // who vouched that it is gone
 }
 
 // TeamStatus counts a team's jobs.
 type TeamStatus struct {
-	Team  string `json:"team"`
-	Jobs  int    `json:"jobs"`
-	Tasks int    `json:"tasks"`
+	Team  string `json:"team"`  // the team's name
+	Jobs  int    `json:"jobs"`  // how many of its jobs
+	Tasks int    `json:"tasks"` // all tasks of those jobs
 }
 
 // Leads reports whether the controller that answered leads.
