--- a/balance/allowance.go
+++ b/balance/allowance.go
@@ -3,7 +3,7 @@
 // Allowance is how many moves may be begun now. Of one job it is never more than one at a time: of a
 // service no two replicas are away at once.
 type Allowance struct {
-	Moves  int
+	Moves  int             // moves that may be begun in all
 	InTeam int             // moves that a team may have under way
 	Teams  map[string]int  // moves under way, by team
 	Jobs   map[string]bool // jobs with a move under way
--- a/balance/ledger.go
+++ b/balance/ledger.go
@@ -61,15 +61,15 @@
 // Entry is a move under way.
 type Entry struct {
 	Move
-	Attempt uint64 // the one that is moved
-	Phase   Phase
-	Held    bool // room is held for it at its destination
-	Began   time.Time
+	Attempt uint64    // the one that is moved
+	Phase   Phase     // how far the move has come
+	Held    bool      // room is held for it at its destination
+	Began   time.Time // when the move was begun
 }
 
 // Seen is what is known of a task that is being moved.
 type Seen struct {
-	Cancelled, Completed bool
+	Cancelled, Completed bool   // its job is cancelled; the task is completed
 	InForce              bool   // an attempt of it is in force
 	Attempt              uint64 // its number
 	Machine              string // where it is
@@ -98,9 +98,9 @@
 
 // Counts are of the moves of one leader.
 type Counts struct {
-	Begun    int             `json:"begun"`
-	Outcomes map[Outcome]int `json:"outcomes,omitempty"`
-	Losses   map[Loss]int    `json:"losses,omitempty"` // held rooms that were given up while the move was under way
+	Begun    int             `json:"begun"`              // moves begun
+	Outcomes map[Outcome]int `json:"outcomes,omitempty"` // moves that are over, by outcome
+	Losses   map[Loss]int    `json:"losses,omitempty"`   // held rooms that were given up while the move was under way
 }
 
 // NewLedger returns a ledger with nothing to spend.
--- a/balance/plan.go
+++ b/balance/plan.go
@@ -9,15 +9,15 @@
 
 // TaskID names a task.
 type TaskID struct {
-	Job   string
-	Index int // among the job's tasks
+	Job   string // the job's id
+	Index int    // among the job's tasks
 }
 
 // Machine is a machine that counts, as a plan sees it.
 type Machine struct {
-	ID    string
-	Size  float64 // weight among machines, as scheduler.Measure has it
-	Cap   scheduler.Resources
+	ID    string              // the machine's name
+	Size  float64             // weight among machines, as scheduler.Measure has it
+	Cap   scheduler.Resources // what it has in all
 	Used  scheduler.Resources // by all that stays, what is on its way here included
 	Tasks []Task              // that may be moved; needed of hot machines alone
 
@@ -30,16 +30,16 @@
 // Task is a running task that may be moved.
 type Task struct {
 	TaskID
-	Team string
-	Each scheduler.Resources
-	Cost float64 // in seconds of its time that the move loses
+	Team string              // the team that owns the task's job
+	Each scheduler.Resources // what the task takes
+	Cost float64             // in seconds of its time that the move loses
 
 	OnlyImage string // a destination must have this image; empty: none need be there
 }
 
 // Picture is a fleet at a moment.
 type Picture struct {
-	Machines []Machine
+	Machines []Machine // all machines that count
 	// Fits reports whether a machine has room for a task, and all that the task asks of a machine.
 	Fits func(t *Task, m *Machine) bool
 	// HasImage reports whether a machine has an image.
@@ -49,7 +49,7 @@
 // Move is a decision to move a task.
 type Move struct {
 	Task
-	From, To string
+	From, To string  // the machines that it leaves and goes to
 	Gain     float64 // by which the measure falls
 }
 
--- a/balance/share.go
+++ b/balance/share.go
@@ -22,7 +22,7 @@
 
 // Distribution sums up the shares of machines.
 type Distribution struct {
-	Machines  int     `json:"machines"`
+	Machines  int     `json:"machines"`  // how many machines are summed up
 	Mean      float64 `json:"mean"`      // weighted by size
 	Variation float64 `json:"variation"` // coefficient of variation: standard deviation over mean
 	Maximum   float64 `json:"maximum"`   // the largest share over the mean
--- a/balance/survey.go
+++ b/balance/survey.go
@@ -9,21 +9,21 @@
 
 // TeamStatus is how a team's load lies on the machines.
 type TeamStatus struct {
-	Team     string  `json:"team"`
-	Size     float64 `json:"size"` // in cores, as scheduler.Measure has it
-	Machines int     `json:"machines"`
-	OnOne    float64 `json:"on_one"` // the largest part of it on one machine, 0 to 1
-	OnHot    float64 `json:"on_hot"` // the part of it on hot machines
-	Hot      bool    `json:"hot"`    // all machines that it runs on are hot
+	Team     string  `json:"team"`     // the team's name
+	Size     float64 `json:"size"`     // in cores, as scheduler.Measure has it
+	Machines int     `json:"machines"` // machines that its tasks run on
+	OnOne    float64 `json:"on_one"`   // the largest part of it on one machine, 0 to 1
+	OnHot    float64 `json:"on_hot"`   // the part of it on hot machines
+	Hot      bool    `json:"hot"`      // all machines that it runs on are hot
 }
 
 // ImageStatus is where an image is.
 type ImageStatus struct {
-	Image    string `json:"image"`
-	Machines int    `json:"machines"`
-	OnHot    int    `json:"on_hot"`
-	Tasks    int    `json:"tasks"`
-	Hot      bool   `json:"hot"` // all machines that have it are hot: its services can't move
+	Image    string `json:"image"`    // the image's name
+	Machines int    `json:"machines"` // machines that have it
+	OnHot    int    `json:"on_hot"`   // of those, the hot ones
+	Tasks    int    `json:"tasks"`    // tasks that use it
+	Hot      bool   `json:"hot"`      // all machines that have it are hot: its services can't move
 }
 
 // Survey gathers how teams and images lie on the machines.
