--- a/zones/record.go
+++ b/zones/record.go
@@ -9,12 +9,12 @@
 // Record is what is kept of a zone across a change of leader. Its fields are stored: their names
 // may not change. Times are of the wall clock, in milliseconds.
 type Record struct {
-	State     string  `cbor:"s"`
-	SinceMS   int64   `cbor:"t"`
-	Penalty   float64 `cbor:"p,omitempty"`
-	HeldMS    int64   `cbor:"h,omitempty"`
-	Window    int     `cbor:"w,omitempty"`
-	WrittenMS int64   `cbor:"m"`
+	State     string  `cbor:"s"`           // the zone's state, by its name
+	SinceMS   int64   `cbor:"t"`           // when the zone came into that state
+	Penalty   float64 `cbor:"p,omitempty"` // losses, each halved every flap window; it lengthens the hold-down
+	HeldMS    int64   `cbor:"h,omitempty"` // until when it is held down; only in that state
+	Window    int     `cbor:"w,omitempty"` // starts that may be under way at once, where they are limited
+	WrittenMS int64   `cbor:"m"`           // when the record was made
 }
 
 // Record returns what should be kept of a zone, and false where nothing has to be.
--- a/zones/state.go
+++ b/zones/state.go
@@ -33,15 +33,15 @@
 
 // Transition is a change of a zone's state.
 type Transition struct {
-	Zone     string
-	From, To State
+	Zone     string // the zone's name
+	From, To State  // its state before and after
 }
 
 // Health is what the failure detector sees of a zone.
 type Health struct {
-	Zone       string
-	Responsive int // machines that report in time
-	Silent     int // machines whose reports are overdue
+	Zone       string // the zone's name
+	Responsive int    // machines that report in time
+	Silent     int    // machines whose reports are overdue
 }
 
 // mostSilent reports whether the zone's machines speak for a fault of the zone: one silent machine
--- a/zones/status.go
+++ b/zones/status.go
@@ -7,33 +7,33 @@
 
 // Status is what the leader tells operators of all zones.
 type Status struct {
-	Member  string        `json:"member"`
-	Leader  string        `json:"leader,omitempty"` // who leads as far as this member knows
-	Leading bool          `json:"leading"`          // whether the rest is known here
-	Zones   []ZoneStatus  `json:"zones,omitempty"`
-	Waiting []ClassStatus `json:"waiting,omitempty"`
+	Member  string        `json:"member"`            // the controller that answers
+	Leader  string        `json:"leader,omitempty"`  // who leads as far as this member knows
+	Leading bool          `json:"leading"`           // whether the rest is known here
+	Zones   []ZoneStatus  `json:"zones,omitempty"`   // every zone that is known
+	Waiting []ClassStatus `json:"waiting,omitempty"` // what waits, by class of jobs
 }
 
 // ZoneStatus is one zone of it.
 type ZoneStatus struct {
-	Name       string  `json:"name"`
-	State      State   `json:"state"`
-	ForS       float64 `json:"for_s"`
-	Responsive int     `json:"responsive"`
-	Silent     int     `json:"silent"`
-	Losses     int     `json:"losses"` // since this leader began
-	Penalty    float64 `json:"penalty"`
+	Name       string  `json:"name"`                 // the zone's name
+	State      State   `json:"state"`                // its state
+	ForS       float64 `json:"for_s"`                // seconds that it has been in that state
+	Responsive int     `json:"responsive"`           // machines that report in time
+	Silent     int     `json:"silent"`               // machines whose reports are overdue
+	Losses     int     `json:"losses"`               // since this leader began
+	Penalty    float64 `json:"penalty"`              // losses, each halved every flap window; it lengthens the hold-down
 	HeldForS   float64 `json:"held_for_s,omitempty"` // what is left of the hold-down
-	Window     int     `json:"window,omitempty"`
-	UnderWay   int     `json:"under_way"`
-	Fetching   int     `json:"fetching"`
-	Displaced  int     `json:"displaced"` // tasks lost with the zone that don't run again yet
+	Window     int     `json:"window,omitempty"`     // starts that may be under way at once, where they are limited
+	UnderWay   int     `json:"under_way"`            // starts under way in the zone
+	Fetching   int     `json:"fetching"`             // of those, the ones whose machine fetches the image
+	Displaced  int     `json:"displaced"`            // tasks lost with the zone that don't run again yet
 }
 
 // ClassStatus is what waits of one class of jobs, and for what.
 type ClassStatus struct {
-	Class     string `json:"class"`
-	Tasks     int    `json:"tasks"`
+	Class     string `json:"class"`                // the class of jobs
+	Tasks     int    `json:"tasks"`                // its tasks that wait
 	TeamLimit int    `json:"team_limit,omitempty"` // wait for their team's limit
 	Ramp      int    `json:"ramp,omitempty"`       // wait for a zone that is held down or returns
 	Room      int    `json:"room,omitempty"`       // wait for room
--- a/zones/window.go
+++ b/zones/window.go
@@ -26,9 +26,9 @@
 
 // Start is a start of a task in a zone.
 type Start struct {
-	Zone    string
-	Image   string
-	Fetches bool // its machine lacks the image
+	Zone    string // the zone's name
+	Image   string // the image of the task
+	Fetches bool   // its machine lacks the image
 }
 
 // Succeeded counts a start that has ended well.
