--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -19,21 +19,21 @@
 
 // Event is one thing that happened.
 type Event struct {
-	Kind    Kind
-	At      time.Duration
-	Task    string // Started, Ended
-	Attempt uint64
-	Machine string
-	Job     string // Answered
-	Asked   time.Duration
-	State   string
-	Final   bool
+	Kind    Kind          // what it tells of
+	At      time.Duration // when it happened, since the run began
+	Task    string        // Started, Ended
+	Attempt uint64        // Started, Ended: the attempt's number
+	Machine string        // Started, Ended: where the attempt is
+	Job     string        // Answered
+	Asked   time.Duration // Answered: the request was sent at this time or later
+	State   string        // Answered: the job's state that the user was told
+	Final   bool          // Answered: that state is final (done or cancelled)
 }
 
 // Violation is a rule that a history breaks.
 type Violation struct {
-	Rule string
-	Text string
+	Rule string // one of the rules below
+	Text string // what happened, for a person to read
 }
 
 // The rules.
--- a/internal/spreadseries/series.go
+++ b/internal/spreadseries/series.go
@@ -15,11 +15,11 @@
 
 // Row is the share of a machine at a moment of a run.
 type Row struct {
-	Run     string  `parquet:"run,dict"` // which run it is of
-	Spread  bool    `parquet:"spread"`   // load was spread
-	AtS     float64 `parquet:"at_s"`     // seconds since the run began
-	Machine string  `parquet:"machine,dict"`
-	Share   float64 `parquet:"share"` // dominant share, 0 to 1
+	Run     string  `parquet:"run,dict"`     // which run it is of
+	Spread  bool    `parquet:"spread"`       // load was spread
+	AtS     float64 `parquet:"at_s"`         // seconds since the run began
+	Machine string  `parquet:"machine,dict"` // the machine's name
+	Share   float64 `parquet:"share"`        // dominant share, 0 to 1
 }
 
 // Write writes rows to a file, compressed.
@@ -54,17 +54,17 @@
 
 // Moment sums up the machines at a moment of a run.
 type Moment struct {
-	AtS       float64
-	Machines  int
+	AtS       float64 // seconds since the run began
+	Machines  int     // machines with a row at this moment
 	Variation float64 // coefficient of variation of the shares
 	Maximum   float64 // the largest share over the mean
 }
 
 // Course is a run over time.
 type Course struct {
-	Run     string
-	Spread  bool
-	Moments []Moment
+	Run     string   // which run it is
+	Spread  bool     // load was spread
+	Moments []Moment // one for each moment, in the order of time
 }
 
 // Courses sums up rows by run, in the order of their names, and by moment.
