--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -38,8 +38,8 @@
 
 // The rules.
 const (
-	RuleOneOwner  = "one owner"
-	RuleOneAnswer = "one final answer"
+	RuleOneOwner  = "one owner"        // a task runs as at most one attempt at a time
+	RuleOneAnswer = "one final answer" // once a job is called done or cancelled, no other final answer and no answer to a later request differs
 )
 
 // owner is the attempt that a task runs as.
--- a/reduction/reduction.go
+++ b/reduction/reduction.go
@@ -11,11 +11,11 @@
 
 // The statuses of a node.
 const (
-	Pending Status = iota
-	Running
-	Completed
-	Failed
-	Skipped
+	Pending   Status = iota // not started, or reset
+	Running                 // started, with no outcome yet
+	Completed               // finished by Succeeded
+	Failed                  // by Failure or Cancelled, or by Close below a failed node
+	Skipped                 // finished by Skip
 )
 
 // Outcome is what an execution of a node came to.
