--- a/balance/ledger.go
+++ b/balance/ledger.go
@@ -53,9 +53,9 @@
 // The reasons for giving up held room.
 const (
 	LossDestination Loss = "destination" // it can't take the task any more
-	LossTimeOut     Loss = "time-out"
-	LossUrgent      Loss = "urgent" // what is urgent has taken it
-	LossOver        Loss = "over"   // the move is over
+	LossTimeOut     Loss = "time-out"    // it was held for longer than Settings.Hold
+	LossUrgent      Loss = "urgent"      // what is urgent has taken it
+	LossOver        Loss = "over"        // the move is over
 )
 
 // Entry is a move under way.
--- a/cells/message.go
+++ b/cells/message.go
@@ -41,9 +41,9 @@
 
 // The results of an epoch.
 const (
-	ResultNone      Result = iota
-	ResultRefused          // never accepted
-	ResultReturned         // given back; nothing of it runs there any more
-	ResultDone             // all tasks are done
-	ResultCancelled        // stopped for good
+	ResultNone      Result = iota // not ended yet
+	ResultRefused                 // never accepted
+	ResultReturned                // given back; nothing of it runs there any more
+	ResultDone                    // all tasks are done
+	ResultCancelled               // stopped for good
 )
--- a/cells/status.go
+++ b/cells/status.go
@@ -2,9 +2,9 @@
 
 // Paths of a controller's listener for other cells and for operators.
 const (
-	MessagesPath = "/cells/messages"
-	StatusPath   = "/cells"
-	GonePath     = "/cells/gone"
+	MessagesPath = "/cells/messages" // POST: messages from other cells, as package celllink writes them
+	StatusPath   = "/cells"          // GET: a Status for operators
+	GonePath     = "/cells/gone"     // POST: operators declare a cell gone
 )
 
 // Status is what the leader tells operators of the other cells.
