--- a/config/cell.go
+++ b/config/cell.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"errors"
 	"fmt"
 	"net/netip"
 	"time"
@@ -62,7 +61,7 @@
 	}
 	parsed, err := time.ParseDuration(*text)
 	if err != nil {
-		return fmt.Errorf("field %s: %w", field, err)
+		return malformed(field, err)
 	}
 	*into = parsed
 	return nil
@@ -70,33 +69,33 @@
 
 func (c *Cell) check() error {
 	if c.Name == "" {
-		return errors.New("field cell.name is empty")
+		return missing("cell.name", "is empty")
 	}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return fmt.Errorf("field cell.listen: %w", err)
+		return malformed("cell.listen", err)
 	}
 	if len(c.Peers) == 0 {
-		return errors.New("field cell.peer is missing: a cell alone has nowhere to spill")
+		return missing("cell.peer", "is missing: a cell alone has nowhere to spill")
 	}
 	seen := map[string]bool{c.Name: true}
 	for _, p := range c.Peers {
 		if seen[p.Name] {
-			return fmt.Errorf("field cell.peer: %q is named twice, or is this cell", p.Name)
+			return conflicting("cell.peer", fmt.Sprintf("%q is named twice, or is this cell", p.Name))
 		}
 		seen[p.Name] = true
 		if len(p.Addresses) == 0 {
-			return fmt.Errorf("field cell.peer.%s.addresses is empty", p.Name)
+			return missing("cell.peer."+p.Name+".addresses", "is empty")
 		}
 		for _, a := range p.Addresses {
 			if _, err := netip.ParseAddrPort(a); err != nil {
-				return fmt.Errorf("field cell.peer.%s.addresses: %w", p.Name, err)
+				return malformed("cell.peer."+p.Name+".addresses", err)
 			}
 		}
 	}
 	return checkFields([]field{
-		{"cell.spill_after (seconds)", c.SpillAfter.Seconds(), 0.1, 3600},
-		{"cell.return_after (seconds)", c.ReturnAfter.Seconds(), 1, 3600},
-		{"cell.lend_cores", c.LendCores, 0, 1e9},
+		{"cell.spill_after", seconds, c.SpillAfter.Seconds(), 0.1, 3600},
+		{"cell.return_after", seconds, c.ReturnAfter.Seconds(), 1, 3600},
+		{"cell.lend_cores", "", c.LendCores, 0, 1e9},
 	})
 }
 
--- a/config/config.go
+++ b/config/config.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"net/netip"
 	"os"
+	"strings"
 	"time"
 
 	"github.com/hashicorp/hcl/v2"
@@ -153,8 +154,8 @@
 	var p Platform
 	if err := toml.Unmarshal(raw, &p); err != nil {
 		var decode *toml.DecodeError
-		if errors.As(err, &decode) {
-			return nil, fmt.Errorf("%s: field %v: %w", path, decode.Key(), err)
+		if errors.As(err, &decode) && len(decode.Key()) > 0 {
+			return nil, fmt.Errorf("%s: %w", path, malformed(strings.Join(decode.Key(), "."), err))
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -195,7 +196,7 @@
 		return o, fmt.Errorf("read settings: %w", diags)
 	}
 	if diags := gohcl.DecodeBody(file.Body, nil, &o); diags.HasErrors() {
-		return o, fmt.Errorf("field %s: %w", fieldAt(file.Body, diags[0].Subject), diags)
+		return o, malformed(fieldAt(file.Body, diags[0].Subject), diags)
 	}
 	if err := o.check(); err != nil {
 		return o, fmt.Errorf("%s: %w", path, err)
@@ -246,17 +247,22 @@
 	return "unknown"
 }
 
+// seconds is the unit of a duration where it is checked against its bounds.
+const seconds = "seconds"
+
 // field is one bound on a setting.
 type field struct {
-	name       string
+	name       string // as the file spells it
+	unit       string // of value where the file gives it in another form, such as "1.4s"; empty: none
 	value      float64
 	least, max float64
 }
 
+// checkFields returns a *SettingError of ErrOutOfRange for the first field outside its bounds.
 func checkFields(fields []field) error {
 	for _, f := range fields {
 		if !(f.value >= f.least && f.value <= f.max) {
-			return fmt.Errorf("field %s is %v, must be between %v and %v", f.name, f.value, f.least, f.max)
+			return outOfRange(f)
 		}
 	}
 	return nil
@@ -264,56 +270,62 @@
 
 func (o Operator) check() error {
 	if _, err := time.ParseDuration(o.LeaderLife); err != nil {
-		return fmt.Errorf("field leader_life: %w", err)
+		return malformed("leader_life", err)
 	}
 	return checkFields([]field{
-		{"leader_life (seconds)", o.LeaderLifetime().Seconds(), 0.5, 60},
-		{"silent_share", o.SilentShare, 0.2, 10},
-		{"idle_s", o.IdleS, 0, 86400},
-		{"headroom", o.Headroom, 0, 10},
-		{"headroom_most", o.HeadroomMost, 0, 10},
-		{"surge", o.Surge, 0, 100},
-		{"surge_batch", o.SurgeBatch, 0, 100},
+		{"leader_life", seconds, o.LeaderLifetime().Seconds(), 0.5, 60},
+		{"silent_share", "", o.SilentShare, 0.2, 10},
+		{"idle_s", "", o.IdleS, 0, 86400},
+		{"headroom", "", o.Headroom, 0, 10},
+		{"headroom_most", "", o.HeadroomMost, 0, 10},
+		{"surge", "", o.Surge, 0, 100},
+		{"surge_batch", "", o.SurgeBatch, 0, 100},
 	})
 }
 
 func (p *Platform) check() error {
 	if p.Member == "" {
-		return errors.New("field member is missing")
+		return missing("member", "is missing")
 	}
 	addrs := map[string]string{"client_listen": p.Listen, "mesh_addr": p.Mesh,
 		"external.cloud": p.External.Cloud, "external.state": p.External.State}
 	for _, o := range p.Others {
-		if o.Member == "" || o.Member == p.Member {
-			return fmt.Errorf("field others.member is %q", o.Member)
+		if o.Member == "" {
+			return missing("others.member", `is ""`)
+		}
+		if o.Member == p.Member {
+			return conflicting("others.member", fmt.Sprintf("is %q, this member itself", o.Member))
 		}
 		addrs["others."+o.Member+".endpoint"] = o.Addr
 	}
 	for name, a := range addrs {
 		if _, err := netip.ParseAddrPort(a); err != nil {
-			return fmt.Errorf("field %s: %w", name, err)
+			return malformed(name, err)
 		}
 	}
 	for _, t := range p.Facts.Teams {
 		within := func(guarantee, most float64) bool {
 			return guarantee >= 0 && most >= 0 && (most == 0 || guarantee <= most) // 0: no limit
 		}
-		if t.Name == "" || !within(t.CPUs, t.CPUsMax) || !within(t.GPUs, t.GPUsMax) {
-			return fmt.Errorf("field facts.teams: team %q has no name, or a guarantee outside its limit", t.Name)
+		if t.Name == "" {
+			return missing("facts.teams.name", "is empty")
+		}
+		if !within(t.CPUs, t.CPUsMax) || !within(t.GPUs, t.GPUsMax) {
+			return &SettingError{Field: "facts.teams", Kind: ErrOutOfRange, Detail: fmt.Sprintf("of team %q: a guarantee is outside its limit", t.Name)}
 		}
 	}
 	f := &p.Facts
 	return checkFields([]field{
-		{"facts.workers.report_s", f.Workers.ReportS, 0.01, 3600},
-		{"facts.workers.lease_s", f.Workers.LeaseS, 0.1, 86400},
-		{"facts.workers.cancel_s", f.Workers.CancelS, 0.1, 86400},
-		{"facts.state.rps", f.State.RPS, leastRPS, mostOfALimit},
-		{"facts.state.write_rps", f.State.WriteRPS, leastWriteRPS, mostOfALimit},
-		{"facts.state.value_kb", f.State.ValueKB, leastValueKB, 1e4},
-		{"facts.state.txn_ops", float64(f.State.TxnOps), leastTxnOps, 1e4},
-		{"facts.cloud.rps", f.Cloud.RPS, 0.1, 1e4},
-		{"facts.cloud.list_lag_s", f.Cloud.ListLagS, 0, 3600},
-		{"facts.resources.memory_mb", f.Resources.MemoryMB, 32, 1e6},
-		{"facts.resources.max_connections", float64(f.Resources.MaxConnections), 32, 1e6},
+		{"facts.workers.report_s", "", f.Workers.ReportS, 0.01, 3600},
+		{"facts.workers.lease_s", "", f.Workers.LeaseS, 0.1, 86400},
+		{"facts.workers.cancel_s", "", f.Workers.CancelS, 0.1, 86400},
+		{"facts.state.rps", "", f.State.RPS, leastRPS, mostOfALimit},
+		{"facts.state.write_rps", "", f.State.WriteRPS, leastWriteRPS, mostOfALimit},
+		{"facts.state.value_kb", "", f.State.ValueKB, leastValueKB, 1e4},
+		{"facts.state.txn_ops", "", float64(f.State.TxnOps), leastTxnOps, 1e4},
+		{"facts.cloud.rps", "", f.Cloud.RPS, 0.1, 1e4},
+		{"facts.cloud.list_lag_s", "", f.Cloud.ListLagS, 0, 3600},
+		{"facts.resources.memory_mb", "", f.Resources.MemoryMB, 32, 1e6},
+		{"facts.resources.max_connections", "", float64(f.Resources.MaxConnections), 32, 1e6},
 	})
 }
--- a/config/load_spreading.go
+++ b/config/load_spreading.go
@@ -67,15 +67,15 @@
 		return err
 	}
 	return checkFields([]field{
-		{"load_spreading.high", l.High, 1.02, 10},
-		{"load_spreading.least_share", l.LeastShare, 0, 1},
-		{"load_spreading.least_gain", l.LeastGain, 0.005, 1},
-		{"load_spreading.cost_share", l.CostShare, 0, 0.5},
-		{"load_spreading.settled (seconds)", l.Settled.Seconds(), 30, 86400},
-		{"load_spreading.stay (seconds)", l.Stay.Seconds(), l.Settled.Seconds(), 86400},
-		{"load_spreading.hold (seconds)", l.Hold.Seconds(), 1, 600},
-		{"load_spreading.moves_per_minute", l.MovesPerMinute, 0, 6000},
-		{"load_spreading.moves_in_flight", l.MovesInFlight, 0, 100},
+		{"load_spreading.high", "", l.High, 1.02, 10},
+		{"load_spreading.least_share", "", l.LeastShare, 0, 1},
+		{"load_spreading.least_gain", "", l.LeastGain, 0.005, 1},
+		{"load_spreading.cost_share", "", l.CostShare, 0, 0.5},
+		{"load_spreading.settled", seconds, l.Settled.Seconds(), 30, 86400},
+		{"load_spreading.stay", seconds, l.Stay.Seconds(), l.Settled.Seconds(), 86400},
+		{"load_spreading.hold", seconds, l.Hold.Seconds(), 1, 600},
+		{"load_spreading.moves_per_minute", "", l.MovesPerMinute, 0, 6000},
+		{"load_spreading.moves_in_flight", "", l.MovesInFlight, 0, 100},
 	})
 }
 
--- a/config/zone_recovery.go
+++ b/config/zone_recovery.go
@@ -61,7 +61,7 @@
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return fmt.Errorf("field %s: %w", name, err)
+		return malformed(name, err)
 	}
 	return nil
 }
@@ -71,12 +71,12 @@
 		return err
 	}
 	return checkFields([]field{
-		{"zone_recovery.lost_after (seconds)", z.LostAfter.Seconds(), 0.1, 600},
-		{"zone_recovery.hold_down (seconds)", z.HoldDown.Seconds(), 0, 600},
-		{"zone_recovery.hold_down_most (seconds)", z.HoldDownMost.Seconds(), z.HoldDown.Seconds(), 3600},
-		{"zone_recovery.flap_window (seconds)", z.FlapWindow.Seconds(), 1, 86400},
-		{"zone_recovery.first_starts", float64(z.FirstStarts), 1, 1e6},
-		{"zone_recovery.first_fetches", float64(z.FirstFetches), 1, 1e6},
+		{"zone_recovery.lost_after", seconds, z.LostAfter.Seconds(), 0.1, 600},
+		{"zone_recovery.hold_down", seconds, z.HoldDown.Seconds(), 0, 600},
+		{"zone_recovery.hold_down_most", seconds, z.HoldDownMost.Seconds(), z.HoldDown.Seconds(), 3600},
+		{"zone_recovery.flap_window", seconds, z.FlapWindow.Seconds(), 1, 86400},
+		{"zone_recovery.first_starts", "", float64(z.FirstStarts), 1, 1e6},
+		{"zone_recovery.first_fetches", "", float64(z.FirstFetches), 1, 1e6},
 	})
 }
 
