--- a/client/client.go
+++ b/client/client.go
@@ -16,6 +16,8 @@
 	"pumicefront/wire"
 )
 
+// maxAnswer bounds what is read of an answer, in bytes; the answer of a watch has no bound of its
+// own in the protocol.
 const maxAnswer = 16 << 20
 
 // Client calls the services at fixed addresses and workers at any.
@@ -54,10 +56,56 @@
 	}
 }
 
-// request sends one request and returns the status and body. The body of a request
-// can't be rewound, so that net/http never sends a second copy on its own:
-// a copy that the core doesn't know of could run after it was given up.
-func request(by *http.Client, timeout time.Duration, method, target string, body any) (int, []byte, error) {
+// call is one call that the core asked for.
+type call struct {
+	service Service
+	op      Operation
+	method  string
+	target  string
+	body    any // sent as CBOR; nil: none
+	into    any // where the body of the answer is decoded; nil: it is not read
+	// readRefused decodes the body of an answer with another status too: the keys of a failed
+	// transaction, the report of a worker that refused its commands.
+	readRefused bool
+	timeout     time.Duration
+}
+
+// answer is what came back of a call.
+type answer struct {
+	status     int
+	body       []byte
+	retryAfter time.Duration
+}
+
+// failed returns the *CallError of this call with a status, a kind and a fault.
+func (c call) failed(status int, kind, fault error) *CallError {
+	return &CallError{Service: c.service, Op: c.op, Method: c.method, Target: c.target, Status: status, Kind: kind, Err: fault}
+}
+
+// send makes the call once and decodes the answer into c.into. It returns nil for an answer with
+// 200 that could be read, and a *CallError otherwise.
+func (c call) send(by *http.Client) error {
+	got, err := request(by, c.timeout, c.method, c.target, c.body)
+	if err != nil {
+		return c.failed(0, ErrNoAnswer, err)
+	}
+	if c.into != nil && (got.status == http.StatusOK || c.readRefused) {
+		if err := wire.Unmarshal(got.body, c.into); err != nil && got.status == http.StatusOK {
+			return c.failed(got.status, ErrUnreadable, err)
+		}
+	}
+	if got.status != http.StatusOK {
+		refused := c.failed(got.status, statusKind(c.service, got.status), nil)
+		refused.RetryAfter = got.retryAfter
+		return refused
+	}
+	return nil
+}
+
+// request sends one request and returns the answer; an error tells that none came. The body of a
+// request can't be rewound, so that net/http never sends a second copy on its own: a copy that the
+// core doesn't know of could run after it was given up.
+func request(by *http.Client, timeout time.Duration, method, target string, body any) (answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var reader io.Reader
@@ -66,7 +114,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, target, reader)
 	if err != nil {
-		return 0, nil, fmt.Errorf("call %s: %w", target, err)
+		return answer{}, fmt.Errorf("make request: %w", err)
 	}
 	req.GetBody = nil
 	if body != nil {
@@ -74,92 +122,80 @@
 	}
 	resp, err := by.Do(req)
 	if err != nil {
-		return 0, nil, fmt.Errorf("call: %w", err)
+		return answer{}, err
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
-		return 0, nil, fmt.Errorf("read answer of %s: %w", target, err)
+		return answer{}, fmt.Errorf("read answer: %w", err)
 	}
-	return resp.StatusCode, raw, nil
+	return answer{status: resp.StatusCode, body: raw, retryAfter: retryAfter(resp.Header)}, nil
+}
+
+// State makes a call of the core to the state service. A failed transaction's answer is decoded
+// too: it names the keys whose conditions failed.
+func (c *Client) State(sc controller.StateCall) controller.StateReply {
+	reply := controller.StateReply{ID: sc.ID}
+	reply.Status = replyStatus(c.stateCall(sc, &reply).send(c.services))
+	return reply
 }
 
-// State makes a call of the core to the state service.
-func (c *Client) State(call controller.StateCall) controller.StateReply {
-	reply := controller.StateReply{ID: call.ID}
-	var into any
-	method, target, body := http.MethodGet, c.state, any(nil)
-	switch call.Op {
+// stateCall is the call of the state service that sc asks for, decoded into reply.
+func (c *Client) stateCall(sc controller.StateCall, reply *controller.StateReply) call {
+	x := call{service: StateService, method: http.MethodGet, target: c.state, timeout: sc.Timeout}
+	switch sc.Op {
 	case controller.OpGet:
-		target += wire.PathKV + "/" + call.Key
-		into = &reply.Item
+		x.op, x.target, x.into = OpGet, x.target+wire.PathKV+"/"+sc.Key, &reply.Item
 	case controller.OpRange:
-		target += wire.PathKV + "?prefix=" + url.QueryEscape(call.Key) + "&limit=1000"
-		if call.After != "" {
-			target += "&after=" + url.QueryEscape(call.After)
+		x.op, x.target, x.into = OpRange, x.target+wire.PathKV+"?prefix="+url.QueryEscape(sc.Key)+"&limit=1000", &reply.Page
+		if sc.After != "" {
+			x.target += "&after=" + url.QueryEscape(sc.After)
 		}
-		into = &reply.Page
 	case controller.OpTxn:
-		method, target, body = http.MethodPost, target+wire.PathTxn, call.Txn
-		into = &reply.Txn
+		x.op, x.method, x.target, x.body = OpTransaction, http.MethodPost, x.target+wire.PathTxn, sc.Txn
+		x.into, x.readRefused = &reply.Txn, true
 	case controller.OpGrant:
-		method, target, body = http.MethodPost, target+wire.PathLeases, wire.LeaseAsk{TTLms: call.Life.Milliseconds()}
-		into = &reply.Grant
+		x.op, x.method, x.target = OpGrantLease, http.MethodPost, x.target+wire.PathLeases
+		x.body, x.into = wire.LeaseAsk{TTLms: sc.Life.Milliseconds()}, &reply.Grant
 	case controller.OpTouch:
-		method, target = http.MethodPost, target+wire.PathLeases+"/"+strconv.FormatUint(call.Lease, 10)+wire.PathTouch
+		x.op, x.method, x.target = OpRenewLease, http.MethodPost, x.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)+wire.PathTouch
 	case controller.OpEnd:
-		method, target = http.MethodDelete, target+wire.PathLeases+"/"+strconv.FormatUint(call.Lease, 10)
+		x.op, x.method, x.target = OpRevokeLease, http.MethodDelete, x.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)
 	case controller.OpWatch:
-		target += wire.PathWatch + "?prefix=" + url.QueryEscape(call.Key) +
-			"&after=" + strconv.FormatUint(call.Revision, 10) + "&wait_ms=" + strconv.FormatInt(call.Wait.Milliseconds(), 10)
-		into = &reply.Watch
-	}
-	// A refused transaction tells what failed in the same form.
-	reply.Status = callAndDecode(c.services, call.Timeout, method, target, body, into, call.Op == controller.OpTxn)
-	return reply
-}
-
-// callAndDecode calls and decodes the answer into into; status 0 stands for none.
-func callAndDecode(by *http.Client, timeout time.Duration, method, target string, body, into any, always bool) int {
-	status, raw, err := request(by, timeout, method, target, body)
-	if err != nil {
-		return 0
-	}
-	if into == nil || status != http.StatusOK && !always {
-		return status
-	}
-	if err := wire.Unmarshal(raw, into); err != nil && status == http.StatusOK {
-		return 0
+		x.op, x.into = OpWatch, &reply.Watch
+		x.target += wire.PathWatch + "?prefix=" + url.QueryEscape(sc.Key) +
+			"&after=" + strconv.FormatUint(sc.Revision, 10) + "&wait_ms=" + strconv.FormatInt(sc.Wait.Milliseconds(), 10)
 	}
-	return status
+	return x
 }
 
 // Cloud makes a call of the core to the cloud.
-func (c *Client) Cloud(call controller.CloudCall) controller.CloudReply {
-	reply := controller.CloudReply{ID: call.ID}
+func (c *Client) Cloud(cc controller.CloudCall) controller.CloudReply {
+	reply := controller.CloudReply{ID: cc.ID}
 	if !c.entitled() {
 		return reply
 	}
-	var into any
-	method, target, body := http.MethodGet, c.cloud, any(nil)
-	switch call.Op {
+	reply.Status = replyStatus(c.cloudCall(cc, &reply).send(c.services))
+	return reply
+}
+
+// cloudCall is the call of the cloud that cc asks for, decoded into reply.
+func (c *Client) cloudCall(cc controller.CloudCall, reply *controller.CloudReply) call {
+	x := call{service: Cloud, method: http.MethodGet, target: c.cloud, timeout: cc.Timeout}
+	switch cc.Op {
 	case controller.CloudTypes:
-		target += wire.PathTypes
-		into = &reply.Types
+		x.op, x.target, x.into = OpMachineTypes, x.target+wire.PathTypes, &reply.Types
 	case controller.CloudList:
-		target += wire.PathMachines + "?limit=500"
-		if call.After != "" {
-			target += "&after=" + url.QueryEscape(call.After)
+		x.op, x.target, x.into = OpListMachines, x.target+wire.PathMachines+"?limit=500", &reply.Page
+		if cc.After != "" {
+			x.target += "&after=" + url.QueryEscape(cc.After)
 		}
-		into = &reply.Page
 	case controller.CloudRent:
-		method, target, body = http.MethodPost, target+wire.PathMachines, call.Rent
-		into = &reply.Names
+		x.op, x.method, x.target, x.body, x.into = OpScaleOut, http.MethodPost, x.target+wire.PathMachines, cc.Rent, &reply.Names
 	case controller.CloudRelease:
-		method, target, body = http.MethodPost, target+wire.PathRelease, wire.Names{Machines: call.Names}
+		x.op, x.method, x.target, x.body = OpScaleIn, http.MethodPost, x.target+wire.PathRelease, wire.Names{Machines: cc.Names}
 	}
-	reply.Status = callAndDecode(c.services, call.Timeout, method, target, body, into, false)
-	return reply
+	return x
 }
 
 // Worker sends direct commands of the core to a worker. Calls that only ask for a
@@ -176,6 +212,15 @@
 	if !c.entitled() {
 		return reply
 	}
-	reply.Status = callAndDecode(c.workers, cmd.Timeout, http.MethodPost, "http://"+cmd.Addr+wire.PathCommands, cmd.Commands, &reply.Report, true)
+	reply.Status = replyStatus(workerCall(cmd, &reply).send(c.workers))
 	return reply
 }
+
+// workerCall is the call of a worker that cmd asks for; the report of a worker that refuses its
+// commands is decoded too.
+func workerCall(cmd controller.WorkerCall, reply *controller.WorkerReply) call {
+	return call{
+		service: Worker, op: OpCommands, method: http.MethodPost, target: "http://" + cmd.Addr + wire.PathCommands,
+		body: cmd.Commands, into: &reply.Report, readRefused: true, timeout: cmd.Timeout,
+	}
+}
--- /dev/null
+++ b/client/errors_test.go
@@ -0,0 +1,140 @@
+package client
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"pumicefront/controller"
+	"pumicefront/wire"
+)
+
+// answering is a service that answers every call with status and body, and Retry-After if it is
+// not empty.
+func answering(t *testing.T, status int, body []byte, retry string) string {
+	t.Helper()
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		if retry != "" {
+			w.Header().Set("Retry-After", retry)
+		}
+		w.WriteHeader(status)
+		_, _ = w.Write(body)
+	}))
+	t.Cleanup(service.Close)
+	return strings.TrimPrefix(service.URL, "http://")
+}
+
+// A call that fails tells its service, call, target and status to errors.As, and its kind to
+// errors.Is; the core is told the same status as before.
+func TestCallErrorsTellKindAndStatus(t *testing.T) {
+	failed := wire.Marshal(wire.TxnAnswer{Revision: 431, Failed: []string{"a/b"}})
+	for _, c := range []struct {
+		name       string
+		status     int
+		body       []byte
+		retry      string
+		op         controller.StateOp
+		want       error
+		wantOp     Operation
+		path       string
+		replied    int
+		retryAfter time.Duration
+	}{
+		{"compare-and-swap failed", http.StatusConflict, failed, "", controller.OpTxn, ErrConditionFailed, OpTransaction, wire.PathTxn, http.StatusConflict, 0},
+		{"no such key", http.StatusNotFound, wire.Marshal(wire.Page{Revision: 431}), "", controller.OpGet, ErrNotFound, OpGet, wire.PathKV + "/a/b", http.StatusNotFound, 0},
+		{"lease expired", http.StatusNotFound, nil, "", controller.OpTouch, ErrNotFound, OpRenewLease, wire.PathLeases + "/7" + wire.PathTouch, http.StatusNotFound, 0},
+		{"watch too old", http.StatusGone, nil, "", controller.OpWatch, ErrCompacted, OpWatch, wire.PathWatch, http.StatusGone, 0},
+		{"rate limited", http.StatusTooManyRequests, nil, "3", controller.OpRange, ErrRateLimited, OpRange, wire.PathKV, http.StatusTooManyRequests, 3 * time.Second},
+		{"outage", http.StatusServiceUnavailable, nil, "", controller.OpGrant, ErrUnavailable, OpGrantLease, wire.PathLeases, http.StatusServiceUnavailable, 0},
+		{"malformed", http.StatusBadRequest, wire.Marshal(wire.Error{Error: "no such lease"}), "", controller.OpTxn, ErrRefused, OpTransaction, wire.PathTxn, http.StatusBadRequest, 0},
+		{"unreadable", http.StatusOK, []byte("not cbor"), "", controller.OpGet, ErrUnreadable, OpGet, wire.PathKV + "/a/b", 0, 0},
+	} {
+		client := New(answering(t, c.status, c.body, c.retry), "127.0.0.1:1", 4, func() bool { return true })
+		sc := controller.StateCall{Op: c.op, Key: "a/b", Lease: 7, Timeout: time.Minute}
+		var reply controller.StateReply
+		err := client.stateCall(sc, &reply).send(client.services)
+		var call *CallError
+		if !errors.As(err, &call) || !errors.Is(err, c.want) {
+			t.Errorf("%s: want %v in a *CallError, got %T %v", c.name, c.want, err, err)
+			continue
+		}
+		if call.Service != StateService || call.Op != c.wantOp || !strings.Contains(call.Target, c.path) || call.Status != c.status || call.RetryAfter != c.retryAfter {
+			t.Errorf("%s: %+v", c.name, call)
+		}
+		if errors.Is(err, ErrNoAnswer) || c.want != ErrRefused && errors.Is(err, ErrRefused) {
+			t.Errorf("%s: matches another kind: %v", c.name, err)
+		}
+		if got := client.State(sc).Status; got != c.replied {
+			t.Errorf("%s: the core is told %d, want %d", c.name, got, c.replied)
+		}
+	}
+}
+
+// A failed transaction's answer is still read: the core learns which conditions failed.
+func TestFailedTransactionIsRead(t *testing.T) {
+	addr := answering(t, http.StatusConflict, wire.Marshal(wire.TxnAnswer{Revision: 431, Failed: []string{"a/b"}}), "")
+	c := New(addr, "127.0.0.1:1", 4, func() bool { return true })
+	r := c.State(controller.StateCall{Op: controller.OpTxn, Timeout: time.Minute})
+	if r.Status != http.StatusConflict || len(r.Txn.Failed) != 1 || r.Txn.Failed[0] != "a/b" || r.Txn.Revision != 431 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// Without an answer the kind is ErrNoAnswer, the transport's fault is kept, and the core is told 0.
+func TestNoAnswerKeepsItsCause(t *testing.T) {
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := closed.Addr().String()
+	if err := closed.Close(); err != nil {
+		t.Fatal(err)
+	}
+	c := New(addr, addr, 4, func() bool { return true })
+	var reply controller.StateReply
+	err = c.stateCall(controller.StateCall{Op: controller.OpGet, Key: "a", Timeout: time.Minute}, &reply).send(c.services)
+	var call *CallError
+	if !errors.As(err, &call) || !errors.Is(err, ErrNoAnswer) || !errors.Is(err, syscall.ECONNREFUSED) || call.Status != 0 {
+		t.Errorf("%T %v", err, err)
+	}
+	if r := c.Cloud(controller.CloudCall{Op: controller.CloudTypes, Timeout: time.Minute}); r.Status != 0 {
+		t.Errorf("the cloud: status %d", r.Status)
+	}
+}
+
+// A worker that refuses commands for an old fencing token is fenced, not a failed compare-and-swap,
+// and its report is read.
+func TestWorkerThatRefusesIsFenced(t *testing.T) {
+	addr := answering(t, http.StatusConflict, wire.Marshal(wire.Report{Machine: "i-1", Token: 42}), "")
+	c := New("127.0.0.1:1", "127.0.0.1:1", 4, func() bool { return true })
+	cmd := controller.WorkerCall{Machine: "i-1", Addr: addr, Timeout: time.Minute}
+	var reply controller.WorkerReply
+	err := workerCall(cmd, &reply).send(c.workers)
+	var call *CallError
+	if !errors.As(err, &call) || !errors.Is(err, ErrFenced) || errors.Is(err, ErrConditionFailed) || call.Service != Worker || call.Op != OpCommands {
+		t.Errorf("%T %v", err, err)
+	}
+	if r := c.Worker(cmd); r.Status != http.StatusConflict || r.Report.Token != 42 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// The cloud's refusal for want of capacity is ErrUnavailable; its text names the call.
+func TestCloudWithoutCapacity(t *testing.T) {
+	addr := answering(t, http.StatusServiceUnavailable, wire.Marshal(wire.Error{Error: "no capacity"}), "")
+	c := New("127.0.0.1:1", addr, 4, func() bool { return true })
+	cc := controller.CloudCall{Op: controller.CloudRent, Rent: wire.Rent{Request: "r-1", Count: 2}, Timeout: time.Minute}
+	var reply controller.CloudReply
+	err := c.cloudCall(cc, &reply).send(c.services)
+	if !errors.Is(err, ErrUnavailable) || !strings.Contains(err.Error(), "cloud scale out POST http://"+addr+wire.PathMachines+": status 503") {
+		t.Errorf("%v", err)
+	}
+	if r := c.Cloud(cc); r.Status != http.StatusServiceUnavailable {
+		t.Errorf("status %d", r.Status)
+	}
+}
