--- a/statusclient/fetch.go
+++ b/statusclient/fetch.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"strconv"
 	"time"
 )
 
@@ -21,6 +22,20 @@
 // ErrNoLeader tells that controllers answered and none of them leads.
 var ErrNoLeader = errors.New("no controller that was asked leads")
 
+// NoLeaderError tells that controllers answered and none of them leads; it matches ErrNoLeader.
+type NoLeaderError struct {
+	AnsweredBy string // the last controller that answered
+	Leader     string // the leader as far as it knows; empty: it knows none
+}
+
+// Error tells who answered last, and whom it takes for the leader.
+func (e *NoLeaderError) Error() string {
+	return fmt.Sprintf("%v: %s says that %q does", ErrNoLeader, e.AnsweredBy, e.Leader)
+}
+
+// Unwrap returns ErrNoLeader.
+func (e *NoLeaderError) Unwrap() error { return ErrNoLeader }
+
 // Status is what a controller answers.
 type Status interface {
 	Leads() bool         // it leads, and knows the rest
@@ -29,6 +44,8 @@
 }
 
 // Fetch asks controllers for what is at a path, one after the other, until one that leads answers.
+// Where none does, the error joins the failure of each controller that did not answer, and a
+// *NoLeaderError if some did; the status returned is then the last one that answered.
 func Fetch[S Status](ctx context.Context, addresses []string, path string) (S, error) {
 	var failures []error
 	var last S
@@ -45,7 +62,7 @@
 		}
 	}
 	if answered {
-		failures = append(failures, fmt.Errorf("%w: %s says that %q does", ErrNoLeader, last.AnsweredBy(), last.KnownLeader()))
+		failures = append(failures, &NoLeaderError{AnsweredBy: last.AnsweredBy(), Leader: last.KnownLeader()})
 	}
 	return last, errors.Join(failures...)
 }
@@ -62,7 +79,8 @@
 	return status, nil
 }
 
-// Ask makes one request, and returns the body of an answer with 200.
+// Ask makes one request, and returns the body of an answer with 200. An answer with another
+// status is a *StatusError; other errors wrap the transport's fault.
 func Ask(ctx context.Context, method, target string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, AskTimeout)
 	defer cancel()
@@ -76,7 +94,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("ask %s: status %d", target, resp.StatusCode)
+		return nil, &StatusError{Target: target, Status: resp.StatusCode, RetryAfter: retryAfter(resp.Header)}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, largestStatus))
 	if err != nil {
@@ -84,3 +102,25 @@
 	}
 	return body, nil
 }
+
+// StatusError tells of an answer with another status than 200.
+type StatusError struct {
+	Target string // URL that was asked
+	Status int
+	// RetryAfter is the wait that the answer asked for in Retry-After, in whole seconds; 0: none.
+	RetryAfter time.Duration
+}
+
+// Error tells the target and the status: "ask http://127.0.0.1:7071/zones: status 503".
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("ask %s: status %d", e.Target, e.Status)
+}
+
+// retryAfter reads a Retry-After header in seconds; a date, or none, gives 0.
+func retryAfter(header http.Header) time.Duration {
+	seconds, err := strconv.Atoi(header.Get("Retry-After"))
+	if err != nil || seconds < 0 {
+		return 0
+	}
+	return time.Duration(seconds) * time.Second
+}
--- a/wire/submit.go
+++ b/wire/submit.go
@@ -56,7 +56,9 @@
 }
 
 // ParseJob decodes and checks a submission. Where it fails, the id is still
-// returned if it could be read, so that a known job can be recognised.
+// returned if it could be read, so that a known job can be recognised. The error is
+// that of Unmarshal where the body can't be decoded, and otherwise joins a *FieldError
+// for each field that is wrong.
 func ParseJob(body []byte) (job Job, id string, err error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
@@ -105,11 +107,26 @@
 	return job, id, p.err
 }
 
+// ErrInvalidField is the kind of every *FieldError.
+var ErrInvalidField = errors.New("missing or invalid")
+
+// FieldError tells of a field of a submission that is missing or invalid; it matches
+// ErrInvalidField.
+type FieldError struct {
+	Field string // as the protocol spells it: "pieces", "waits_on"
+}
+
+// Error names the field: "field pieces is missing or invalid".
+func (e *FieldError) Error() string { return fmt.Sprintf("field %s is %v", e.Field, ErrInvalidField) }
+
+// Unwrap returns ErrInvalidField.
+func (e *FieldError) Unwrap() error { return ErrInvalidField }
+
 // parser collects what is wrong with a submission.
 type parser struct{ err error }
 
 func (p *parser) fail(field string) {
-	p.err = errors.Join(p.err, fmt.Errorf("field %s is missing or invalid", field))
+	p.err = errors.Join(p.err, &FieldError{Field: field})
 }
 
 func (p *parser) require(field string, ok bool) {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -1,7 +1,9 @@
 package wire
 
 import (
+	"errors"
 	"maps"
+	"slices"
 	"testing"
 )
 
@@ -101,3 +103,30 @@
 		}
 	}
 }
+
+// Each wrong field of a submission is a *FieldError that names it as the protocol spells it.
+func TestParseJobNamesWrongFields(t *testing.T) {
+	bad := maps.Clone(sample())
+	bad["shape"], bad["pieces"] = "spiral", 0
+	_, _, err := ParseJob(Marshal(bad))
+	var wrong *FieldError
+	if !errors.As(err, &wrong) || !errors.Is(err, ErrInvalidField) {
+		t.Fatalf("%T %v", err, err)
+	}
+	joined, ok := err.(interface{ Unwrap() []error })
+	if !ok {
+		t.Fatalf("%T joins nothing", err)
+	}
+	var named []string
+	for _, each := range joined.Unwrap() {
+		if errors.As(each, &wrong) {
+			named = append(named, wrong.Field)
+		}
+	}
+	if !slices.Equal(named, []string{"pieces", "shape"}) || err.Error() != "field pieces is missing or invalid\nfield shape is missing or invalid" {
+		t.Errorf("names %v: %q", named, err.Error())
+	}
+	if _, _, err := ParseJob([]byte("not cbor")); err == nil || errors.Is(err, ErrInvalidField) {
+		t.Errorf("a body that can't be decoded: %v", err)
+	}
+}
