--- a/client/client.go
+++ b/client/client.go
@@ -30,9 +30,9 @@
 	entitled     func() bool   // whether the core may act for the controllers now
 }
 
-// New returns a client; conns bounds the connections to workers. A new leader
-// asks every machine at once: without a bound it would have no socket left for
-// the state service, whose connections are kept apart for the same reason.
+// New returns a client of the state service and the cloud at their host:port; conns bounds the
+// connections to workers. A new leader asks every machine at once: without a bound it would have no
+// socket left for the state service, whose connections are kept apart for the same reason.
 //
 // Only a leader calls workers and the cloud. The core has asked for its authority
 // when it decided on a call, but the process may have stood still since, or the call
--- a/client/errors.go
+++ b/client/errors.go
@@ -64,10 +64,10 @@
 
 // CallError tells of a call that did not end in an answer with 200 that could be read.
 type CallError struct {
-	Service Service
-	Op      Operation
-	Method  string
-	Target  string // URL of the call: endpoint, path and query
+	Service Service   // what was called
+	Op      Operation // which call
+	Method  string    // HTTP method
+	Target  string    // URL of the call: endpoint, path and query
 	// Status is that of the answer; 0: no answer came.
 	Status int
 	// RetryAfter is the wait that the answer asked for in Retry-After, in whole seconds; 0: none.
--- a/cmd/pumicefront/main.go
+++ b/cmd/pumicefront/main.go
@@ -56,7 +56,8 @@
 
 type checkCmd struct{ settings }
 
-// Run prints what was understood of the settings.
+// Run prints what was understood of the settings, and the warnings of those that can't be used.
+// The error of a wrong setting names its field; main prints it and exits with 2.
 func (c *checkCmd) Run() error {
 	cfg, op, err := c.load()
 	if err != nil {
--- a/config/cell.go
+++ b/config/cell.go
@@ -9,18 +9,18 @@
 // Cell are the operators' settings of a cell that takes part in spilling over; docs/operations.md
 // explains each.
 type Cell struct {
-	Name        string
+	Name        string        // this cell's name, as its peers know it
 	Listen      string        // where the other cells reach this controller
 	SpillAfter  time.Duration // how long a batch waits for room before it may go to another cell
 	ReturnAfter time.Duration // how long one of another cell may wait for room here
 	LendCores   float64       // for batches of other cells
-	Peers       []CellPeer
+	Peers       []CellPeer    // the other cells
 }
 
 // CellPeer is another cell.
 type CellPeer struct {
-	Name      string   `hcl:"name,label"`
-	Addresses []string `hcl:"addresses"`
+	Name      string   `hcl:"name,label"` // the cell's name
+	Addresses []string `hcl:"addresses"`  // host:port of each of its controllers' listeners for cells
 }
 
 // cellBlock is the block as it stands in the operators' file.
--- a/config/config.go
+++ b/config/config.go
@@ -19,42 +19,46 @@
 
 // Platform is the file that the platform hands over. Unknown fields are ignored.
 type Platform struct {
-	Member   string `toml:"member"`
-	Listen   string `toml:"client_listen"`
-	Mesh     string `toml:"mesh_addr"`
-	Others   []Peer `toml:"others"`
+	Member string `toml:"member"`        // this controller's name
+	Listen string `toml:"client_listen"` // host:port for users, workers and health checks
+	Mesh   string `toml:"mesh_addr"`     // host:port for the other controllers
+	Others []Peer `toml:"others"`        // the other controllers
+	// External are the addresses of the services, host:port.
 	External struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"external"`
-	Facts Facts `toml:"facts"`
+	Facts Facts `toml:"facts"` // what the deployment is like
 
 	Warnings []Warning `toml:"-"` // settings that could not be used
 }
 
 // Peer is another controller.
 type Peer struct {
-	Member string `toml:"member"`
-	Addr   string `toml:"endpoint"`
+	Member string `toml:"member"`   // its name
+	Addr   string `toml:"endpoint"` // its mesh address, host:port
 }
 
 // Facts describe the deployment.
 type Facts struct {
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    struct {
-		ReportS float64 `toml:"report_s"`
-		LeaseS  float64 `toml:"lease_s"`
-		CancelS float64 `toml:"cancel_s"`
+	Teams      []Team      `toml:"teams"`      // quotas of the teams
+	Objectives []Objective `toml:"objectives"` // service-level objectives
+	// Workers are the workers' intervals.
+	Workers struct {
+		ReportS float64 `toml:"report_s"` // seconds between reports, give or take a quarter
+		LeaseS  float64 `toml:"lease_s"`  // seconds without an answered report after which a worker's lease expires
+		CancelS float64 `toml:"cancel_s"` // seconds within which all tasks of a cancelled job must be gone
 	} `toml:"workers"`
-	State State `toml:"state"`
+	State State `toml:"state"` // limits of the state service
+	// Cloud are the limits of the cloud.
 	Cloud struct {
-		RPS      float64 `toml:"rps"`
-		ListLagS float64 `toml:"list_lag_s"`
+		RPS      float64 `toml:"rps"`        // requests per second
+		ListLagS float64 `toml:"list_lag_s"` // seconds by which its list of machines lags
 	} `toml:"cloud"`
+	// Resources are what this process may take of its machine.
 	Resources struct {
-		MemoryMB       float64 `toml:"memory_mb"`
-		MaxConnections int     `toml:"max_connections"`
+		MemoryMB       float64 `toml:"memory_mb"`       // memory, in MB
+		MaxConnections int     `toml:"max_connections"` // sockets open at once
 	} `toml:"resources"`
 }
 
@@ -62,15 +66,15 @@
 // from a moment that nobody announces; what Next doesn't name stays.
 type State struct {
 	Limits
-	Next Next `toml:"-"`
+	Next Next `toml:"-"` // limits that will change; see Coming
 }
 
 // Limits of the state service.
 type Limits struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // puts and deletes per second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value, in KiB as JSON
+	TxnOps   int     `toml:"txn_ops"`   // puts and deletes of one transaction
 }
 
 // Coming are the limits from that moment on.
@@ -93,37 +97,37 @@
 
 // Team is a team's guarantee and limit.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name    string  `toml:"name"`     // as jobs name it
+	CPUs    float64 `toml:"cpus"`     // guaranteed cores; 0: none
+	CPUsMax float64 `toml:"cpus_max"` // most cores that its tasks may use at once; 0: no limit
+	GPUs    float64 `toml:"gpus"`     // guaranteed GPUs; 0: none
+	GPUsMax float64 `toml:"gpus_max"` // most GPUs that its tasks may use at once; 0: no limit
 }
 
 // Objective is one aim on starting or finishing. For a deadline it is in multiples
 // of the time that each job has.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Times   float64 `toml:"times"`
-	Share   float64 `toml:"share"`
+	Kind    string  `toml:"kind"`     // "wait", "guarantee", "finished" or "deadline"; others are ignored
+	Class   string  `toml:"class"`    // class of jobs that it is for; empty: all
+	WithinS float64 `toml:"within_s"` // seconds within which a share of the jobs or tasks start or finish
+	Times   float64 `toml:"times"`    // for a deadline: the multiple of the job's due_s
+	Share   float64 `toml:"share"`    // share, 0 to 1, that is to be within
 }
 
 // Operator holds the operators' own settings; docs/operations.md explains each.
 type Operator struct {
-	LeaderLife   string  `hcl:"leader_life,optional"`
-	SilentShare  float64 `hcl:"silent_share,optional"`
-	IdleS        float64 `hcl:"idle_s,optional"`
-	Headroom     float64 `hcl:"headroom,optional"`
-	HeadroomMost float64 `hcl:"headroom_most,optional"`
-	Surge        float64 `hcl:"surge,optional"`
-	SurgeBatch   float64 `hcl:"surge_batch,optional"`
+	LeaderLife   string  `hcl:"leader_life,optional"`   // life of the leader's lease, a Go duration: "1.4s"
+	SilentShare  float64 `hcl:"silent_share,optional"`  // share of the workers' lease that a machine may be silent before it is suspected
+	IdleS        float64 `hcl:"idle_s,optional"`        // seconds that an unneeded machine stays
+	Headroom     float64 `hcl:"headroom,optional"`      // room kept beyond what runs, as a share of it
+	HeadroomMost float64 `hcl:"headroom_most,optional"` // the most that Headroom may come to
+	Surge        float64 `hcl:"surge,optional"`         // the most room kept for services, in deviations of what arrives while a machine boots
+	SurgeBatch   float64 `hcl:"surge_batch,optional"`   // the same for batch work
 
-	ZoneRecoveryBlock *zoneRecoveryBlock  `hcl:"zone_recovery,block"`
+	ZoneRecoveryBlock *zoneRecoveryBlock  `hcl:"zone_recovery,block"` // as the file has it; nil once read
 	ZoneRecovery      *ZoneRecovery       // what follows from the block; nil: zone recovery is off
-	CellBlock         *cellBlock          `hcl:"cell,block"`
-	SpreadingBlock    *loadSpreadingBlock `hcl:"load_spreading,block"`
+	CellBlock         *cellBlock          `hcl:"cell,block"`           // as the file has it; nil once read
+	SpreadingBlock    *loadSpreadingBlock `hcl:"load_spreading,block"` // as the file has it; nil once read
 	Spreading         *LoadSpreading      // what follows from the block; nil: load is not spread
 	Cell              *Cell               // what follows from the block; nil: this cell is alone
 }
@@ -133,7 +137,7 @@
 	return Operator{LeaderLife: "1.4s", SilentShare: 0.25, IdleS: 15, Headroom: 0.1, HeadroomMost: 1.5, Surge: 2, SurgeBatch: 1}
 }
 
-// LeaderLifetime is the life of the leader's lease.
+// LeaderLifetime is the life of the leader's lease; 0 where LeaderLife is no duration.
 func (o Operator) LeaderLifetime() time.Duration {
 	d, err := time.ParseDuration(o.LeaderLife)
 	if err != nil {
@@ -145,7 +149,9 @@
 // Seconds turns a number of seconds from the settings into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// LoadPlatform reads and checks the platform's file.
+// LoadPlatform reads and checks the platform's file. A wrong setting gives a *SettingError behind
+// the path of the file; a file that can't be read gives the error of os.ReadFile, and one that is
+// no TOML that of the decoder. Coming limits that can't be used give Warnings instead.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -185,7 +191,10 @@
 	return nil
 }
 
-// LoadOperator reads and checks the operators' file; with no path the defaults hold.
+// LoadOperator reads and checks the operators' file; with no path the defaults hold. A wrong
+// setting gives a *SettingError (those that the checks find behind the path of the file, those that
+// HCL finds with the path in its diagnostics); a file that can't be read or parsed gives the
+// diagnostics of HCL.
 func LoadOperator(path string) (Operator, error) {
 	o := DefaultOperator()
 	if path == "" {
--- a/config/next.go
+++ b/config/next.go
@@ -18,10 +18,10 @@
 
 // Next names the limits that will change.
 type Next struct {
-	RPS      *float64
-	WriteRPS *float64
-	ValueKB  *float64
-	TxnOps   *int
+	RPS      *float64 // nil: stays
+	WriteRPS *float64 // nil: stays
+	ValueKB  *float64 // nil: stays
+	TxnOps   *int     // nil: stays
 }
 
 // String shows what is named.
@@ -67,9 +67,9 @@
 // A Warning tells of a setting that can't be used, and of the safe value that is used
 // instead.
 type Warning struct {
-	Field string
-	Value any // as it stands in the file
-	Used  string
+	Field string // as the file spells it: "facts.state.next.value_kb"
+	Value any    // as it stands in the file
+	Used  string // the value that is used instead
 }
 
 // String tells the field, what is wrong, and what follows.
--- a/server/server.go
+++ b/server/server.go
@@ -115,7 +115,9 @@
 	return s
 }
 
-// Run serves until ctx ends or a listener fails.
+// Run serves until ctx ends or a listener fails. It returns the error of an address that can't be
+// listened at (one in use is tried again for listenTries times listenPause first), of a trace file
+// that can't be opened, or of the server that stopped; where ctx ends, that of closing the server.
 func (s *Server) Run(ctx context.Context) error {
 	peers := map[string]string{}
 	for _, o := range s.cfg.Others {
--- a/statusclient/fetch.go
+++ b/statusclient/fetch.go
@@ -106,7 +106,7 @@
 // StatusError tells of an answer with another status than 200.
 type StatusError struct {
 	Target string // URL that was asked
-	Status int
+	Status int    // HTTP status of the answer
 	// RetryAfter is the wait that the answer asked for in Retry-After, in whole seconds; 0: none.
 	RetryAfter time.Duration
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -66,63 +66,63 @@
 
 // Job is a submission that has passed Check.
 type Job struct {
-	ID          string   `cbor:"uid"`
-	Class       string   `cbor:"lane"`
-	Team        string   `cbor:"crew"`
-	Kind        string   `cbor:"shape"`
-	Priority    string   `cbor:"urgency"`
-	Tasks       int      `cbor:"pieces"`
-	CPUs        float64  `cbor:"cores"`
-	GPUs        float64  `cbor:"gpus"`
-	MemoryGB    float64  `cbor:"ram_gb"`
-	Image       string   `cbor:"bundle"`
-	ImageGB     float64  `cbor:"size_gb"`
-	Types       []string `cbor:"builds,omitempty"`
-	Zone        string   `cbor:"yard,omitempty"`
-	OneZone     bool     `cbor:"one_zone"`
-	Spread      bool     `cbor:"scatter"`
-	Spot        bool     `cbor:"lendable"`
-	EstimateS   float64  `cbor:"reckon_s"`
-	CheckpointS float64  `cbor:"mark_s"`
-	SaveS       float64  `cbor:"stash_s"`
-	DeadlineS   *float64 `cbor:"due_s,omitempty"`
+	ID          string   `cbor:"uid"`                // job id, "req-" and up to 18 digits; a repeated submission has the same
+	Class       string   `cbor:"lane"`               // class of jobs whose service-level objectives apply
+	Team        string   `cbor:"crew"`               // team whose quota and fair share apply
+	Kind        string   `cbor:"shape"`              // KindArray, KindGang or KindService
+	Priority    string   `cbor:"urgency"`            // one of Priorities
+	Tasks       int      `cbor:"pieces"`             // number of tasks, 1 to MaxTasks, numbered from 0
+	CPUs        float64  `cbor:"cores"`              // cores that each task takes
+	GPUs        float64  `cbor:"gpus"`               // GPUs that each task takes
+	MemoryGB    float64  `cbor:"ram_gb"`             // memory that each task takes, in GB
+	Image       string   `cbor:"bundle"`             // image that a machine fetches before a task starts
+	ImageGB     float64  `cbor:"size_gb"`            // size of the image, in GB
+	Types       []string `cbor:"builds,omitempty"`   // machine types allowed; empty: any
+	Zone        string   `cbor:"yard,omitempty"`     // the only zone allowed; empty: any
+	OneZone     bool     `cbor:"one_zone"`           // all tasks in one zone
+	Spread      bool     `cbor:"scatter"`            // at most half of the tasks, rounded up, in one zone
+	Spot        bool     `cbor:"lendable"`           // may run on spot instances
+	EstimateS   float64  `cbor:"reckon_s"`           // the owner's estimate of a task's run time without the image fetch, in seconds; 0 for services
+	CheckpointS float64  `cbor:"mark_s"`             // seconds of progress after which a task saves a checkpoint; 0: it never does
+	SaveS       float64  `cbor:"stash_s"`            // seconds that a task needs to save a checkpoint when it is stopped
+	DeadlineS   *float64 `cbor:"due_s,omitempty"`    // seconds from submission by which the job should be done; nil: no deadline
 	Needs       []string `cbor:"waits_on,omitempty"` // jobs that must be done before any task of this one starts
 }
 
 // JobState answers a user about a job.
 type JobState struct {
-	ID      string `cbor:"uid"`
-	State   string `cbor:"standing"`
-	Done    int    `cbor:"done"`
-	Running int    `cbor:"running"`
+	ID      string `cbor:"uid"`      // job id
+	State   string `cbor:"standing"` // StateQueued, StateRunning, StateDone or StateCancelled
+	Done    int    `cbor:"done"`     // tasks done, for display
+	Running int    `cbor:"running"`  // tasks running, for display
 }
 
 // Error is the body of an answer that refuses a request.
 type Error struct {
-	Error string `cbor:"error"`
+	Error string `cbor:"error"` // what is wrong, in words
 }
 
 // Task is a task as a worker reports it.
 type Task struct {
-	ID      string `cbor:"piece"`
-	Attempt uint64 `cbor:"try"`
-	State   string `cbor:"standing"`
-	Why     string `cbor:"cause,omitempty"`
-	Saved   bool   `cbor:"stored,omitempty"`
+	ID      string `cbor:"piece"`            // task id: the job's id, "/" and the task's number (TaskID)
+	Attempt uint64 `cbor:"try"`              // attempt of the task, from 1
+	State   string `cbor:"standing"`         // TaskFetching, TaskRunning, TaskSaving or TaskExited
+	Why     string `cbor:"cause,omitempty"`  // why an exited task ended: one of the Why values
+	Saved   bool   `cbor:"stored,omitempty"` // a stopped task saved a checkpoint
 }
 
 // Report is a worker's view of its machine.
 type Report struct {
-	Machine string   `cbor:"host"`
-	Addr    string   `cbor:"addr"`
-	Type    string   `cbor:"build"`
-	Zone    string   `cbor:"yard"`
-	Spot    bool     `cbor:"lendable"`
-	Session uint64   `cbor:"stint"`
-	Seq     uint64   `cbor:"tally"`
-	Token   uint64   `cbor:"baton"`
-	NoticeS *float64 `cbor:"warning_s"`
-	Tasks   []Task   `cbor:"pieces"`
+	Machine string   `cbor:"host"`      // machine id
+	Addr    string   `cbor:"addr"`      // address of the worker, host:port
+	Type    string   `cbor:"build"`     // machine type
+	Zone    string   `cbor:"yard"`      // zone
+	Spot    bool     `cbor:"lendable"`  // a spot instance
+	Session uint64   `cbor:"stint"`     // agent epoch: from 1, one more each time the worker's lease expires
+	Seq     uint64   `cbor:"tally"`     // one more with every report and every answer of the worker; the larger (Session, Seq) is newer
+	Token   uint64   `cbor:"baton"`     // highest fencing token that the worker has seen
+	NoticeS *float64 `cbor:"warning_s"` // seconds until the cloud takes a spot instance back; nil: no notice
+	Tasks   []Task   `cbor:"pieces"`    // every task on the machine, exited ones too until they are forgotten
 }
 
 // Newer reports whether r was made after the message with session and seq.
@@ -132,144 +132,144 @@
 
 // Command tells a worker what to do with one attempt.
 type Command struct {
-	Op      string  `cbor:"verb"`
-	Task    string  `cbor:"piece"`
-	Attempt uint64  `cbor:"try"`
-	GraceS  float64 `cbor:"leeway_s,omitempty"`
+	Op      string  `cbor:"verb"`               // OpRun, OpStop or OpForget
+	Task    string  `cbor:"piece"`              // task id
+	Attempt uint64  `cbor:"try"`                // attempt that the command is about
+	GraceS  float64 `cbor:"leeway_s,omitempty"` // seconds that a stopped task may take to save a checkpoint; 0: it stops at once
 }
 
 // ReportAnswer answers a report that this controller may answer.
 type ReportAnswer struct {
-	Token    uint64    `cbor:"baton"`
-	Commands []Command `cbor:"orders"`
+	Token    uint64    `cbor:"baton"`  // fencing token of the leader
+	Commands []Command `cbor:"orders"` // executed in order
 }
 
 // Redirect sends a worker to the leader, where it is known.
 type Redirect struct {
-	Leader string `cbor:"steward,omitempty"`
+	Leader string `cbor:"steward,omitempty"` // member that leads; empty: not known
 }
 
 // Commands is the body of a direct command.
 type Commands struct {
-	Token    uint64    `cbor:"baton"`
-	Session  uint64    `cbor:"stint"`
-	Commands []Command `cbor:"orders"`
+	Token    uint64    `cbor:"baton"`  // fencing token of the leader
+	Session  uint64    `cbor:"stint"`  // agent epoch that the commands are for
+	Commands []Command `cbor:"orders"` // executed in order
 }
 
 // MachineType is what the cloud says of a type.
 type MachineType struct {
-	Name      string   `cbor:"sku"`
-	CPUs      float64  `cbor:"cores"`
-	GPUs      float64  `cbor:"gpus"`
-	MemoryGB  float64  `cbor:"ram_gb"`
-	CacheGB   float64  `cbor:"local_gb"`
-	FetchGBps float64  `cbor:"fetch_gb_per_s"`
-	Price     float64  `cbor:"rate"`
-	SpotPrice float64  `cbor:"low_price"`
-	BootS     float64  `cbor:"boot_s"`
-	Zones     []string `cbor:"yards"`
+	Name      string   `cbor:"sku"`            // type name
+	CPUs      float64  `cbor:"cores"`          // cores
+	GPUs      float64  `cbor:"gpus"`           // GPUs
+	MemoryGB  float64  `cbor:"ram_gb"`         // memory, in GB
+	CacheGB   float64  `cbor:"local_gb"`       // local disk for images, in GB
+	FetchGBps float64  `cbor:"fetch_gb_per_s"` // rate of an image fetch, in GB per second
+	Price     float64  `cbor:"rate"`           // price per hour of an ordinary instance
+	SpotPrice float64  `cbor:"low_price"`      // current price per hour of a spot instance
+	BootS     float64  `cbor:"boot_s"`         // nominal boot time, in seconds
+	Zones     []string `cbor:"yards"`          // zones that have the type
 }
 
 // MachineTypes answers the question for the types.
 type MachineTypes struct {
-	Types []MachineType `cbor:"builds"`
+	Types []MachineType `cbor:"builds"` // every type that the cloud offers
 }
 
 // Rent asks for machines.
 type Rent struct {
-	Request string `cbor:"hire"`
-	Type    string `cbor:"build"`
-	Zone    string `cbor:"yard"`
-	Spot    bool   `cbor:"lendable"`
-	Count   int    `cbor:"how_many"`
+	Request string `cbor:"hire"`     // idempotency key: a repeat with the same rents nothing more; never reused
+	Type    string `cbor:"build"`    // machine type
+	Zone    string `cbor:"yard"`     // zone
+	Spot    bool   `cbor:"lendable"` // spot instances
+	Count   int    `cbor:"how_many"` // machines asked for, at most 50
 }
 
 // Names lists machines by name.
 type Names struct {
-	Machines []string `cbor:"hosts"`
+	Machines []string `cbor:"hosts"` // machine ids
 }
 
 // Machine is a machine as the cloud lists it.
 type Machine struct {
-	ID    string  `cbor:"uid"`
-	Addr  string  `cbor:"addr"`
-	Type  string  `cbor:"build"`
-	Zone  string  `cbor:"yard"`
-	Spot  bool    `cbor:"lendable"`
-	State string  `cbor:"standing"`
-	AgeS  float64 `cbor:"age_s"`
+	ID    string  `cbor:"uid"`      // machine id
+	Addr  string  `cbor:"addr"`     // address of its worker, host:port
+	Type  string  `cbor:"build"`    // machine type
+	Zone  string  `cbor:"yard"`     // zone
+	Spot  bool    `cbor:"lendable"` // a spot instance
+	State string  `cbor:"standing"` // MachineBooting, MachineRunning or MachineFailed
+	AgeS  float64 `cbor:"age_s"`    // seconds since it was asked for, at the time that the list describes
 }
 
 // MachinePage is a page of the cloud's list.
 type MachinePage struct {
-	Machines []Machine `cbor:"hosts"`
-	More     bool      `cbor:"more"`
+	Machines []Machine `cbor:"hosts"` // in the order of their ids
+	More     bool      `cbor:"more"`  // another page follows
 }
 
 // Item is a key of the state service with its value.
 type Item struct {
-	Key     string          `cbor:"k"`
-	Value   cbor.RawMessage `cbor:"data"`
-	Version uint64          `cbor:"stamp"`
-	Lease   uint64          `cbor:"tenure,omitempty"`
+	Key     string          `cbor:"k"`                // key
+	Value   cbor.RawMessage `cbor:"data"`             // value, as stored
+	Version uint64          `cbor:"stamp"`            // revision of the key's last change
+	Lease   uint64          `cbor:"tenure,omitempty"` // lease that the key is attached to; 0: none
 }
 
 // Page answers a range read.
 type Page struct {
-	Items    []Item `cbor:"pairs"`
-	More     bool   `cbor:"more"`
-	Revision uint64 `cbor:"ledger"`
+	Items    []Item `cbor:"pairs"`  // in key order
+	More     bool   `cbor:"more"`   // another page follows
+	Revision uint64 `cbor:"ledger"` // revision of the store when it was read
 }
 
 // Cond requires a version of a key; 0: the key does not exist.
 type Cond struct {
-	Key     string `cbor:"k"`
-	Version uint64 `cbor:"stamp"`
+	Key     string `cbor:"k"`     // key
+	Version uint64 `cbor:"stamp"` // revision of its last change that is required; 0: the key must not exist
 }
 
 // Change sets or drops a key.
 type Change struct {
-	Put    string          `cbor:"set,omitempty"`
-	Value  cbor.RawMessage `cbor:"data,omitempty"`
-	Lease  uint64          `cbor:"tenure,omitempty"`
-	Delete string          `cbor:"drop,omitempty"`
+	Put    string          `cbor:"set,omitempty"`    // key to set; empty where Delete is set
+	Value  cbor.RawMessage `cbor:"data,omitempty"`   // value to set
+	Lease  uint64          `cbor:"tenure,omitempty"` // lease to attach the key to; 0: none, which detaches it
+	Delete string          `cbor:"drop,omitempty"`   // key to delete
 }
 
 // Txn is an atomic transaction.
 type Txn struct {
-	If   []Cond   `cbor:"when"`
-	Then []Change `cbor:"apply,omitempty"`
+	If   []Cond   `cbor:"when"`            // conditions of the compare-and-swap, all of which must hold
+	Then []Change `cbor:"apply,omitempty"` // changes applied if they hold; empty: it only compares
 }
 
 // TxnAnswer answers a transaction.
 type TxnAnswer struct {
-	Revision uint64   `cbor:"ledger"`
-	Failed   []string `cbor:"failed,omitempty"`
-	Error    string   `cbor:"error,omitempty"`
+	Revision uint64   `cbor:"ledger"`           // revision after the transaction, or of the store where it failed
+	Failed   []string `cbor:"failed,omitempty"` // keys whose conditions failed
+	Error    string   `cbor:"error,omitempty"`  // why it was refused, as "no such lease"
 }
 
 // LeaseAsk asks for a lease.
 type LeaseAsk struct {
-	TTLms int64 `cbor:"life_ms"`
+	TTLms int64 `cbor:"life_ms"` // time to live of the lease, in milliseconds, 100 to 600,000
 }
 
 // LeaseAnswer names a lease.
 type LeaseAnswer struct {
-	Lease uint64 `cbor:"tenure"`
+	Lease uint64 `cbor:"tenure"` // lease id
 }
 
 // Event is one change that a watch tells of.
 type Event struct {
-	Put     string          `cbor:"set,omitempty"`
-	Delete  string          `cbor:"drop,omitempty"`
-	Value   cbor.RawMessage `cbor:"data,omitempty"`
-	Version uint64          `cbor:"stamp"`
+	Put     string          `cbor:"set,omitempty"`  // key that was set
+	Delete  string          `cbor:"drop,omitempty"` // key that was deleted
+	Value   cbor.RawMessage `cbor:"data,omitempty"` // value that was set
+	Version uint64          `cbor:"stamp"`          // revision of the change
 }
 
 // Watch answers a watch.
 type Watch struct {
-	Revision uint64  `cbor:"ledger"`
-	Events   []Event `cbor:"news"`
+	Revision uint64  `cbor:"ledger"` // revision up to which changes are told
+	Events   []Event `cbor:"news"`   // changes in the order of their revisions
 }
 
 var (
@@ -290,7 +290,8 @@
 // Marshal encodes a message. The types of this module always encode.
 func Marshal(v any) []byte { return must(encMode.Marshal(v)) }
 
-// Unmarshal decodes a message; fields that it does not know are ignored.
+// Unmarshal decodes a message; fields that it does not know are ignored. Its error names the Go
+// type and wraps that of the decoder.
 func Unmarshal(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("decode %T: %w", v, err)
