--- a/controller/aims.go
+++ b/controller/aims.go
@@ -20,7 +20,7 @@
 // slowestFetch is how many seconds a job's image takes where it takes longest.
 func (l *leader) slowestFetch(j *wire.Job) float64 {
 	longest := 0.0
-	for _, t := range l.typesFor(j) {
+	for _, t := range l.c.typesFor(j) {
 		if t.FetchGBps > 0 {
 			longest = math.Max(longest, j.ImageGB/t.FetchGBps)
 		}
@@ -52,9 +52,9 @@
 // otherClasses lists what a task of each other class of late takes.
 func (l *leader) otherClasses(class string) []scheduler.Resources {
 	var rs []scheduler.Resources
-	for _, name := range slices.Sorted(maps.Keys(l.fleet.peaks)) {
+	for _, name := range slices.Sorted(maps.Keys(l.autoscaler.peaks)) {
 		if name != class {
-			rs = append(rs, jobEach(&l.fleet.peaks[name].spec))
+			rs = append(rs, jobEach(&l.autoscaler.peaks[name].spec))
 		}
 	}
 	return rs
--- a/controller/chains.go
+++ b/controller/chains.go
@@ -145,7 +145,7 @@
 			j.ready = at
 		}
 	}
-	l.arrived(j)
+	l.autoscaler.arrived(j)
 	l.wantPlacement()
 }
 
@@ -165,7 +165,7 @@
 }
 
 func (l *leader) needsEndSoon(j *job) bool {
-	boot := l.soonestBoot(&j.spec)
+	boot := l.c.soonestBoot(&j.spec)
 	for _, p := range j.spec.Needs {
 		needed := l.jobs[p]
 		switch {
--- a/controller/commands_test.go
+++ b/controller/commands_test.go
@@ -63,7 +63,7 @@
 	c, l, _ := leading(t)
 	c.now = l.authority.Add(time.Millisecond)
 	c.out = nil
-	l.listed(wire.Machine{ID: "i-1", Addr: "10.0.0.1:9000", State: wire.MachineRunning})
+	l.autoscaler.listed(wire.Machine{ID: "i-1", Addr: "10.0.0.1:9000", State: wire.MachineRunning})
 	for _, o := range c.out {
 		if _, call := o.(WorkerCall); call {
 			t.Fatalf("asked: %v", o)
--- a/controller/consolidation.go
+++ b/controller/consolidation.go
@@ -21,81 +21,81 @@
 // consolidate empties the machine whose money is spent on fewest replicas, when all of
 // them have room on machines that are in use anyway and have their images, and
 // nothing else has use for the machine. A move costs its user a fraction of a second.
-func (l *leader) consolidate() {
-	troubled := l.zones.recovering() || l.partitions.any() || l.spreading.moving()
-	if l.spreading.keepsIdle() || l.c.now.Sub(l.consolidatedAt) < consolidateEvery || troubled || !l.c.now.Before(l.authority) {
+func (s *autoscaler) consolidate() {
+	troubled := s.zones.recovering() || s.partitions.any() || s.spreading.moving()
+	if s.spreading.keepsIdle() || s.c.now.Sub(s.consolidatedAt) < consolidateEvery || troubled || !s.c.now.Before(s.authority) {
 		return
 	}
-	l.consolidatedAt = l.c.now
-	waiting := l.backlog()
+	s.consolidatedAt = s.c.now
+	waiting := s.backlog()
 	if slices.ContainsFunc(waiting, func(d *scheduler.Demand) bool { return len(d.Tasks) > 0 }) {
 		return
 	}
 	var best *machine
-	worth := func(m *machine) float64 { return l.price(m) / float64(len(m.list)) }
-	for _, m := range l.fleetOrder {
-		if l.movable(m) && (best == nil || worth(m) > worth(best)) {
+	worth := func(m *machine) float64 { return s.price(m) / float64(len(m.list)) }
+	for _, m := range s.fleetOrder {
+		if s.movable(m) && (best == nil || worth(m) > worth(best)) {
 			best = m
 		}
 	}
 	if best == nil {
 		return
 	}
-	if !l.fitsElsewhere(best) {
-		best.immovableAt = l.c.now
+	if !s.fitsElsewhere(best) {
+		best.immovableAt = s.c.now
 		return
 	}
-	l.c.log(slog.LevelInfo, "emptying machine", "machine", best.id, "tasks", len(best.list))
+	s.c.log(slog.LevelInfo, "emptying machine", "machine", best.id, "tasks", len(best.list))
 	best.consolidating = true
 	for _, a := range best.list {
-		l.stop(a, graceOf(&a.job.spec))
+		s.stop(a, graceOf(&a.job.spec))
 	}
-	l.wantPlacement()
+	s.wantPlacement()
 }
 
 // movable reports whether all that a machine runs is replicas that have settled, on
 // no more than half of it, and that a cheaper type would have done for. Where there is
 // none, what is free beside them is room for the next, and moving them only costs it,
 // unless a machine boots in time for the next.
-func (l *leader) movable(m *machine) bool {
-	if !l.usable(m) || len(m.list) == 0 || len(m.unknownAttempts) > 0 || l.c.now.Sub(m.immovableAt) < settledFor {
+func (s *autoscaler) movable(m *machine) bool {
+	if !s.usable(m) || len(m.list) == 0 || len(m.unknownAttempts) > 0 || s.c.now.Sub(m.immovableAt) < settledFor {
 		return false
 	}
 	used := 0.0
 	for _, a := range m.list {
-		if a.job.spec.Kind != wire.KindService || a.phase < attemptRunning || a.stopping || l.c.now.Sub(a.since) < settledFor ||
-			!l.fitsCheaper(&a.job.spec, m) && l.headroomShare(&a.job.spec) > 0 {
+		if a.job.spec.Kind != wire.KindService || a.phase < attemptRunning || a.stopping || s.c.now.Sub(a.since) < settledFor ||
+			!s.fitsCheaper(&a.job.spec, m) && s.headroomShare(&a.job.spec) > 0 {
 			return false
 		}
-		used += l.c.measure.Of(jobEach(&a.job.spec))
+		used += s.c.measure.Of(jobEach(&a.job.spec))
 	}
-	return 2*used <= l.c.measure.Of(capOf(l.c.types[m.typ]))
+	return 2*used <= s.c.measure.Of(capOf(s.c.types[m.typ]))
 }
 
 // fitsCheaper reports whether a task could run on a type that costs less than a machine.
-func (l *leader) fitsCheaper(j *wire.Job, m *machine) bool {
-	return slices.ContainsFunc(l.typesFor(j), func(t wire.MachineType) bool {
-		return t.Price < l.c.types[m.typ].Price && capOf(t).Fits(jobEach(j)) > 0
+func (s *autoscaler) fitsCheaper(j *wire.Job, m *machine) bool {
+	return slices.ContainsFunc(s.c.typesFor(j), func(t wire.MachineType) bool {
+		return t.Price < s.c.types[m.typ].Price && capOf(t).Fits(jobEach(j)) > 0
 	})
 }
 
 // fitsElsewhere reports whether the others have room for what a machine runs, where its
 // images are, and for all that room is kept for.
-func (l *leader) fitsElsewhere(m *machine) bool {
-	machines := slices.DeleteFunc(l.view(true), func(o *scheduler.Machine) bool { return o.ID == m.id })
+func (s *autoscaler) fitsElsewhere(m *machine) bool {
+	machines := slices.DeleteFunc(s.view(true), func(o *scheduler.Machine) bool { return o.ID == m.id })
 	moved := map[*job][]*attempt{}
 	for _, a := range m.list {
 		moved[a.job] = append(moved[a.job], a)
 	}
 	inUse := slices.DeleteFunc(slices.Clone(machines), func(o *scheduler.Machine) bool {
-		return o.Virtual || len(l.machines[o.ID].list) == 0
+		return o.Virtual || len(s.machines[o.ID].list) == 0
 	})
-	for _, j := range l.order {
+	for _, j := range s.order {
 		as := moved[j]
 		if len(as) == 0 {
 			continue
 		}
-		d := l.c.demandOf(&j.spec)
+		d := s.c.demandOf(&j.spec)
 		for _, a := range j.attempts {
 			d.InZone[a.machine.zone]++
 		}
@@ -108,7 +108,7 @@
 			return false
 		}
 	}
-	for _, d := range l.headroom() {
+	for _, d := range s.headroom() {
 		if len(scheduler.Place(machines, d)) < len(d.Tasks) {
 			return false
 		}
--- a/controller/consolidation_test.go
+++ b/controller/consolidation_test.go
@@ -52,7 +52,7 @@
 		if c.batch {
 			run("req-99", wire.KindArray, l.machines["i-1"])
 		}
-		l.consolidate()
+		l.autoscaler.consolidate()
 		stopping := 0
 		for _, m := range l.machines {
 			for _, a := range m.list {
--- a/controller/demand_hints.go
+++ b/controller/demand_hints.go
@@ -61,20 +61,20 @@
 // noteDemandHint notes, as leader, that a submission was rejected.
 func (c *Core) noteDemandHint(j *wire.Job) {
 	if c.lead != nil {
-		c.lead.demandHints[j.ID] = demandHint{j, c.now}
+		c.lead.autoscaler.demandHints[j.ID] = demandHint{j, c.now}
 	}
 }
 
 // hintedDemands lists what rejected submissions will want.
-func (l *leader) hintedDemands() []*scheduler.Demand {
+func (s *autoscaler) hintedDemands() []*scheduler.Demand {
 	var ds []*scheduler.Demand
-	for _, id := range slices.Sorted(maps.Keys(l.demandHints)) {
-		hint := l.demandHints[id]
-		if l.jobs[id] != nil || l.c.now.Sub(hint.at) > demandHintLifetime {
-			delete(l.demandHints, id)
+	for _, id := range slices.Sorted(maps.Keys(s.demandHints)) {
+		hint := s.demandHints[id]
+		if s.jobs[id] != nil || s.c.now.Sub(hint.at) > demandHintLifetime {
+			delete(s.demandHints, id)
 			continue
 		}
-		d := l.c.demandOf(hint.spec)
+		d := s.c.demandOf(hint.spec)
 		d.WithinGuarantee, d.Tasks = true, make([]int, d.Total)
 		ds = append(ds, d)
 	}
@@ -83,8 +83,8 @@
 
 // reserveForHinted takes the room that rejected services will want off the view of
 // the machines: lower work that is placed there would be stopped for them at once.
-func (l *leader) reserveForHinted(machines []*scheduler.Machine) {
-	for _, d := range l.hintedDemands() {
+func (s *autoscaler) reserveForHinted(machines []*scheduler.Machine) {
+	for _, d := range s.hintedDemands() {
 		if d.Service {
 			d.RoomInTeam = len(d.Tasks)
 			scheduler.Place(machines, d)
--- a/controller/election.go
+++ b/controller/election.go
@@ -84,10 +84,10 @@
 		c: c, term: newTerm(c.now, lease, token, version),
 		jobs: map[string]*job{}, machines: map[string]*machine{}, released: map[string]time.Time{},
 		budget:   newWriteBudget(writeBurst(c.cfg.Facts.State)),
-		probedAt: map[string]time.Time{}, progressTold: map[string]jobCount{}, demandHints: map[string]demandHint{}, partitions: partitions{lastSeen: map[string]time.Time{}},
+		probedAt: map[string]time.Time{}, progressTold: map[string]jobCount{}, partitions: partitions{lastSeen: map[string]time.Time{}},
 	}
 	l.budget.setRate(c.now, c.writeRate())
-	l.fleet.init()
+	l.autoscaler = newAutoscaler(l)
 	l.zones = newZoneRecovery(l)
 	l.cells = newCellSide(l)
 	l.spreading = newSpreading(l)
--- a/controller/failure_detector_test.go
+++ b/controller/failure_detector_test.go
@@ -62,7 +62,7 @@
 	step := func(d time.Duration) {
 		c.now = c.now.Add(d)
 		l.authority = c.now.Add(time.Second)
-		l.fleet.lookedAt = time.Time{}
+		l.autoscaler.lookedAt = time.Time{}
 		l.run()
 	}
 	releasing := func() int {
@@ -113,7 +113,7 @@
 	step := func() {
 		c.now = c.now.Add(250 * time.Millisecond)
 		l.authority = c.now.Add(time.Second)
-		l.fleet.lookedAt = time.Time{}
+		l.autoscaler.lookedAt = time.Time{}
 		seq++
 		for id, m := range l.machines {
 			if m.up {
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -24,84 +24,92 @@
 	rentMost     = 8                // requests for machines made in one round
 )
 
-// fleet is the leader's ledger of what it has asked of the cloud.
-type fleet struct {
-	calls     *rate.Limiter
-	ranAt     time.Time
-	lookedAt  time.Time
-	listedAt  time.Time
-	listing   bool
-	typesAt   time.Time
-	asking    bool
-	rentals   map[string]*rental
-	seq       int
-	refused   map[offerKey]time.Time
-	peaks     map[string]*peak
-	releasing bool
+// autoscaler is the leader's part that scales the fleet out and in: it keeps the ledger of what
+// it has asked of the cloud, requests instances for what waits and for headroom, and returns what
+// is idle.
+type autoscaler struct {
+	*leader
+	calls          *rate.Limiter // calls of the cloud, within its rate
+	ranAt          time.Time
+	lookedAt       time.Time
+	listedAt       time.Time
+	listing        bool
+	typesAt        time.Time
+	asking         bool
+	rentals        map[string]*rental
+	seq            int
+	refused        map[offerKey]time.Time
+	peaks          map[string]*peak
+	releasing      bool
+	consolidatedAt time.Time // see consolidate
+	demandHints    map[string]demandHint
+	arrivals       []arrival
 }
 
-func (f *fleet) init() {
-	f.rentals = map[string]*rental{}
-	f.refused = map[offerKey]time.Time{}
-	f.peaks = map[string]*peak{}
+func newAutoscaler(l *leader) *autoscaler {
+	return &autoscaler{
+		leader:      l,
+		rentals:     map[string]*rental{},
+		refused:     map[offerKey]time.Time{},
+		peaks:       map[string]*peak{},
+		demandHints: map[string]demandHint{},
+	}
 }
 
 // restore takes up the rentals that earlier leaders have begun. Those without an
 // answer on record are asked again: by their names they rent nothing twice.
-func (f *fleet) restore(l *leader, items []wire.Item) {
-	f.calls = rate.NewLimiter(rate.Limit(l.c.cfg.Facts.Cloud.RPS*0.9), max(1, int(l.c.cfg.Facts.Cloud.RPS)))
+func (s *autoscaler) restore(items []wire.Item) {
+	s.calls = rate.NewLimiter(rate.Limit(s.c.cfg.Facts.Cloud.RPS*0.9), max(1, int(s.c.cfg.Facts.Cloud.RPS)))
 	for _, it := range items {
 		if rec := decode[rentalRecord](it.Value); rec != nil {
 			h := &rental{rent: rec.Rent, version: it.Version, asked: true, answered: rec.Answered, machines: rec.Machines}
-			f.rentals[rec.Rent.Request] = h
-			l.addRented(h)
+			s.rentals[rec.Rent.Request] = h
+			s.addRented(h)
 		}
 	}
 }
 
 // runFleet looks after silent machines at every tick and after the rest once a
 // second.
-func (l *leader) runFleet() {
-	f := &l.fleet
-	if l.c.now.Sub(f.lookedAt) >= tickEvery {
-		f.lookedAt = l.c.now
-		l.returnMachines()
+func (s *autoscaler) run() {
+	if s.c.now.Sub(s.lookedAt) >= tickEvery {
+		s.lookedAt = s.c.now
+		s.returnMachines()
 	}
-	if l.c.now.Sub(f.ranAt) < fleetEvery {
+	if s.c.now.Sub(s.ranAt) < fleetEvery {
 		return
 	}
-	f.ranAt = l.c.now
-	for id, at := range l.released {
-		if l.c.now.Sub(at) > releasedFor {
-			delete(l.released, id)
+	s.ranAt = s.c.now
+	for id, at := range s.released {
+		if s.c.now.Sub(at) > releasedFor {
+			delete(s.released, id)
 		}
 	}
-	l.wantPlacement()
-	l.refreshTypes()
-	l.sendRentals()
-	l.refreshList()
-	l.returnSpare()
-	l.consolidate()
-	if len(l.c.types) > 0 && l.c.now.Before(l.authority) {
-		l.rentMore()
+	s.wantPlacement()
+	s.refreshTypes()
+	s.sendRentals()
+	s.refreshList()
+	s.returnSpare()
+	s.consolidate()
+	if len(s.c.types) > 0 && s.c.now.Before(s.authority) {
+		s.rentMore()
 	}
 }
 
 // rentMore rents for what has no room, and for the headroom that the aims ask for.
-func (l *leader) rentMore() {
-	f := &l.fleet
-	for _, h := range f.rentals {
+func (s *autoscaler) rentMore() {
+	for _, h := range s.rentals {
 		if !h.answered {
 			return // not answered yet: its machines are not counted
 		}
 	}
-	machines := l.view(true)
-	demands := append(l.backlog(), l.headroom()...)
-	l.zones.closeZones(demands)
-	wants := scheduler.Fleet(machines, demands, l.offers(), rentMost)
+	machines := s.view(true)
+	demands := append(s.backlog(), s.headroom()...)
+	s.zones.closeZones(demands)
+	wants := scheduler.Fleet(machines, demands, s.offers(), rentMost)
 	for _, w := range wants {
-		for left := l.zones.rentable(w.Offer.Zone, w.Count); left > 0; left -= rentCall {
-			l.rent(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, rentCall)})
+		for left := s.zones.rentable(w.Offer.Zone, w.Count); left > 0; left -= rentCall {
+			s.rent(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, rentCall)})
 		}
 	}
 }
@@ -109,51 +117,51 @@
 // backlog lists the demands that wait for room which has to be rented: batch work
 // does not wait for a machine to boot where running tasks end sooner than that, and
 // leave room for what comes meanwhile.
-func (l *leader) backlog() []*scheduler.Demand {
-	used := l.teamUse()
-	ds := append(append(l.spreading.withoutHeld(l.demands()), l.hintedDemands()...), l.soonReady()...)
+func (s *autoscaler) backlog() []*scheduler.Demand {
+	used := s.teamUse()
+	ds := append(append(s.spreading.withoutHeld(s.demands()), s.hintedDemands()...), s.soonReady()...)
 	scheduler.Order(ds)
-	ending := l.expectedRelease() - l.expectedArrivals()
+	ending := s.expectedRelease() - s.expectedArrivals()
 	for _, d := range ds {
 		if size := d.Measure.Of(d.Each); d.Rank > 0 && !d.Service && size > 0 && ending > 0 {
 			n := min(int(ending/size), len(d.Tasks))
 			ending -= float64(n) * size
 			d.Tasks = d.Tasks[n:]
 		}
-		d.RoomInTeam = l.roomInTeam(d, used)
+		d.RoomInTeam = s.roomInTeam(d, used)
 		d.Gang = false // rent only what is missing
 		used[d.Team] = used[d.Team].Add(d.Each, float64(min(len(d.Tasks), d.RoomInTeam)))
 	}
-	return append(ds, l.replacements()...)
+	return append(ds, s.replacements()...)
 }
 
 // expectedArrivals estimates the size of the batch work that comes before a machine rented
 // now would be up: it needs the room that comes free as much as what waits already.
-func (l *leader) expectedArrivals() float64 {
+func (s *autoscaler) expectedArrivals() float64 {
 	size := 0.0
-	for _, a := range l.arrivals {
-		if p := l.fleet.peaks[a.class]; p != nil && p.spec.Kind != wire.KindService && l.c.now.Sub(a.at) < surgeWindow {
-			size += float64(a.tasks) * l.c.measure.Of(jobEach(&p.spec))
+	for _, a := range s.arrivals {
+		if p := s.peaks[a.class]; p != nil && p.spec.Kind != wire.KindService && s.c.now.Sub(a.at) < surgeWindow {
+			size += float64(a.tasks) * s.c.measure.Of(jobEach(&p.spec))
 		}
 	}
-	return size * l.shortestBoot() / surgeWindow.Seconds()
+	return size * s.shortestBoot() / surgeWindow.Seconds()
 }
 
 // shortestBoot is how many seconds any machine takes to boot at least.
-func (l *leader) shortestBoot() float64 { return l.soonestBoot(&wire.Job{}) }
+func (s *autoscaler) shortestBoot() float64 { return s.c.soonestBoot(&wire.Job{}) }
 
 // expectedRelease estimates the size of what running batch tasks give back before a
 // machine rented now would be up.
-func (l *leader) expectedRelease() float64 {
-	boot := l.shortestBoot()
+func (s *autoscaler) expectedRelease() float64 {
+	boot := s.shortestBoot()
 	room := 0.0
-	for _, j := range l.order {
+	for _, j := range s.order {
 		if j.spec.Kind == wire.KindService {
 			continue
 		}
 		for _, a := range j.attempts {
-			if a.phase == attemptRunning && j.spec.EstimateS-l.c.now.Sub(a.since).Seconds() < boot {
-				room += l.c.measure.Of(jobEach(&j.spec))
+			if a.phase == attemptRunning && j.spec.EstimateS-s.c.now.Sub(a.since).Seconds() < boot {
+				room += s.c.measure.Of(jobEach(&j.spec))
 			}
 		}
 	}
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -13,32 +13,29 @@
 	c         *Core
 	recovered bool // the records of earlier leaders are read
 
-	jobs           map[string]*job
-	order          []*job // by acceptance
-	machines       map[string]*machine
-	fleetOrder     []*machine // the same by name
-	toSend         []*machine // that commands may wait for
-	proofsAt       time.Time
-	consolidatedAt time.Time // see consolidate
-	listening      listeningPeriod
-	scratch        []scheduler.Machine // reused by every view
-	guaranteesAt   time.Time           // see assignGuarantees
-	released       map[string]time.Time
-	obsoleteKeys   []string // task records whose job is over
-	budget         writeBudget
-	placeAt        time.Time            // when the next round of placement is due; zero: none
-	probedAt       map[string]time.Time // machines asked for a report, and when
-	partitions     partitions
+	jobs         map[string]*job
+	order        []*job // by acceptance
+	machines     map[string]*machine
+	fleetOrder   []*machine // the same by name
+	toSend       []*machine // that commands may wait for
+	proofsAt     time.Time
+	listening    listeningPeriod
+	scratch      []scheduler.Machine // reused by every view
+	guaranteesAt time.Time           // see assignGuarantees
+	released     map[string]time.Time
+	obsoleteKeys []string // task records whose job is over
+	budget       writeBudget
+	placeAt      time.Time            // when the next round of placement is due; zero: none
+	probedAt     map[string]time.Time // machines asked for a report, and when
+	partitions   partitions
 
-	arrivals     []arrival
-	demandHints  map[string]demandHint
-	fleet        fleet
 	progressAt   time.Time
 	hintedAt     time.Time
 	progressTold map[string]jobCount
 	zones        *zoneRecovery // nil: switched off
 	cells        *cellSide     // nil: this cell is alone
-	spreading    *spreading    // nil: load is not spread
+	autoscaler   *autoscaler
+	spreading    *spreading // nil: load is not spread
 }
 
 // run is the leader's part of every step.
@@ -55,6 +52,6 @@
 	l.flush()
 	l.zones.keepRecords()
 	l.sendCommands()
-	l.runFleet()
+	l.autoscaler.run()
 	l.broadcastProgress()
 }
--- a/controller/machine_returns.go
+++ b/controller/machine_returns.go
@@ -15,27 +15,26 @@
 // Machines that go back to the cloud.
 
 // returnSpare gives back machines that are not needed, the dearest first.
-func (l *leader) returnSpare() {
-	if l.spreading.keepsIdle() {
+func (s *autoscaler) returnSpare() {
+	if s.spreading.keepsIdle() {
 		return
 	}
-	spare := l.spare()
-	slices.SortStableFunc(spare, func(a, b *machine) int { return cmp.Compare(l.price(b), l.price(a)) })
-	for _, m := range spare[:min(len(spare), max(returnMost, len(l.machines)/returnShare))] {
-		l.release(m, releaseIdle)
+	spare := s.spare()
+	slices.SortStableFunc(spare, func(a, b *machine) int { return cmp.Compare(s.price(b), s.price(a)) })
+	for _, m := range spare[:min(len(spare), max(returnMost, len(s.machines)/returnShare))] {
+		s.release(m, releaseIdle)
 	}
 }
 
 // returnMachines gives back what never came up, what has gone silent and what
 // was found not to be needed.
-func (l *leader) returnMachines() {
-	f := &l.fleet
-	if f.releasing {
+func (s *autoscaler) returnMachines() {
+	if s.releasing {
 		return
 	}
-	l.releaseFailed()
+	s.releaseFailed()
 	var names []string
-	for _, m := range l.fleetOrder {
+	for _, m := range s.fleetOrder {
 		if m.releasing && len(names) < 100 {
 			names = append(names, m.id)
 		}
@@ -43,13 +42,13 @@
 	if len(names) == 0 {
 		return
 	}
-	f.releasing = l.call(CloudCall{Op: CloudRelease, Names: names}, func(r CloudReply) {
-		f.releasing = false
+	s.releasing = s.call(CloudCall{Op: CloudRelease, Names: names}, func(r CloudReply) {
+		s.releasing = false
 		if r.Status != http.StatusOK {
 			return
 		}
 		for _, id := range names {
-			l.forgetMachine(id)
+			s.forgetMachine(id)
 		}
 	})
 }
@@ -81,35 +80,35 @@
 }
 
 // forgetMachine removes a machine; everything on it is gone.
-func (l *leader) forgetMachine(id string) {
-	m := l.machines[id]
+func (s *autoscaler) forgetMachine(id string) {
+	m := s.machines[id]
 	if m == nil {
 		return
 	}
-	l.released[id] = l.c.now
+	s.released[id] = s.c.now
 	for _, a := range m.list {
-		l.gone(a, reduction.Reset, proofMachineReleased)
+		s.gone(a, reduction.Reset, proofMachineReleased)
 	}
-	delete(l.machines, id)
-	l.fleetOrder = slices.DeleteFunc(l.fleetOrder, func(o *machine) bool { return o == m })
+	delete(s.machines, id)
+	s.fleetOrder = slices.DeleteFunc(s.fleetOrder, func(o *machine) bool { return o == m })
 }
 
 // spare lists idle machines that neither what waits nor the headroom has use for:
 // those that stay empty when all of it is placed, the fullest machines first.
-func (l *leader) spare() []*machine {
+func (s *autoscaler) spare() []*machine {
 	var idle []*machine
-	for _, m := range l.fleetOrder {
+	for _, m := range s.fleetOrder {
 		// A machine is charged for a minute at least: before that nothing is saved.
-		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || l.c.now.Sub(m.rented) >= leastCharge &&
-			l.c.now.Sub(m.idle) >= config.Seconds(l.c.op.IdleS)) && !l.unresponsive(m) {
+		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || s.c.now.Sub(m.rented) >= leastCharge &&
+			s.c.now.Sub(m.idle) >= config.Seconds(s.c.op.IdleS)) && !s.unresponsive(m) {
 			idle = append(idle, m)
 		}
 	}
-	if len(l.c.types) == 0 || len(idle) == 0 {
+	if len(s.c.types) == 0 || len(idle) == 0 {
 		return nil
 	}
-	machines := l.view(true)
-	demands := append(l.backlog(), l.headroom()...)
+	machines := s.view(true)
+	demands := append(s.backlog(), s.headroom()...)
 	scheduler.Order(demands)
 	needed := map[string]bool{}
 	for _, d := range demands {
@@ -121,7 +120,7 @@
 	return slices.DeleteFunc(idle, func(m *machine) bool { return needed[m.id] })
 }
 
-func (l *leader) price(m *machine) float64 { return priceOf(l.c.types[m.typ], m.spot) }
+func (s *autoscaler) price(m *machine) float64 { return priceOf(s.c.types[m.typ], m.spot) }
 
 func priceOf(t wire.MachineType, spot bool) float64 {
 	if spot {
--- a/controller/placement.go
+++ b/controller/placement.go
@@ -50,7 +50,7 @@
 	kept := false
 	for _, d := range demands {
 		if d.Rank > 0 && !d.Service && !kept {
-			l.reserveForHinted(machines)
+			l.autoscaler.reserveForHinted(machines)
 			kept = true
 		}
 		l.spreading.placeHeld(machines, d, used)
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -129,7 +129,7 @@
 		}
 		l.settle(j)
 	}
-	l.fleet.restore(l, hires)
+	l.autoscaler.restore(hires)
 	l.recovered = true
 	l.fetchEnds()
 	c.log(slog.LevelInfo, "recovered", "token", l.token, "jobs", len(l.jobs), "machines", len(l.machines),
--- a/controller/rentals_test.go
+++ b/controller/rentals_test.go
@@ -19,7 +19,7 @@
 	item := func(r rentalRecord) wire.Item {
 		return wire.Item{Key: rentalPrefix + r.Rent.Request, Value: wire.Marshal(r), Version: 5}
 	}
-	l.fleet.restore(l, []wire.Item{
+	l.autoscaler.restore([]wire.Item{
 		item(rentalRecord{Rent: rent("r-1-1"), Answered: true, Machines: []string{"i-1", "i-2"}}),
 		item(rentalRecord{Rent: rent("r-1-2")}),
 	})
@@ -35,19 +35,19 @@
 		return names
 	}
 	c.out = nil
-	l.sendRentals()
+	l.autoscaler.sendRentals()
 	if got := asked(); len(got) != 1 || got[0] != "r-1-2" {
 		t.Fatalf("asked for %v, want r-1-2 alone", got)
 	}
 	for _, name := range []string{"r-2-1", "r-2-2"} {
-		l.fleet.rentals[name] = &rental{rent: rent(name), version: 6, since: c.now}
+		l.autoscaler.rentals[name] = &rental{rent: rent(name), version: 6, since: c.now}
 	}
 	c.now = c.now.Add(time.Second)
-	l.rentalAnswered(l.fleet.rentals["r-1-2"], CloudReply{Status: http.StatusServiceUnavailable})
+	l.autoscaler.rentalAnswered(l.autoscaler.rentals["r-1-2"], CloudReply{Status: http.StatusServiceUnavailable})
 	c.out = nil
-	l.sendRentals()
-	if got := asked(); len(got) > 0 || l.fleet.rentals["r-2-1"] != nil || l.fleet.rentals["r-1-1"] == nil {
-		t.Errorf("asked for %v after a refusal of the same kind, left %v", got, l.fleet.rentals)
+	l.autoscaler.sendRentals()
+	if got := asked(); len(got) > 0 || l.autoscaler.rentals["r-2-1"] != nil || l.autoscaler.rentals["r-1-1"] == nil {
+		t.Errorf("asked for %v after a refusal of the same kind, left %v", got, l.autoscaler.rentals)
 	}
 }
 
@@ -61,7 +61,7 @@
 	job := wire.Job{ID: "req-000007", Team: "red", Kind: wire.KindService, Priority: "prod", Tasks: 3, CPUs: 2}
 	atDoor := func() int {
 		n := 0
-		for _, d := range l.backlog() {
+		for _, d := range l.autoscaler.backlog() {
 			if d.Job == job.ID {
 				n += min(len(d.Tasks), d.RoomInTeam)
 			}
@@ -103,16 +103,16 @@
 		return p
 	}
 	for _, it := range page(false, "i-1", "i-2", "i-3", "i-4").Machines {
-		l.listed(it)
+		l.autoscaler.listed(it)
 	}
 	l.machine("i-5") // never listed: may be too young
 	c.now = c.now.Add(lag)
-	l.unlisted("", page(false, "i-1"), c.now)
+	l.autoscaler.unlisted("", page(false, "i-1"), c.now)
 	if l.machines["i-2"].releasing {
 		t.Error("released by a list that may be from before it was listed")
 	}
 	c.now = c.now.Add(2 * lag)
-	l.unlisted("i-1", page(true, "i-3"), c.now)
+	l.autoscaler.unlisted("i-1", page(true, "i-3"), c.now)
 	for id, want := range map[string]bool{"i-1": false, "i-2": true, "i-3": false, "i-4": false, "i-5": false} {
 		if l.machines[id].releasing != want {
 			t.Errorf("%s: released %v by a page from i-1 to i-3 without i-2", id, l.machines[id].releasing)
@@ -133,13 +133,13 @@
 	spec := wire.Job{ID: "req-000002", Class: "train", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 1, CPUs: 1}
 	l.addJob(spec.ID, &headerRecord{Job: spec, PerChunk: 10, AcceptedMS: c.now.UnixMilli()})
 	for arrivals, want := range map[int]int{0: 0, 6: 1} {
-		l.arrivals = nil
+		l.autoscaler.arrivals = nil
 		for range arrivals {
-			l.arrivals = append(l.arrivals, arrival{"train", 1, c.now})
+			l.autoscaler.arrivals = append(l.autoscaler.arrivals, arrival{"train", 1, c.now})
 		}
-		l.trackPeaks()
+		l.autoscaler.trackPeaks()
 		n := 0
-		for _, d := range l.backlog() {
+		for _, d := range l.autoscaler.backlog() {
 			n += len(d.Tasks)
 		}
 		if n != want {
@@ -153,15 +153,15 @@
 // meanwhile. Nor may counts, which never end, keep those records from being removed.
 func TestOldRentalsDoNotPassForBooting(t *testing.T) {
 	c, l, _ := leading(t)
-	l.fleet.restore(l, []wire.Item{{Key: "h/r-1-1", Version: 3, Value: wire.Marshal(rentalRecord{
+	l.autoscaler.restore([]wire.Item{{Key: "h/r-1-1", Version: 3, Value: wire.Marshal(rentalRecord{
 		Rent: wire.Rent{Request: "r-1-1", Type: "t", Zone: "a", Count: 1}, Answered: true, Machines: []string{"i-9"}})}})
 	c.now = c.now.Add(config.Seconds(2*c.cfg.Facts.Cloud.ListLagS) + 2*time.Second)
-	l.unlisted("", wire.MachinePage{}, c.now)
+	l.autoscaler.unlisted("", wire.MachinePage{}, c.now)
 	if m := l.machines["i-9"]; !m.releasing {
 		t.Error("a machine of an old rental that is not listed still counts as booting")
 	}
-	l.forgetMachine("i-9")
-	l.sendRentals()
+	l.autoscaler.forgetMachine("i-9")
+	l.autoscaler.sendRentals()
 	for n := range 200 {
 		id := fmt.Sprintf("req-1%05d", n)
 		l.addJob(id, &headerRecord{PerChunk: 10, Job: wire.Job{ID: id, Kind: wire.KindArray, Priority: "standard", Tasks: 2, CPUs: 1}})
--- a/controller/reports_test.go
+++ b/controller/reports_test.go
@@ -122,7 +122,7 @@
 	if !m.releasing || m.session != 3 || j.attempts[0] == nil || l.usable(m) {
 		t.Fatalf("releasing %v, session %d, in force %v", m.releasing, m.session, j.attempts[0] != nil)
 	}
-	if l.forgetMachine(m.id); j.attempts[0] != nil {
+	if l.autoscaler.forgetMachine(m.id); j.attempts[0] != nil {
 		t.Fatal("in force after the release")
 	}
 }
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -218,7 +218,7 @@
 		copies[i] = &c
 	}
 	placed := 0
-	for _, d := range s.headroom() {
+	for _, d := range s.autoscaler.headroom() {
 		placed += len(scheduler.Place(copies, d))
 	}
 	return placed
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -290,9 +290,9 @@
 	c.op.HeadroomMost, c.op.Headroom = 10, 10
 	c.setTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 8, BootS: 60, Zones: []string{"a"}}})
 	c.cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 1}}
-	l.fleet.peaks["web"] = &peak{spec: wire.Job{Class: "web", Kind: wire.KindService, Priority: "prod", Team: "red", CPUs: 8, MemoryGB: 0.1}, tasks: 3, at: c.now}
+	l.autoscaler.peaks["web"] = &peak{spec: wire.Job{Class: "web", Kind: wire.KindService, Priority: "prod", Team: "red", CPUs: 8, MemoryGB: 0.1}, tasks: 3, at: c.now}
 	for range 50 {
-		l.arrivals = append(l.arrivals, arrival{"web", 3, c.now.Add(30 * time.Second)})
+		l.autoscaler.arrivals = append(l.autoscaler.arrivals, arrival{"web", 3, c.now.Add(30 * time.Second)})
 	}
 	if before := l.spreading.headroomPlaced(l.view(false), nil); before != 3 {
 		t.Fatalf("%d places of headroom", before)
@@ -453,7 +453,7 @@
 		c, l, _ := skewed(t)
 		c.op.Spreading.KeepIdle = keep
 		pass(l, 30*time.Minute)
-		l.returnSpare()
+		l.autoscaler.returnSpare()
 		released := 0
 		for _, m := range l.fleetOrder {
 			if m.releasing {
@@ -463,20 +463,20 @@
 		if (released == 0) != keep {
 			t.Errorf("idle machines are kept %v: %d are returned", keep, released)
 		}
-		l.consolidatedAt = time.Time{}
-		l.consolidate()
-		if looked := !l.consolidatedAt.IsZero(); looked == keep {
+		l.autoscaler.consolidatedAt = time.Time{}
+		l.autoscaler.consolidate()
+		if looked := !l.autoscaler.consolidatedAt.IsZero(); looked == keep {
 			t.Errorf("idle machines are kept %v: consolidation looks at machines %v", keep, looked)
 		}
 	}
 	c, l, _ := skewed(t)
 	e := planned(l)[0]
-	c.op.Spreading.KeepIdle, l.consolidatedAt = false, time.Time{}
-	if l.consolidate(); !l.consolidatedAt.IsZero() {
+	c.op.Spreading.KeepIdle, l.autoscaler.consolidatedAt = false, time.Time{}
+	if l.autoscaler.consolidate(); !l.autoscaler.consolidatedAt.IsZero() {
 		t.Error("machines are emptied while a move is under way")
 	}
 	l.gone(l.jobs[e.Job].attempts[0], reduction.Reset, proofAbsent)
-	for _, d := range l.backlog() {
+	for _, d := range l.autoscaler.backlog() {
 		if d.Job == e.Job && len(d.Tasks) > 0 {
 			t.Errorf("room is wanted for %v of %s", d.Tasks, d.Job)
 		}
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -205,7 +205,7 @@
 // onlyZone is the zone that has all machine types that a job may use, if there is just one.
 func (l *leader) onlyZone(spec *wire.Job) string {
 	only := ""
-	for _, t := range l.typesFor(spec) {
+	for _, t := range l.c.typesFor(spec) {
 		for _, zone := range t.Zones {
 			if only != "" && only != zone {
 				return ""
--- a/controller/zone_recovery_test.go
+++ b/controller/zone_recovery_test.go
@@ -180,7 +180,7 @@
 	l.release(l.machines["i-2"], releaseSilentSinceElection)
 	l.release(l.machines["i-3"], releaseIdle)
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		l.forgetMachine(id)
+		l.autoscaler.forgetMachine(id)
 	}
 	if look := l.zones.health(); len(look) != 1 || look[0] != (zones.Health{Zone: "b", Silent: 2}) {
 		t.Errorf("%+v", look)
