--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -108,7 +108,7 @@
 		}
 	}
 	for _, j := range s.foreignJobs() {
-		left -= s.sizeLeft(j)
+		left -= j.sizeLeft(s.c.measure)
 	}
 	return max(left, 0)
 }
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -33,7 +33,7 @@
 	for _, move := range cells.Plan(s.waitingForRoom(), s.roomElsewhere()) {
 		j, link := s.jobs[move.Job], s.links[move.To]
 		if s.grant(j, link) {
-			link.room -= s.sizeLeft(j)
+			link.room -= j.sizeLeft(s.c.measure)
 			return
 		}
 	}
@@ -54,7 +54,7 @@
 	slices.SortStableFunc(jobs, func(a, b *job) int { return a.ready.Compare(b.ready) })
 	waiting := make([]cells.Waiting, 0, len(jobs))
 	for _, j := range jobs {
-		waiting = append(waiting, cells.Waiting{Job: j.id, Size: s.sizeLeft(j)})
+		waiting = append(waiting, cells.Waiting{Job: j.id, Size: j.sizeLeft(s.c.measure)})
 	}
 	return waiting
 }
--- a/controller/demands.go
+++ b/controller/demands.go
@@ -38,9 +38,9 @@
 		}
 		d.WaitForBooting = d.Service && !j.begun && l.c.now.Sub(j.ready).Seconds() > l.startAim(&j.spec)
 		d.WithinGuarantee, d.AgeS, d.Avoid = !j.terms.Borrowed, l.c.now.Sub(j.ready).Seconds(), j.avoid
-		d.Late, d.WorkS = l.missed(j), l.workLeft(j)
-		d.KeepOffSpot = d.Spot && l.delaysChain(j)
-		d.Begun, d.Aged = j.begun, l.waited(j) && j.origin == nil
+		d.Late, d.WorkS = j.missed(l.c.cfg.Facts.Objectives, l.c.now), j.workLeft(l.c.measure)
+		d.KeepOffSpot = d.Spot && j.delaysChain(l.c.chains)
+		d.Begun, d.Aged = j.begun, j.waited(l.c.now) && j.origin == nil
 		for _, a := range j.attempts {
 			d.InZone[a.machine.zone]++
 		}
@@ -51,8 +51,8 @@
 
 // delaysChain reports whether a lost task of a job delays others with a deadline, or uses up
 // what earlier ones have left of it.
-func (l *leader) delaysChain(j *job) bool {
-	return j.due.last != nil && (len(j.spec.Needs) > 0 || len(l.c.chains.Successors(j.id)) > 0)
+func (j *job) delaysChain(chains *reduction.DynamicGraph) bool {
+	return j.due.last != nil && (len(j.spec.Needs) > 0 || len(chains.Successors(j.id)) > 0)
 }
 
 // Waiting wins over every other order after these ages. The largest jobs must
@@ -65,8 +65,9 @@
 // reserveShare is the part of all machines that may be taken by what has waited.
 const reserveShare = 1.0 / 8
 
-func (l *leader) waited(j *job) bool {
-	age := l.c.now.Sub(j.ready)
+// waited reports whether a job has waited long enough to come before every other order.
+func (j *job) waited(now time.Time) bool {
+	age := now.Sub(j.ready)
 	return !j.begun && age > beginAfter || age > serveAfter
 }
 
@@ -84,13 +85,13 @@
 	return max(left, 0)
 }
 
-// missed counts the aims on finishing that a job can't meet any more. One that has
-// waited out several times the last of them, or has lost work to a failure, is
-// not passed over.
-func (l *leader) missed(j *job) int {
+// missed counts the service-level objectives on finishing that a job can't meet any more. One
+// that has waited out several times the last of them, or has lost work to a failure, is not
+// passed over.
+func (j *job) missed(objectives []config.Objective, now time.Time) int {
 	n, over := 0, 0.0 // by how many times the age exceeds the last of them
-	for _, o := range l.c.cfg.Facts.Objectives {
-		within, age, applies := l.finishAim(j, o)
+	for _, o := range objectives {
+		within, age, applies := j.finishObjective(o, now)
 		if !applies {
 			continue
 		}
@@ -107,24 +108,24 @@
 	return n
 }
 
-// finishAim returns within how many seconds an objective wants a job finished, how much of that
-// has passed, and whether it is about the job's finishing at all.
-func (l *leader) finishAim(j *job, o config.Objective) (within, age float64, applies bool) {
+// finishObjective returns within how many seconds an objective wants a job finished, how much of
+// that has passed by now, and whether it is about the job's finishing at all.
+func (j *job) finishObjective(o config.Objective, now time.Time) (within, age float64, applies bool) {
 	switch {
 	case o.Kind == "deadline" && j.due.last != nil && o.Class == j.due.last.Class:
-		return j.due.within(o.Times), l.c.now.Sub(j.due.from).Seconds(), true
+		return j.due.within(o.Times), now.Sub(j.due.from).Seconds(), true
 	case o.Kind == "finished" && o.Class == j.spec.Class:
-		return o.WithinS, l.c.now.Sub(j.ready).Seconds(), true
+		return o.WithinS, now.Sub(j.ready).Seconds(), true
 	}
 	return 0, 0, false
 }
 
 // workLeft estimates what is left of a job: the sizes of its tasks times seconds.
-func (l *leader) workLeft(j *job) float64 { return l.sizeLeft(j) * j.spec.EstimateS }
+func (j *job) workLeft(m scheduler.Measure) float64 { return j.sizeLeft(m) * j.spec.EstimateS }
 
 // sizeLeft is the size of the tasks that a job has left.
-func (l *leader) sizeLeft(j *job) float64 {
-	return float64(j.tasksLeft()) * l.c.measure.Of(jobEach(&j.spec))
+func (j *job) sizeLeft(m scheduler.Measure) float64 {
+	return float64(j.tasksLeft()) * m.Of(jobEach(&j.spec))
 }
 
 // tasksLeft is how many tasks are not done.
--- a/controller/quota.go
+++ b/controller/quota.go
@@ -112,7 +112,7 @@
 	order := make([]ranked, 0, len(l.order))
 	for _, j := range l.order {
 		if !j.cancelled && !l.blocked(j) && j.origin == nil {
-			order = append(order, ranked{j, l.missed(j), l.workLeft(j)})
+			order = append(order, ranked{j, j.missed(l.c.cfg.Facts.Objectives, l.c.now), j.workLeft(l.c.measure)})
 		}
 	}
 	slices.SortStableFunc(order, func(a, b ranked) int {
--- a/controller/spreading_tolerance.go
+++ b/controller/spreading_tolerance.go
@@ -101,7 +101,7 @@
 		return true
 	}
 	return slices.ContainsFunc(t.c.cfg.Facts.Objectives, func(o config.Objective) bool {
-		within, age, applies := t.finishAim(a.job, o)
+		within, age, applies := a.job.finishObjective(o, t.c.now)
 		return applies && age+left > within
 	})
 }
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -334,7 +334,7 @@
 // still be in time.
 func (l *leader) hasFinishAim(j *job) bool {
 	return slices.ContainsFunc(l.c.cfg.Facts.Objectives, func(o config.Objective) bool {
-		_, _, applies := l.finishAim(j, o)
+		_, _, applies := j.finishObjective(o, l.c.now)
 		return applies
 	})
 }
