--- a/controller/cloud_listing.go
+++ b/controller/cloud_listing.go
@@ -14,7 +14,7 @@
 
 // refreshTypes learns the machine types and hands them to the other controllers.
 func (s *autoscaler) refreshTypes() {
-	if s.asking || !s.typesAt.IsZero() && s.c.now.Sub(s.typesAt) < typesEvery {
+	if s.asking || !s.typesAt.IsZero() && s.c.now.Sub(s.typesAt) < typesInterval {
 		return
 	}
 	s.asking = s.call(CloudCall{Op: CloudTypes}, func(r CloudReply) {
@@ -63,8 +63,8 @@
 
 // unlisted handles the machines that a page leaves out. The list is late by up to
 // twice its lag, and a machine stays listed until it is gone: one that was listed or
-// rented longer ago than that, and is not listed, is gone. Its silence would tell that
-// only after a report's time; and a new leader, who finds it in the record of a rental
+// requested longer ago than that, and is not listed, is gone. Its silence would tell that
+// only after a report's time; and a new leader, who finds it in the record of an instance request
 // of long ago, would take it for one that boots. It is no proof: it is released.
 func (s *autoscaler) unlisted(after string, page wire.MachinePage, asked time.Time) {
 	there := map[string]bool{}
--- a/controller/consolidation.go
+++ b/controller/consolidation.go
@@ -9,7 +9,7 @@
 	"pumicefront/wire"
 )
 
-// Consolidation: few replicas on a dear machine move to others, and it is returned.
+// Consolidation: few replicas on a dear machine move to others, and it is released.
 
 // consolidateEvery is how often a machine is looked for whose replicas have room elsewhere.
 const consolidateEvery = 2 * time.Second
--- a/controller/consolidation_test.go
+++ b/controller/consolidation_test.go
@@ -18,7 +18,7 @@
 		cached  bool
 		batch   bool
 		cheaper float64 // what another type costs
-		within  float64 // the aim on starting, where a machine boots in 10 s
+		within  float64 // the objective on starting, where a machine boots in 10 s
 		emptied int
 	}{
 		{"room elsewhere", 2 * time.Minute, true, false, 0.5, 2, 1},
--- a/controller/demand_hints.go
+++ b/controller/demand_hints.go
@@ -13,7 +13,7 @@
 // A submission that is rejected for now, since the state service takes no more changes for the
 // moment, comes again in a second or two. When many come at once this goes on for
 // long, and a machine takes longer to boot: so the leader is told of such jobs and
-// rents for them before they are accepted. Nothing else follows from it.
+// scales out for them before they are accepted. Nothing else follows from it.
 
 const (
 	demandHintInterval = 200 * time.Millisecond
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -9,19 +9,19 @@
 	"pumicefront/wire"
 )
 
-// The fleet: how many machines of which kind the waiting work needs.
+// Autoscaling: how many machines of which kind the waiting work needs, and when to scale out and in.
 
 const (
-	fleetEvery   = time.Second
-	typesEvery   = time.Minute
-	releasedFor  = 10 * time.Minute // how long a released machine is remembered
-	noCapacity   = 15 * time.Second // how long a refusal is remembered
-	peakHalfLife = 90.0             // seconds in which a class's past peak counts half
-	leastCharge  = 50 * time.Second // a minute is charged at least; a call takes its time
-	returnMost   = 4                // unneeded machines returned in one round,
-	returnShare  = 16               // or this part of all if that is more
-	rentCall     = 50               // machines that one request may ask for
-	rentMost     = 8                // requests for machines made in one round
+	autoscaleInterval   = time.Second
+	typesInterval       = time.Minute
+	releasedFor         = 10 * time.Minute // how long a released machine is remembered
+	noCapacity          = 15 * time.Second // how long a refusal is remembered
+	peakHalfLife        = 90.0             // seconds in which a class's past peak counts half
+	leastCharge         = 50 * time.Second // a minute is charged at least; a call takes its time
+	scaleInMost         = 4                // unneeded machines released in one round,
+	scaleInShare        = 16               // or this part of all if that is more
+	instancesPerRequest = 50               // machines that one request may ask for
+	requestsPerRound    = 8                // requests for machines made in one round
 )
 
 // autoscaler is the leader's part that scales the fleet out and in: it keeps the ledger of what
@@ -36,7 +36,7 @@
 	listing        bool
 	typesAt        time.Time
 	asking         bool
-	rentals        map[string]*rental
+	requests       map[string]*instanceRequest
 	seq            int
 	refused        map[offerKey]time.Time
 	peaks          map[string]*peak
@@ -49,34 +49,34 @@
 func newAutoscaler(l *leader) *autoscaler {
 	return &autoscaler{
 		leader:      l,
-		rentals:     map[string]*rental{},
+		requests:    map[string]*instanceRequest{},
 		refused:     map[offerKey]time.Time{},
 		peaks:       map[string]*peak{},
 		demandHints: map[string]demandHint{},
 	}
 }
 
-// restore takes up the rentals that earlier leaders have begun. Those without an
-// answer on record are asked again: by their names they rent nothing twice.
+// restore takes up the instance requests that earlier leaders have begun. Those without an
+// answer on record are sent again: their names make them idempotent.
 func (s *autoscaler) restore(items []wire.Item) {
 	s.calls = rate.NewLimiter(rate.Limit(s.c.cfg.Facts.Cloud.RPS*0.9), max(1, int(s.c.cfg.Facts.Cloud.RPS)))
 	for _, it := range items {
 		if rec := decode[rentalRecord](it.Value); rec != nil {
-			h := &rental{rent: rec.Rent, version: it.Version, asked: true, answered: rec.Answered, machines: rec.Machines}
-			s.rentals[rec.Rent.Request] = h
-			s.addRented(h)
+			req := &instanceRequest{spec: rec.Rent, version: it.Version, asked: true, answered: rec.Answered, machines: rec.Machines}
+			s.requests[rec.Rent.Request] = req
+			s.addRequested(req)
 		}
 	}
 }
 
-// runFleet looks after silent machines at every tick and after the rest once a
+// run looks after silent machines at every tick and after the rest once a
 // second.
 func (s *autoscaler) run() {
 	if s.c.now.Sub(s.lookedAt) >= tickEvery {
 		s.lookedAt = s.c.now
-		s.returnMachines()
+		s.sendReleases()
 	}
-	if s.c.now.Sub(s.ranAt) < fleetEvery {
+	if s.c.now.Sub(s.ranAt) < autoscaleInterval {
 		return
 	}
 	s.ranAt = s.c.now
@@ -87,34 +87,35 @@
 	}
 	s.wantPlacement()
 	s.refreshTypes()
-	s.sendRentals()
+	s.sendInstanceRequests()
 	s.refreshList()
-	s.returnSpare()
+	s.scaleIn()
 	s.consolidate()
 	if len(s.c.types) > 0 && s.c.now.Before(s.authority) {
-		s.rentMore()
+		s.scaleOut()
 	}
 }
 
-// rentMore rents for what has no room, and for the headroom that the aims ask for.
-func (s *autoscaler) rentMore() {
-	for _, h := range s.rentals {
-		if !h.answered {
+// scaleOut requests instances for what has no room, and for the headroom that the service-level
+// objectives ask for.
+func (s *autoscaler) scaleOut() {
+	for _, req := range s.requests {
+		if !req.answered {
 			return // not answered yet: its machines are not counted
 		}
 	}
 	machines := s.view(true)
 	demands := append(s.backlog(), s.headroom()...)
 	s.zones.closeZones(demands)
-	wants := scheduler.Fleet(machines, demands, s.offers(), rentMost)
+	wants := scheduler.Fleet(machines, demands, s.offers(), requestsPerRound)
 	for _, w := range wants {
-		for left := s.zones.rentable(w.Offer.Zone, w.Count); left > 0; left -= rentCall {
-			s.rent(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, rentCall)})
+		for left := s.zones.rentable(w.Offer.Zone, w.Count); left > 0; left -= instancesPerRequest {
+			s.requestInstances(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, instancesPerRequest)})
 		}
 	}
 }
 
-// backlog lists the demands that wait for room which has to be rented: batch work
+// backlog lists the demands that wait for room which needs a scale-out: batch work
 // does not wait for a machine to boot where running tasks end sooner than that, and
 // leave room for what comes meanwhile.
 func (s *autoscaler) backlog() []*scheduler.Demand {
@@ -129,13 +130,13 @@
 			d.Tasks = d.Tasks[n:]
 		}
 		d.RoomInTeam = s.roomInTeam(d, used)
-		d.Gang = false // rent only what is missing
+		d.Gang = false // request only what is missing
 		used[d.Team] = used[d.Team].Add(d.Each, float64(min(len(d.Tasks), d.RoomInTeam)))
 	}
 	return append(ds, s.replacements()...)
 }
 
-// expectedArrivals estimates the size of the batch work that comes before a machine rented
+// expectedArrivals estimates the size of the batch work that comes before a machine requested
 // now would be up: it needs the room that comes free as much as what waits already.
 func (s *autoscaler) expectedArrivals() float64 {
 	size := 0.0
@@ -151,7 +152,7 @@
 func (s *autoscaler) shortestBoot() float64 { return s.c.soonestBoot(&wire.Job{}) }
 
 // expectedRelease estimates the size of what running batch tasks give back before a
-// machine rented now would be up.
+// machine requested now would be up.
 func (s *autoscaler) expectedRelease() float64 {
 	boot := s.shortestBoot()
 	room := 0.0
--- a/controller/headroom.go
+++ b/controller/headroom.go
@@ -21,8 +21,8 @@
 }
 
 // headroom asks for room beyond what runs, class by class: the more, the longer
-// a machine takes to boot against what the class's aims allow, but no more than
-// may be missing before a machine that is rented now is up.
+// a machine takes to boot against what the class's service-level objectives allow, but no more
+// than may be missing before a machine that is requested now is up.
 func (s *autoscaler) headroom() []*scheduler.Demand {
 	s.trackPeaks()
 	var ds []*scheduler.Demand
@@ -119,8 +119,8 @@
 	return boot
 }
 
-// headroomShare weighs boot time against the tightest aim on starting: where a
-// machine can be rented in time, no room need be kept.
+// headroomShare weighs boot time against the tightest service-level objective on starting: where
+// a machine can be requested in time, no room need be kept.
 func (s *autoscaler) headroomShare(j *wire.Job) float64 {
 	boot := s.c.soonestBoot(j)
 	within := s.startAim(j)
--- a/controller/machine_returns.go
+++ b/controller/machine_returns.go
@@ -12,23 +12,23 @@
 	"pumicefront/wire"
 )
 
-// Machines that go back to the cloud.
+// Scale-in: machines that go back to the cloud.
 
-// returnSpare gives back machines that are not needed, the dearest first.
-func (s *autoscaler) returnSpare() {
+// scaleIn gives back machines that are not needed, the dearest first.
+func (s *autoscaler) scaleIn() {
 	if s.spreading.keepsIdle() {
 		return
 	}
 	spare := s.spare()
 	slices.SortStableFunc(spare, func(a, b *machine) int { return cmp.Compare(s.price(b), s.price(a)) })
-	for _, m := range spare[:min(len(spare), max(returnMost, len(s.machines)/returnShare))] {
+	for _, m := range spare[:min(len(spare), max(scaleInMost, len(s.machines)/scaleInShare))] {
 		s.release(m, releaseIdle)
 	}
 }
 
-// returnMachines gives back what never came up, what has gone silent and what
+// sendReleases gives back what never came up, what has gone silent and what
 // was found not to be needed.
-func (s *autoscaler) returnMachines() {
+func (s *autoscaler) sendReleases() {
 	if s.releasing {
 		return
 	}
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -13,16 +13,16 @@
 	"pumicefront/wire"
 )
 
-// Rentals. A request is recorded under a name of its own before it is made, so that no machine
-// is rented twice.
+// Instance requests: scale-out. A request is recorded under a name of its own before it is made,
+// so that a retry never gets a machine twice.
 
-// rental is a rental request whose machines are not all accounted for.
-type rental struct {
-	rent     wire.Rent
+// instanceRequest is a request for instances whose machines are not all accounted for.
+type instanceRequest struct {
+	spec     wire.Rent
 	since    time.Time
 	version  uint64 // of its record; 0: not written yet
 	asking   bool
-	asked    bool // by us or an earlier leader: it may have rented
+	asked    bool // by us or an earlier leader: it may have started instances
 	answered bool
 	machines []string
 }
@@ -45,64 +45,68 @@
 	return true
 }
 
-// sendRentals sends rental requests that are recorded and not answered. One that was
+// sendInstanceRequests sends instance requests that are recorded and not answered. One that was
 // never asked for is dropped when its like has been refused meanwhile: the calls are
 // few, and others need them.
-func (s *autoscaler) sendRentals() {
-	for _, name := range s.rentalOrder() {
-		h := s.rentals[name]
+func (s *autoscaler) sendInstanceRequests() {
+	for _, name := range s.requestOrder() {
+		req := s.requests[name]
 		switch {
-		case h.version == 0 || h.asking:
-		case h.answered:
-			if s.accounted(h) {
-				s.dropRental(h)
+		case req.version == 0 || req.asking:
+		case req.answered:
+			if s.accounted(req) {
+				s.dropRequest(req)
 			}
-		case !h.asked && s.refused[h.offer()].After(h.since):
-			s.dropRental(h)
+		case !req.asked && s.refused[req.offer()].After(req.since):
+			s.dropRequest(req)
 		default:
-			h.asking = s.call(CloudCall{Op: CloudRent, Rent: h.rent}, func(r CloudReply) { s.rentalAnswered(h, r) })
-			h.asked = h.asked || h.asking
+			req.asking = s.call(CloudCall{Op: CloudRent, Rent: req.spec}, func(r CloudReply) { s.requestAnswered(req, r) })
+			req.asked = req.asked || req.asking
 		}
 	}
 }
 
-// rentalOrder lists the names of the rentals; while zones recover, in the order in which they were
+// requestOrder lists the names of the instance requests; while zones recover, in the order in which they were
 // decided, so that what restarts first is asked for first.
-func (s *autoscaler) rentalOrder() []string {
-	names := slices.Sorted(maps.Keys(s.rentals))
+func (s *autoscaler) requestOrder() []string {
+	names := slices.Sorted(maps.Keys(s.requests))
 	if s.zones.recovering() {
 		slices.SortStableFunc(names, func(a, b string) int {
-			return cmp.Or(s.rentals[a].since.Compare(s.rentals[b].since), cmp.Compare(len(a), len(b)))
+			return cmp.Or(s.requests[a].since.Compare(s.requests[b].since), cmp.Compare(len(a), len(b)))
 		})
 	}
 	return names
 }
 
-func (h *rental) offer() offerKey { return offerKey{h.rent.Type, h.rent.Zone, h.rent.Spot} }
+// offer is the kind of instance that a request asks for.
+func (req *instanceRequest) offer() offerKey {
+	return offerKey{req.spec.Type, req.spec.Zone, req.spec.Spot}
+}
 
-func (s *autoscaler) rentalAnswered(h *rental, r CloudReply) {
-	h.asking = false
-	k := h.offer()
+// requestAnswered takes in the cloud's answer to an instance request.
+func (s *autoscaler) requestAnswered(req *instanceRequest, r CloudReply) {
+	req.asking = false
+	k := req.offer()
 	switch r.Status {
 	case http.StatusOK:
-		h.answered, h.machines = true, r.Names.Machines
-		if len(h.machines) < h.rent.Count {
+		req.answered, req.machines = true, r.Names.Machines
+		if len(req.machines) < req.spec.Count {
 			s.refused[k] = s.c.now
 		}
-		s.addRented(h)
-		s.recordRental(h, func(StateReply) {})
-		s.c.log(slog.LevelInfo, "rented", "request", h.rent.Request, "type", k.typ, "zone", k.zone, "spot", k.spot, "machines", len(h.machines))
+		s.addRequested(req)
+		s.recordRequest(req, func(StateReply) {})
+		s.c.log(slog.LevelInfo, "rented", "request", req.spec.Request, "type", k.typ, "zone", k.zone, "spot", k.spot, "machines", len(req.machines))
 	case http.StatusServiceUnavailable, http.StatusBadRequest:
 		s.refused[k] = s.c.now
 		s.ranAt = time.Time{} // another offer may do
-		s.c.log(slog.LevelInfo, "rental refused", "request", h.rent.Request, "type", k.typ, "zone", k.zone, "spot", k.spot, "status", r.Status)
-		s.dropRental(h)
+		s.c.log(slog.LevelInfo, "rental refused", "request", req.spec.Request, "type", k.typ, "zone", k.zone, "spot", k.spot, "status", r.Status)
+		s.dropRequest(req)
 	}
 }
 
-// addRented takes the machines of a request into the ledger.
-func (s *autoscaler) addRented(h *rental) {
-	for _, id := range h.machines {
+// addRequested takes the machines of a request into the ledger.
+func (s *autoscaler) addRequested(req *instanceRequest) {
+	for _, id := range req.machines {
 		if _, gone := s.released[id]; gone {
 			continue
 		}
@@ -111,17 +115,17 @@
 			m.listed = s.c.now // it exists by now: a list of a later time shows it
 		}
 		if !m.up {
-			m.typ, m.zone, m.spot, m.rented = h.rent.Type, h.rent.Zone, h.rent.Spot, h.since
+			m.typ, m.zone, m.spot, m.rented = req.spec.Type, req.spec.Zone, req.spec.Spot, req.since
 		}
 	}
 }
 
-// recordRental writes what is known of a request, over the record that we know of.
-func (s *autoscaler) recordRental(h *rental, done func(StateReply)) {
-	key := rentalPrefix + h.rent.Request
+// recordRequest writes what is known of a request, over the record that we know of.
+func (s *autoscaler) recordRequest(req *instanceRequest, done func(StateReply)) {
+	key := rentalPrefix + req.spec.Request
 	txn := wire.Txn{
-		If:   []wire.Cond{s.leadershipCondition(), {Key: key, Version: h.version}},
-		Then: []wire.Change{put(key, rentalRecord{h.rent, h.answered, h.machines})},
+		If:   []wire.Cond{s.leadershipCondition(), {Key: key, Version: req.version}},
+		Then: []wire.Change{put(key, rentalRecord{req.spec, req.answered, req.machines})},
 	}
 	s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if s.c.lead == s.leader {
@@ -131,8 +135,8 @@
 }
 
 // accounted reports whether every machine of a request is up or released.
-func (s *autoscaler) accounted(h *rental) bool {
-	for _, id := range h.machines {
+func (s *autoscaler) accounted(req *instanceRequest) bool {
+	for _, id := range req.machines {
 		if m := s.machines[id]; m != nil && !m.up {
 			return false
 		}
@@ -140,28 +144,28 @@
 	return true
 }
 
-func (s *autoscaler) dropRental(h *rental) {
-	delete(s.rentals, h.rent.Request)
-	s.obsoleteKeys = append(s.obsoleteKeys, rentalPrefix+h.rent.Request)
+func (s *autoscaler) dropRequest(req *instanceRequest) {
+	delete(s.requests, req.spec.Request)
+	s.obsoleteKeys = append(s.obsoleteKeys, rentalPrefix+req.spec.Request)
 }
 
-// rent records a request under a name that is never used again, then makes it.
-func (s *autoscaler) rent(r wire.Rent) {
+// requestInstances records a request under a name that is never used again, then makes it.
+func (s *autoscaler) requestInstances(r wire.Rent) {
 	s.seq++
 	r.Request = fmt.Sprintf("r-%d-%d", s.token, s.seq)
-	h := &rental{rent: r, since: s.c.now}
-	s.rentals[r.Request] = h
-	s.recordRental(h, func(reply StateReply) {
+	req := &instanceRequest{spec: r, since: s.c.now}
+	s.requests[r.Request] = req
+	s.recordRequest(req, func(reply StateReply) {
 		if reply.Status != http.StatusOK {
-			delete(s.rentals, r.Request) // never asked for; a late record is asked for by the next leader
+			delete(s.requests, r.Request) // never asked for; a late record is asked for by the next leader
 			return
 		}
-		h.version = reply.Txn.Revision
-		s.sendRentals()
+		req.version = reply.Txn.Revision
+		s.sendInstanceRequests()
 	})
 }
 
-// offers lists what can be rented, less what was refused lately.
+// offers lists what can be requested, less what was refused lately.
 func (s *autoscaler) offers() []scheduler.Offer {
 	var out []scheduler.Offer
 	for _, name := range slices.Sorted(maps.Keys(s.c.types)) {
--- a/controller/rentals_test.go
+++ b/controller/rentals_test.go
@@ -11,9 +11,9 @@
 	"pumicefront/wire"
 )
 
-// The cloud allows few calls a second. A new leader asks again only for the rentals
+// The cloud allows few calls a second. A new leader asks again only for the instance requests
 // that have no answer on record, and nothing is asked for whose like was just refused.
-func TestRentalsAreAskedForOnce(t *testing.T) {
+func TestInstanceRequestsAreSentOnce(t *testing.T) {
 	c, l, _ := leading(t)
 	rent := func(name string) wire.Rent { return wire.Rent{Request: name, Type: "t", Zone: "a", Count: 2} }
 	item := func(r rentalRecord) wire.Item {
@@ -35,26 +35,26 @@
 		return names
 	}
 	c.out = nil
-	l.autoscaler.sendRentals()
+	l.autoscaler.sendInstanceRequests()
 	if got := asked(); len(got) != 1 || got[0] != "r-1-2" {
 		t.Fatalf("asked for %v, want r-1-2 alone", got)
 	}
 	for _, name := range []string{"r-2-1", "r-2-2"} {
-		l.autoscaler.rentals[name] = &rental{rent: rent(name), version: 6, since: c.now}
+		l.autoscaler.requests[name] = &instanceRequest{spec: rent(name), version: 6, since: c.now}
 	}
 	c.now = c.now.Add(time.Second)
-	l.autoscaler.rentalAnswered(l.autoscaler.rentals["r-1-2"], CloudReply{Status: http.StatusServiceUnavailable})
+	l.autoscaler.requestAnswered(l.autoscaler.requests["r-1-2"], CloudReply{Status: http.StatusServiceUnavailable})
 	c.out = nil
-	l.autoscaler.sendRentals()
-	if got := asked(); len(got) > 0 || l.autoscaler.rentals["r-2-1"] != nil || l.autoscaler.rentals["r-1-1"] == nil {
-		t.Errorf("asked for %v after a refusal of the same kind, left %v", got, l.autoscaler.rentals)
+	l.autoscaler.sendInstanceRequests()
+	if got := asked(); len(got) > 0 || l.autoscaler.requests["r-2-1"] != nil || l.autoscaler.requests["r-1-1"] == nil {
+		t.Errorf("asked for %v after a refusal of the same kind, left %v", got, l.autoscaler.requests)
 	}
 }
 
-// A submission that is rejected by any controller is rented for before it is accepted:
+// A submission that is rejected by any controller is scaled out for before it is accepted:
 // while few can be accepted, machines would otherwise boot only after the last of
 // them. Once it has come in, or doesn't come again, it counts no more.
-func TestRejectedSubmissionsAreRentedFor(t *testing.T) {
+func TestRejectedSubmissionsAreScaledOutFor(t *testing.T) {
 	c, l, _ := leading(t)
 	c.setTypes([]wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 8, Zones: []string{"a"}}})
 	c.quotas["red"] = quotaOf(config.Team{CPUs: 100, CPUsMax: 100})
@@ -122,7 +122,7 @@
 
 // Batch work waits for running tasks that end before a machine boots, but not for
 // room that what comes meanwhile will need: as long as as much came as ended, nothing
-// was rented and the last tasks of arrays waited for a minute.
+// was requested and the last tasks of arrays waited for a minute.
 func TestWhatEndsSoonIsNotCountedTwice(t *testing.T) {
 	c, l, running := leading(t)
 	c.quotas["red"] = quotaOf(config.Team{CPUs: 100, CPUsMax: 100})
@@ -148,10 +148,10 @@
 	}
 }
 
-// A new leader knows machines from the records of rentals. One that was returned since
-// must not pass for booting until its time to boot is over: nothing would be rented
+// A new leader knows machines from the records of instance requests. One that was released since
+// must not pass for booting until its time to boot is over: nothing would be requested
 // meanwhile. Nor may counts, which never end, keep those records from being removed.
-func TestOldRentalsDoNotPassForBooting(t *testing.T) {
+func TestOldInstanceRequestsDoNotPassForBooting(t *testing.T) {
 	c, l, _ := leading(t)
 	l.autoscaler.restore([]wire.Item{{Key: "h/r-1-1", Version: 3, Value: wire.Marshal(rentalRecord{
 		Rent: wire.Rent{Request: "r-1-1", Type: "t", Zone: "a", Count: 1}, Answered: true, Machines: []string{"i-9"}})}})
@@ -161,7 +161,7 @@
 		t.Error("a machine of an old rental that is not listed still counts as booting")
 	}
 	l.autoscaler.forgetMachine("i-9")
-	l.autoscaler.sendRentals()
+	l.autoscaler.sendInstanceRequests()
 	for n := range 200 {
 		id := fmt.Sprintf("req-1%05d", n)
 		l.addJob(id, &headerRecord{PerChunk: 10, Job: wire.Job{ID: id, Kind: wire.KindArray, Priority: "standard", Tasks: 2, CPUs: 1}})
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -453,7 +453,7 @@
 		c, l, _ := skewed(t)
 		c.op.Spreading.KeepIdle = keep
 		pass(l, 30*time.Minute)
-		l.autoscaler.returnSpare()
+		l.autoscaler.scaleIn()
 		released := 0
 		for _, m := range l.fleetOrder {
 			if m.releasing {
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -92,7 +92,7 @@
 	if off := l.jobs["req-000002"]; off == nil || !off.cancelled || !off.dirty {
 		t.Errorf("the cancelled job: %+v", off)
 	}
-	if h := l.autoscaler.rentals["r-6-1"]; h == nil || !h.answered || len(h.machines) != 2 || l.machines["i-000031"] == nil {
+	if h := l.autoscaler.requests["r-6-1"]; h == nil || !h.answered || len(h.machines) != 2 || l.machines["i-000031"] == nil {
 		t.Errorf("the rental: %+v", h)
 	}
 	if len(c.types) != 1 {
