--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -20,30 +20,32 @@
 	leastCharge         = 50 * time.Second // a minute is charged at least; a call takes its time
 	scaleInMost         = 4                // unneeded machines released in one round,
 	scaleInShare        = 16               // or this part of all if that is more
-	instancesPerRequest = 50               // machines that one request may ask for
+	instancesPerRequest = 50               // machines that one request may ask for, as the cloud allows
 	requestsPerRound    = 8                // requests for machines made in one round
+	releaseNamesMost    = 100              // machines that one release call may name, as the cloud allows
+	cloudRateShare      = 0.9              // of the cloud's rate that calls use: above it the cloud answers 429
 )
 
 // autoscaler is the leader's part that scales the fleet out and in: it keeps the ledger of what
-// it has asked of the cloud, requests instances for what waits and for headroom, and returns what
+// it has asked of the cloud, requests instances for what waits and for headroom, and releases what
 // is idle.
 type autoscaler struct {
 	*leader
-	calls          *rate.Limiter // calls of the cloud, within its rate
-	ranAt          time.Time
-	lookedAt       time.Time
-	listedAt       time.Time
-	listing        bool
-	typesAt        time.Time
-	asking         bool
-	requests       map[string]*instanceRequest
-	seq            int
-	refused        map[offerKey]time.Time
-	peaks          map[string]*peak
-	releasing      bool
-	consolidatedAt time.Time // see consolidate
-	demandHints    map[string]demandHint
-	arrivals       []arrival
+	calls           *rate.Limiter // calls of the cloud, within its rate
+	ranAt           time.Time // last round of scale-out and scale-in, see run
+	lookedAt        time.Time // last look for machines to release
+	listedAt        time.Time // last read of the cloud's list
+	listInFlight    bool // a page of the cloud's list is asked for
+	typesAt         time.Time // last answer with the machine types
+	typesInFlight   bool // the machine types are asked for
+	requests        map[string]*instanceRequest
+	requestSeq      int // of the last request name of this leader
+	refused         map[offerKey]time.Time
+	peaks           map[string]*peak
+	releaseInFlight bool      // a release call is under way
+	consolidatedAt  time.Time // see consolidate
+	demandHints     map[string]demandHint
+	arrivals        []arrival
 }
 
 func newAutoscaler(l *leader) *autoscaler {
@@ -59,7 +61,7 @@
 // restore takes up the instance requests that earlier leaders have begun. Those without an
 // answer on record are sent again: their names make them idempotent.
 func (s *autoscaler) restore(items []wire.Item) {
-	s.calls = rate.NewLimiter(rate.Limit(s.c.cfg.Facts.Cloud.RPS*0.9), max(1, int(s.c.cfg.Facts.Cloud.RPS)))
+	s.calls = rate.NewLimiter(rate.Limit(s.c.cfg.Facts.Cloud.RPS*cloudRateShare), max(1, int(s.c.cfg.Facts.Cloud.RPS)))
 	for _, it := range items {
 		if rec := decode[rentalRecord](it.Value); rec != nil {
 			req := &instanceRequest{spec: rec.Rent, version: it.Version, asked: true, answered: rec.Answered, machines: rec.Machines}
--- a/controller/cloud_listing.go
+++ b/controller/cloud_listing.go
@@ -14,11 +14,11 @@
 
 // refreshTypes learns the machine types and hands them to the other controllers.
 func (s *autoscaler) refreshTypes() {
-	if s.asking || !s.typesAt.IsZero() && s.c.now.Sub(s.typesAt) < typesInterval {
+	if s.typesInFlight || !s.typesAt.IsZero() && s.c.now.Sub(s.typesAt) < typesInterval {
 		return
 	}
-	s.asking = s.call(CloudCall{Op: CloudTypes}, func(r CloudReply) {
-		s.asking = false
+	s.typesInFlight = s.callCloud(CloudCall{Op: CloudTypes}, func(r CloudReply) {
+		s.typesInFlight = false
 		if r.Status != http.StatusOK {
 			return
 		}
@@ -37,7 +37,7 @@
 // machines that we don't know and shows failed ones; it never proves one gone.
 func (s *autoscaler) refreshList() {
 	every := config.Seconds(math.Max(3, s.c.cfg.Facts.Cloud.ListLagS/2))
-	if s.listing || s.c.now.Sub(s.listedAt) < every {
+	if s.listInFlight || s.c.now.Sub(s.listedAt) < every {
 		return
 	}
 	s.listedAt = s.c.now
@@ -46,8 +46,8 @@
 
 func (s *autoscaler) listPage(after string) {
 	asked := s.c.now
-	s.listing = s.call(CloudCall{Op: CloudList, After: after}, func(r CloudReply) {
-		s.listing = false
+	s.listInFlight = s.callCloud(CloudCall{Op: CloudList, After: after}, func(r CloudReply) {
+		s.listInFlight = false
 		if r.Status != http.StatusOK {
 			return
 		}
--- a/controller/scale_in.go
+++ b/controller/scale_in.go
@@ -29,21 +29,21 @@
 // sendReleases gives back what never came up, what has gone silent and what
 // was found not to be needed.
 func (s *autoscaler) sendReleases() {
-	if s.releasing {
+	if s.releaseInFlight {
 		return
 	}
 	s.releaseFailed()
 	var names []string
 	for _, m := range s.fleetOrder {
-		if m.releasing && len(names) < 100 {
+		if m.releasing && len(names) < releaseNamesMost {
 			names = append(names, m.id)
 		}
 	}
 	if len(names) == 0 {
 		return
 	}
-	s.releasing = s.call(CloudCall{Op: CloudRelease, Names: names}, func(r CloudReply) {
-		s.releasing = false
+	s.releaseInFlight = s.callCloud(CloudCall{Op: CloudRelease, Names: names}, func(r CloudReply) {
+		s.releaseInFlight = false
 		if r.Status != http.StatusOK {
 			return
 		}
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -32,8 +32,8 @@
 	spot      bool
 }
 
-// call makes a call of the cloud if authority and the rate allow.
-func (s *autoscaler) call(call CloudCall, fn func(CloudReply)) bool {
+// callCloud makes a call of the cloud if authority and the rate allow.
+func (s *autoscaler) callCloud(call CloudCall, fn func(CloudReply)) bool {
 	if !s.c.entitled() || !s.calls.AllowN(s.c.now, 1) {
 		return false
 	}
@@ -60,7 +60,7 @@
 		case !req.asked && s.refused[req.offer()].After(req.since):
 			s.dropRequest(req)
 		default:
-			req.asking = s.call(CloudCall{Op: CloudRent, Rent: req.spec}, func(r CloudReply) { s.requestAnswered(req, r) })
+			req.asking = s.callCloud(CloudCall{Op: CloudRent, Rent: req.spec}, func(r CloudReply) { s.requestAnswered(req, r) })
 			req.asked = req.asked || req.asking
 		}
 	}
@@ -151,8 +151,8 @@
 
 // requestInstances records a request under a name that is never used again, then makes it.
 func (s *autoscaler) requestInstances(r wire.Rent) {
-	s.seq++
-	r.Request = fmt.Sprintf("r-%d-%d", s.token, s.seq)
+	s.requestSeq++
+	r.Request = fmt.Sprintf("r-%d-%d", s.token, s.requestSeq)
 	req := &instanceRequest{spec: r, since: s.c.now}
 	s.requests[r.Request] = req
 	s.recordRequest(req, func(reply StateReply) {
