--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -32,12 +32,12 @@
 type autoscaler struct {
 	*leader
 	calls           *rate.Limiter // calls of the cloud, within its rate
-	ranAt           time.Time // last round of scale-out and scale-in, see run
-	lookedAt        time.Time // last look for machines to release
-	listedAt        time.Time // last read of the cloud's list
-	listInFlight    bool // a page of the cloud's list is asked for
-	typesAt         time.Time // last answer with the machine types
-	typesInFlight   bool // the machine types are asked for
+	ranAt           time.Time     // last round of scale-out and scale-in, see run
+	lookedAt        time.Time     // last look for machines to release
+	listedAt        time.Time     // last read of the cloud's list
+	listInFlight    bool          // a page of the cloud's list is asked for
+	typesAt         time.Time     // last answer with the machine types
+	typesInFlight   bool          // the machine types are asked for
 	requests        map[string]*instanceRequest
 	requestSeq      int // of the last request name of this leader
 	refused         map[offerKey]time.Time
