--- a/controller/consolidation.go
+++ b/controller/consolidation.go
@@ -31,13 +31,7 @@
 	if slices.ContainsFunc(waiting, func(d *scheduler.Demand) bool { return len(d.Tasks) > 0 }) {
 		return
 	}
-	var best *machine
-	worth := func(m *machine) float64 { return s.price(m) / float64(len(m.list)) }
-	for _, m := range s.fleetOrder {
-		if s.movable(m) && (best == nil || worth(m) > worth(best)) {
-			best = m
-		}
-	}
+	best := s.dearestMovable()
 	if best == nil {
 		return
 	}
@@ -53,6 +47,19 @@
 	s.wantPlacement()
 }
 
+// dearestMovable is the movable machine whose money is spent on fewest replicas, the first by name
+// of those alike; nil if none is movable.
+func (s *autoscaler) dearestMovable() *machine {
+	var best *machine
+	worth := func(m *machine) float64 { return s.price(m) / float64(len(m.list)) }
+	for _, m := range s.fleetOrder {
+		if s.movable(m) && (best == nil || worth(m) > worth(best)) {
+			best = m
+		}
+	}
+	return best
+}
+
 // movable reports whether all that a machine runs is replicas that have settled, on
 // no more than half of it, and that a cheaper type would have done for. Where there is
 // none, what is free beside them is room for the next, and moving them only costs it,
