--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -205,7 +205,7 @@
 // onlyZone is the zone that has all machine types that a job may use, if there is just one.
 func (l *leader) onlyZone(spec *wire.Job) string {
 	only := ""
-	for _, t := range l.typesFor(spec) {
+	for _, t := range l.c.typesFor(spec) {
 		for _, zone := range t.Zones {
 			if only != "" && only != zone {
 				return ""
@@ -334,7 +334,7 @@
 // still be in time.
 func (l *leader) hasFinishAim(j *job) bool {
 	return slices.ContainsFunc(l.c.cfg.Facts.Objectives, func(o config.Objective) bool {
-		_, _, applies := l.finishAim(j, o)
+		_, _, applies := j.finishObjective(o, l.c.now)
 		return applies
 	})
 }
