--- a/controller/commands_test.go
+++ b/controller/commands_test.go
@@ -97,7 +97,7 @@
 	if !young.stopping || old.stopping {
 		t.Errorf("with %v s left: stopped the one of 50 s %v, the one of 5 s %v", left, young.stopping, old.stopping)
 	}
-	l.releaseFailed()
+	l.failures.releaseFailed()
 	if m.releasing {
 		t.Error("released while a task may end in time")
 	}
@@ -107,7 +107,7 @@
 		rep.Tasks = append(rep.Tasks, wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskExited, Why: wire.WhyStopped})
 	}
 	l.apply(m, rep)
-	if l.releaseFailed(); !m.releasing {
+	if l.failures.releaseFailed(); !m.releasing {
 		t.Error("kept though nothing runs on it any more")
 	}
 }
--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -10,9 +10,20 @@
 // The failure detector: which machines are suspected, and whether the fault is on the machine, in
 // its zone's network or on our side.
 
+// failureDetector is the leader's part that tells from missed heartbeats which machines have
+// failed. It owns the listening period, the time for which the leader has heard its machines
+// without a pause.
+type failureDetector struct {
+	*leader
+	listening listeningPeriod
+}
+
+// newFailureDetector returns the failure detector of a leader.
+func newFailureDetector(l *leader) *failureDetector { return &failureDetector{leader: l} }
+
 // failureScan is one look at all machines.
 type failureScan struct {
-	*leader
+	*failureDetector
 	unheard   map[string]bool      // zones, see unheardZones
 	found     bool                 // most machines of an earlier leader have reported to us
 	elsewhere []*scheduler.Machine // room for what moves; nil: not drawn yet
@@ -20,9 +31,9 @@
 
 // releaseFailed decides, of each machine that is suspected, between waiting its lease out and
 // releasing it.
-func (l *leader) releaseFailed() {
-	scan := &failureScan{leader: l, unheard: l.unheardZones(), found: l.mostMachinesReported()}
-	for _, m := range l.fleetOrder {
+func (f *failureDetector) releaseFailed() {
+	scan := &failureScan{failureDetector: f, unheard: f.unheardZones(), found: f.mostMachinesReported()}
+	for _, m := range f.fleetOrder {
 		switch {
 		case m.releasing:
 		case m.up:
@@ -87,12 +98,12 @@
 	if s.elsewhere == nil {
 		s.elsewhere = s.roomForReplicas()
 	}
-	return s.leader.canMove(m, s.elsewhere)
+	return s.failureDetector.canMove(m, s.elsewhere)
 }
 
 // roomForReplicas is the view of the machines in which lower work gives way to replicas.
-func (l *leader) roomForReplicas() []*scheduler.Machine {
-	machines := l.view(false)
+func (f *failureDetector) roomForReplicas() []*scheduler.Machine {
+	machines := f.view(false)
 	for _, m := range machines {
 		for _, task := range m.Tasks {
 			if task.Rank > 0 {
@@ -104,40 +115,42 @@
 }
 
 // since is how much of the time since then we have listened for.
-func (l *leader) since(then time.Time) time.Duration { return l.listening.elapsed(l.c.now, then) }
+func (f *failureDetector) since(then time.Time) time.Duration {
+	return f.listening.elapsed(f.c.now, then)
+}
 
 // sinceHeartbeat is how long a machine has not been heard of.
-func (l *leader) sinceHeartbeat(m *machine) time.Duration { return l.since(m.reported) }
+func (f *failureDetector) sinceHeartbeat(m *machine) time.Duration { return f.since(m.reported) }
 
 // reportDue is how long after a report the next one should have come, with slack.
-func (l *leader) reportDue(slack time.Duration) time.Duration {
-	return config.Seconds(l.c.cfg.Facts.Workers.ReportS*1.25) + slack
+func (f *failureDetector) reportDue(slack time.Duration) time.Duration {
+	return config.Seconds(f.c.cfg.Facts.Workers.ReportS*1.25) + slack
 }
 
 // heartbeatOverdue reports whether a machine's report is overdue.
-func (l *leader) heartbeatOverdue(m *machine) bool {
-	return l.sinceHeartbeat(m) > l.reportDue(250*time.Millisecond)
+func (f *failureDetector) heartbeatOverdue(m *machine) bool {
+	return f.sinceHeartbeat(m) > f.reportDue(250*time.Millisecond)
 }
 
 // unresponsive reports whether a machine has not been heard of for too long to be given
 // new work.
-func (l *leader) unresponsive(m *machine) bool {
-	return l.sinceHeartbeat(m) > l.reportDue(time.Second)
+func (f *failureDetector) unresponsive(m *machine) bool {
+	return f.sinceHeartbeat(m) > f.reportDue(time.Second)
 }
 
 // unreachableFor is how long a machine has not answered commands, whatever it reports.
-func (l *leader) unreachableFor(m *machine) time.Duration {
+func (f *failureDetector) unreachableFor(m *machine) time.Duration {
 	if m.unreachableSince.IsZero() {
 		return 0
 	}
-	return l.since(m.unreachableSince)
+	return f.since(m.unreachableSince)
 }
 
 // mostMachinesReported reports whether most machines that an earlier leader placed work on
 // have found us.
-func (l *leader) mostMachinesReported() bool {
+func (f *failureDetector) mostMachinesReported() bool {
 	missing, all := 0, 0
-	for _, o := range l.machines {
+	for _, o := range f.machines {
 		if len(o.attempts) > 0 {
 			all++
 			if !o.up {
@@ -151,19 +164,19 @@
 // overdueSinceElection reports whether a machine with work of an earlier leader should
 // have found us by now. One that didn't answer when it was asked is like any other
 // that has fallen silent; where nobody could ask, its worker may still be looking.
-func (l *leader) overdueSinceElection(m *machine) bool {
-	limit := l.suspectAfter() + time.Second
+func (f *failureDetector) overdueSinceElection(m *machine) bool {
+	limit := f.suspectAfter() + time.Second
 	if !m.unanswered {
-		limit += config.Seconds(2 * l.c.cfg.Facts.Workers.ReportS)
+		limit += config.Seconds(2 * f.c.cfg.Facts.Workers.ReportS)
 	}
-	return len(m.attempts) > 0 && l.since(l.elected) > limit
+	return len(m.attempts) > 0 && f.since(f.elected) > limit
 }
 
 // canMove reports whether what a machine runs has room elsewhere now. If not,
 // releasing it early gains nothing over waiting its lease out.
-func (l *leader) canMove(m *machine, machines []*scheduler.Machine) bool {
+func (f *failureDetector) canMove(m *machine, machines []*scheduler.Machine) bool {
 	for _, a := range m.list {
-		d := l.c.demandOf(&a.job.spec)
+		d := f.c.demandOf(&a.job.spec)
 		d.Tasks, d.RoomInTeam = []int{a.task}, 1
 		if d.Rank == 0 && len(scheduler.Place(machines, d)) == 0 {
 			return false
@@ -172,32 +185,32 @@
 	return true
 }
 
-func (l *leader) bootedTooLong(m *machine) bool {
+func (f *failureDetector) bootedTooLong(m *machine) bool {
 	boot := 60.0
-	if t, ok := l.c.types[m.typ]; ok {
+	if t, ok := f.c.types[m.typ]; ok {
 		boot = t.BootS
 	}
 	limit := config.Seconds(boot*2.5) + 10*time.Second
-	if l.since(l.elected) < config.Seconds(l.c.cfg.Facts.Workers.LeaseS) {
+	if f.since(f.elected) < config.Seconds(f.c.cfg.Facts.Workers.LeaseS) {
 		return false // it may be up and not have found us yet
 	}
 	if m.typ == "" { // known only from an earlier leader's placements
-		return l.c.now.After(l.leaseEnd(m)) && l.c.now.Sub(l.elected) > 3*config.Seconds(l.c.cfg.Facts.Cloud.ListLagS)
+		return f.c.now.After(f.leaseEnd(m)) && f.c.now.Sub(f.elected) > 3*config.Seconds(f.c.cfg.Facts.Cloud.ListLagS)
 	}
-	return l.c.now.Sub(m.since) > limit
+	return f.c.now.Sub(m.since) > limit
 }
 
 // replacements lists the services on machines that have gone silent: the machines to
 // take them over boot while the proof that they are gone is waited for.
-func (l *leader) replacements() []*scheduler.Demand {
+func (f *failureDetector) replacements() []*scheduler.Demand {
 	var ds []*scheduler.Demand
-	for _, m := range l.fleetOrder {
-		suspected := max(l.sinceHeartbeat(m), l.unreachableFor(m)) > l.suspectAfter() || l.partitions.active[m.zone] && l.unresponsive(m)
+	for _, m := range f.fleetOrder {
+		suspected := max(f.sinceHeartbeat(m), f.unreachableFor(m)) > f.suspectAfter() || f.partitions.active[m.zone] && f.unresponsive(m)
 		if !m.up || m.leaseOut || !suspected {
 			continue
 		}
 		for _, a := range m.list {
-			if d := l.c.demandOf(&a.job.spec); d.Service && !a.job.cancelled {
+			if d := f.c.demandOf(&a.job.spec); d.Service && !a.job.cancelled {
 				d.Tasks, d.RoomInTeam = []int{a.task}, 1
 				ds = append(ds, d)
 			}
@@ -208,6 +221,17 @@
 
 // suspectAfter is how long a machine may be silent before it is suspected: a share of
 // its lease, but never less than a report may take.
-func (l *leader) suspectAfter() time.Duration {
-	return max(config.Seconds(l.c.op.SilentShare*l.c.cfg.Facts.Workers.LeaseS), l.reportDue(time.Second))
+func (f *failureDetector) suspectAfter() time.Duration {
+	return max(config.Seconds(f.c.op.SilentShare*f.c.cfg.Facts.Workers.LeaseS), f.reportDue(time.Second))
 }
+
+// Forwarders for callers in files that still call these on the leader.
+
+// releaseFailed is failureDetector.releaseFailed.
+func (l *leader) releaseFailed() { l.failures.releaseFailed() }
+
+// replacements is failureDetector.replacements.
+func (l *leader) replacements() []*scheduler.Demand { return l.failures.replacements() }
+
+// unresponsive is failureDetector.unresponsive.
+func (l *leader) unresponsive(m *machine) bool { return l.failures.unresponsive(m) }
--- a/controller/failure_detector_test.go
+++ b/controller/failure_detector_test.go
@@ -15,7 +15,7 @@
 	m := l.machine("i-1")
 	m.typ, m.since = "small", c.now.Add(-time.Hour)
 	c.now = c.now.Add(3 * time.Second)
-	if l.bootedTooLong(m) {
+	if l.failures.bootedTooLong(m) {
 		t.Fatal("a machine is given up 3 s after the election")
 	}
 }
@@ -39,7 +39,7 @@
 	}
 	call(0)
 	l.apply(m, report(m, 7))
-	l.partitions.observe(l.c.now, l.countSilent())
+	l.partitions.observe(l.c.now, l.failures.countSilent())
 	if l.usable(m) {
 		t.Fatal("new work for a machine that hears nothing")
 	}
@@ -125,7 +125,7 @@
 			resume(c.workerCalls, id, WorkerReply{ID: id}) // no answer
 		}
 	}
-	for l.since(l.elected) <= l.suspectAfter() {
+	for l.failures.since(l.elected) <= l.failures.suspectAfter() {
 		step()
 	}
 	if asked.releasing || unknown.releasing {
@@ -155,15 +155,15 @@
 			a.phase = attemptRunning
 			ms = append(ms, m)
 		}
-		l.listening = listeningPeriod{began: c.now, lastLook: c.now}
-		c.now = c.now.Add(l.suspectAfter() + time.Second)
-		l.authority, l.listening.lastLook = c.now.Add(time.Second), c.now
+		l.failures.listening = listeningPeriod{began: c.now, lastLook: c.now}
+		c.now = c.now.Add(l.failures.suspectAfter() + time.Second)
+		l.authority, l.failures.listening.lastLook = c.now.Add(time.Second), c.now
 		for _, m := range ms[1:] {
 			l.apply(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 2, Token: 7,
 				Tasks: []wire.Task{{ID: m.list[0].taskID(), Attempt: 1, State: wire.TaskRunning}}})
 		}
 		ms[0].unanswered = true
-		l.releaseFailed()
+		l.failures.releaseFailed()
 		if ms[0].releasing != want {
 			t.Errorf("beside %s work: released %v, want %v", priority, ms[0].releasing, want)
 		}
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -20,7 +20,7 @@
 	toSend         []*machine // that commands may wait for
 	proofsAt       time.Time
 	consolidatedAt time.Time // see consolidate
-	listening      listeningPeriod
+	failures       *failureDetector
 	scratch        []scheduler.Machine // reused by every view
 	guaranteesAt   time.Time           // see assignGuarantees
 	released       map[string]time.Time
@@ -46,7 +46,7 @@
 	if !l.recovered {
 		return
 	}
-	l.listening.observe(l.c.now)
+	l.failures.listening.observe(l.c.now)
 	l.proveGone()
 	l.zones.run()
 	l.cells.run()
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -27,15 +27,15 @@
 type silentMachines struct{ all, silent map[string]int }
 
 // countSilent counts the machines that are overdue or don't answer.
-func (l *leader) countSilent() silentMachines {
+func (f *failureDetector) countSilent() silentMachines {
 	count := silentMachines{map[string]int{}, map[string]int{}}
-	for _, m := range l.machines {
+	for _, m := range f.machines {
 		if !m.up {
 			continue
 		}
 		count.all[m.zone]++
 		count.all[allZones]++
-		if l.heartbeatOverdue(m) || !m.unansweredSince.IsZero() {
+		if f.heartbeatOverdue(m) || !m.unansweredSince.IsZero() {
 			count.silent[m.zone]++
 			count.silent[allZones]++
 		}
@@ -67,20 +67,20 @@
 // heard in the last moments. Where all fall silent at once, those that were due
 // first are suspected before a quarter of all is late: a leader that has just lost
 // its way to the workers would release them.
-func (l *leader) unheardZones() map[string]bool {
+func (f *failureDetector) unheardZones() map[string]bool {
 	const (
 		part  = 4 // of the time between two reports
 		least = 2 // reports that must have been due
 	)
-	window := config.Seconds(l.c.cfg.Facts.Workers.ReportS / part)
+	window := config.Seconds(f.c.cfg.Facts.Workers.ReportS / part)
 	all, heard := map[string]int{}, map[string]int{}
-	for _, m := range l.machines {
+	for _, m := range f.machines {
 		if !m.up {
 			continue
 		}
 		for _, zone := range [...]string{m.zone, allZones} {
 			all[zone]++
-			if l.c.now.Sub(m.reported) <= window {
+			if f.c.now.Sub(m.reported) <= window {
 				heard[zone]++
 			}
 		}
--- a/controller/proofs.go
+++ b/controller/proofs.go
@@ -41,7 +41,7 @@
 		return // a walk over all machines, and nothing that it finds is that urgent
 	}
 	l.proofsAt = now
-	l.partitions.observe(l.c.now, l.countSilent())
+	l.partitions.observe(l.c.now, l.failures.countSilent())
 	for _, m := range l.fleetOrder {
 		if !m.leaseOut && now.After(l.leaseEnd(m)) {
 			m.leaseOut = true
--- a/controller/snapshots.go
+++ b/controller/snapshots.go
@@ -14,7 +14,7 @@
 func (l *leader) usable(m *machine) bool {
 	// Where commands to many get no answer, the fault is ours, and reports carry them.
 	hears := m.unansweredSince.IsZero() || l.partitions.active[allZones]
-	return m.up && !m.releasing && !m.consolidating && !m.notice && !m.leaseOut && !l.unresponsive(m) && hears
+	return m.up && !m.releasing && !m.consolidating && !m.notice && !m.leaseOut && !l.failures.unresponsive(m) && hears
 }
 
 // view gives the scheduler its view of the machines; with booting, those that
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -40,7 +40,7 @@
 	for _, m := range l.machines {
 		m.reported, m.answered = l.c.now, l.c.now
 	}
-	l.renewed, l.listening.lastLook = l.c.now, l.c.now
+	l.renewed, l.failures.listening.lastLook = l.c.now, l.c.now
 }
 
 // runs adds a job whose tasks run on the given machines.
@@ -91,7 +91,7 @@
 		"no lease":                 {func(l *leader) { l.authority = l.c.now }, balance.NoLease},
 		"late renewals":            {func(l *leader) { l.renewed = l.c.now.Add(-time.Second) }, balance.NoLease},
 		"a new leader":             {func(l *leader) { l.elected = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
-		"a pause of the leader":    {func(l *leader) { l.listening.began = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
+		"a pause of the leader":    {func(l *leader) { l.failures.listening.began = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
 		"a machine not heard":      {func(l *leader) { l.machines["m0000"].up = false }, balance.Unheard},
 		"a partition":              {func(l *leader) { l.partitions.active = map[string]bool{"a": true} }, balance.NetworkFault},
 		"a zone recovery":          {recoverZone, balance.Recovering},
--- a/controller/zone_recovery_test.go
+++ b/controller/zone_recovery_test.go
@@ -221,7 +221,7 @@
 	}
 	listed := l.machine("i-3")
 	listed.zone, listed.typ = "b", "small"
-	l.listening.began = c.now
+	l.failures.listening.began = c.now
 	c.now = c.now.Add(l.zones.findsLeaderWithin() + time.Second)
 	if look := l.zones.health(); len(look) != 1 || look[0].Silent != 2 || look[0].Responsive != 0 {
 		t.Errorf("%+v with work on record", look)
