--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -11,11 +11,12 @@
 // its zone's network or on our side.
 
 // failureDetector is the leader's part that tells from missed heartbeats which machines have
-// failed. It owns the listening period, the time for which the leader has heard its machines
-// without a pause.
+// failed, and which leases have expired. It owns the listening period, the time for which the
+// leader has heard its machines without a pause.
 type failureDetector struct {
 	*leader
-	listening listeningPeriod
+	listening       listeningPeriod
+	leasesCheckedAt time.Time // see checkLeaseExpiry
 }
 
 // newFailureDetector returns the failure detector of a leader.
@@ -195,7 +196,7 @@
 		return false // it may be up and not have found us yet
 	}
 	if m.typ == "" { // known only from an earlier leader's placements
-		return f.c.now.After(f.leaseEnd(m)) && f.c.now.Sub(f.elected) > 3*config.Seconds(f.c.cfg.Facts.Cloud.ListLagS)
+		return f.c.now.After(f.leaseExpiry(m)) && f.c.now.Sub(f.elected) > 3*config.Seconds(f.c.cfg.Facts.Cloud.ListLagS)
 	}
 	return f.c.now.Sub(m.since) > limit
 }
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -18,8 +18,7 @@
 	machines       map[string]*machine
 	fleetOrder     []*machine // the same by name
 	toSend         []*machine // that commands may wait for
-	proofsAt       time.Time
-	consolidatedAt time.Time // see consolidate
+	consolidatedAt time.Time  // see consolidate
 	failures       *failureDetector
 	scratch        []scheduler.Machine // reused by every view
 	guaranteesAt   time.Time           // see assignGuarantees
@@ -47,7 +46,7 @@
 		return
 	}
 	l.failures.listening.observe(l.c.now)
-	l.proveGone()
+	l.failures.checkLeaseExpiry()
 	l.zones.run()
 	l.cells.run()
 	l.spreading.run()
--- a/controller/reports_test.go
+++ b/controller/reports_test.go
@@ -18,12 +18,12 @@
 	l.apply(m, &wire.Report{Machine: m.id, Session: 2, Seq: 2})
 	place(l, j, 0, m)
 	c.now = c.now.Add(time.Second)
-	l.proveGone()
+	l.failures.checkLeaseExpiry()
 	if j.attempts[0] == nil {
 		t.Fatal("an attempt of the new session is taken for gone")
 	}
 	c.now = c.now.Add(11 * time.Second)
-	l.proveGone()
+	l.failures.checkLeaseExpiry()
 	if j.attempts[0] != nil {
 		t.Fatal("a lease that has run out proves nothing")
 	}
