--- a/controller/attempt_test.go
+++ b/controller/attempt_test.go
@@ -12,7 +12,7 @@
 func TestAttemptsOnlyAdvance(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1})
 	a := place(l, j, 0, m)
 	for _, step := range []struct {
 		do   func()
@@ -20,10 +20,10 @@
 	}{
 		{func() {}, attemptRecorded},
 		{func() { l.runCommand(a) }, attemptSent},
-		{func() { l.attemptSeen(a, wire.TaskFetching) }, attemptSeen},
+		{func() { l.failures.adoptAttempt(a, wire.TaskFetching) }, attemptSeen},
 		{func() { l.runCommand(a) }, attemptSeen},
-		{func() { l.attemptSeen(a, wire.TaskRunning) }, attemptRunning},
-		{func() { l.attemptSeen(a, wire.TaskFetching) }, attemptRunning},
+		{func() { l.failures.adoptAttempt(a, wire.TaskRunning) }, attemptRunning},
+		{func() { l.failures.adoptAttempt(a, wire.TaskFetching) }, attemptRunning},
 		{func() { l.runCommand(a) }, attemptRunning},
 	} {
 		if step.do(); a.phase != step.want {
--- a/controller/authority_test.go
+++ b/controller/authority_test.go
@@ -17,7 +17,7 @@
 	}
 	c.now = l.elected.Add(life)
 	c.out = nil
-	c.report(ReportRequest{Req: 1, Report: wire.Report{Machine: "i-1"}})
+	c.answerHeartbeat(ReportRequest{Req: 1, Report: wire.Report{Machine: "i-1"}})
 	if a, ok := c.out[0].(Answer); !ok || a.Status != 421 {
 		t.Fatalf("answered %+v without authority", c.out)
 	}
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -146,7 +146,7 @@
 			l.release(m, releaseRestarted)
 			return
 		}
-		l.apply(m, &r.Report)
+		l.failures.applyHeartbeat(m, &r.Report)
 		if r.Status == http.StatusConflict && r.Report.Token <= l.token {
 			// Refused for an older token or session: what is still wanted goes again.
 			m.outbox = append(m.outbox, m.list...)
@@ -191,6 +191,6 @@
 		if r.Status == 0 || r.Report.Machine != id {
 			return
 		}
-		l.apply(l.machine(id), &r.Report)
+		l.failures.applyHeartbeat(l.machine(id), &r.Report)
 	})
 }
--- a/controller/commands_test.go
+++ b/controller/commands_test.go
@@ -13,7 +13,7 @@
 func TestForgetWaits(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	a := place(l, j, 0, m)
 	l.runCommand(a)
 	ended := wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskExited, Why: wire.WhyDone}
@@ -25,7 +25,7 @@
 		}
 		return false
 	}
-	l.apply(m, report(m, 7, ended))
+	l.failures.applyHeartbeat(m, report(m, 7, ended))
 	if j.state.Status(0) != reduction.Completed {
 		t.Fatal("a reported finish does not count")
 	}
@@ -34,7 +34,7 @@
 		t.Fatal("forgotten while a copy of its run may arrive")
 	}
 	l.token = 8
-	l.apply(m, report(m, 8, ended))
+	l.failures.applyHeartbeat(m, report(m, 8, ended))
 	j.dirty = true
 	if forgets() {
 		t.Fatal("forgotten before its finish is recorded")
@@ -50,7 +50,7 @@
 func TestStoppedBeforeItWasSent(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	place(l, j, 0, m)
 	l.finish(j, 0) // an earlier attempt, taken for lost, has finished
 	if j.attempts[0] != nil {
@@ -78,7 +78,7 @@
 	c, l, j := leading(t)
 	j.spec.EstimateS = 50
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	young, old := place(l, j, 0, m), place(l, j, 1, m)
 	for _, a := range []*attempt{young, old} {
 		a.phase, a.since = attemptRunning, c.now
@@ -93,7 +93,7 @@
 	}
 	rep := report(m, 7, tasks(young, old)...)
 	rep.NoticeS = &left
-	l.apply(m, rep)
+	l.failures.applyHeartbeat(m, rep)
 	if !young.stopping || old.stopping {
 		t.Errorf("with %v s left: stopped the one of 50 s %v, the one of 5 s %v", left, young.stopping, old.stopping)
 	}
@@ -106,7 +106,7 @@
 	for _, a := range []*attempt{young, old} {
 		rep.Tasks = append(rep.Tasks, wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskExited, Why: wire.WhyStopped})
 	}
-	l.apply(m, rep)
+	l.failures.applyHeartbeat(m, rep)
 	if l.failures.releaseFailed(); !m.releasing {
 		t.Error("kept though nothing runs on it any more")
 	}
--- a/controller/consolidation_test.go
+++ b/controller/consolidation_test.go
@@ -43,7 +43,7 @@
 		for i, n := range []int{3, 1} {
 			id := fmt.Sprintf("i-%d", i)
 			m := l.machine(id)
-			l.apply(m, &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+			l.failures.applyHeartbeat(m, &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 			m.images["img"] = c.cached
 			for k := range n {
 				run(fmt.Sprintf("req-%d%d", i, k), wire.KindService, m)
--- a/controller/core.go
+++ b/controller/core.go
@@ -154,7 +154,7 @@
 	case UserRequest:
 		c.user(in)
 	case ReportRequest:
-		c.report(in)
+		c.answerHeartbeat(in)
 	case MeshMessage:
 		c.meshMessage(in.Envelope)
 	case CellReply:
--- a/controller/failure_detector_test.go
+++ b/controller/failure_detector_test.go
@@ -25,10 +25,10 @@
 func TestMachineThatHearsNothing(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	for i := range 8 {
 		o := l.machine(fmt.Sprintf("i-2%d", i))
-		l.apply(o, &wire.Report{Machine: o.id, Session: 1, Seq: 1, Token: 7})
+		l.failures.applyHeartbeat(o, &wire.Report{Machine: o.id, Session: 1, Seq: 1, Token: 7})
 	}
 	l.runCommand(place(l, j, 0, m))
 	call := func(status int) {
@@ -38,7 +38,7 @@
 		resume(c.workerCalls, id, WorkerReply{Status: status, Report: *report(m, 7)})
 	}
 	call(0)
-	l.apply(m, report(m, 7))
+	l.failures.applyHeartbeat(m, report(m, 7))
 	l.partitions.observe(l.c.now, l.failures.countSilent())
 	if l.usable(m) {
 		t.Fatal("new work for a machine that hears nothing")
@@ -56,7 +56,7 @@
 	c.op.IdleS = 3600 // none is returned as idle
 	for i := range 20 {
 		id := fmt.Sprintf("i-%02d", i)
-		l.apply(l.machine(id), &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+		l.failures.applyHeartbeat(l.machine(id), &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 	}
 	c.types["t"] = wire.MachineType{Name: "t", CPUs: 4, BootS: 5}
 	step := func(d time.Duration) {
@@ -102,7 +102,7 @@
 	others := l.addJob("req-000002", &headerRecord{Job: wire.Job{ID: "req-000002", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, PerChunk: 20})
 	for i := range 20 {
 		m := l.machine(fmt.Sprintf("i-%02d", i))
-		l.apply(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+		l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 		place(l, others, i, m)
 	}
 	asked, unknown := l.machine("j-0"), l.machine("j-1")
@@ -117,7 +117,7 @@
 		seq++
 		for id, m := range l.machines {
 			if m.up {
-				l.apply(m, &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: seq, Token: 7})
+				l.failures.applyHeartbeat(m, &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: seq, Token: 7})
 			}
 		}
 		l.run()
@@ -148,7 +148,7 @@
 		var ms []*machine
 		for i, p := range []string{"prod", priority, priority, priority} {
 			m := l.machine(fmt.Sprintf("i-%d", i))
-			l.apply(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+			l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 			id := fmt.Sprintf("req-1%d", i)
 			j := l.addJob(id, &headerRecord{PerChunk: 1, Job: wire.Job{ID: id, Kind: wire.KindService, Priority: p, Tasks: 1, CPUs: 4}})
 			a := place(l, j, 0, m)
@@ -159,7 +159,7 @@
 		c.now = c.now.Add(l.failures.suspectAfter() + time.Second)
 		l.authority, l.failures.listening.lastLook = c.now.Add(time.Second), c.now
 		for _, m := range ms[1:] {
-			l.apply(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 2, Token: 7,
+			l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 2, Token: 7,
 				Tasks: []wire.Task{{ID: m.list[0].taskID(), Attempt: 1, State: wire.TaskRunning}}})
 		}
 		ms[0].unanswered = true
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -13,9 +13,9 @@
 func TestNewSessionHasALeaseOfItsOwn(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1})
 	c.now = c.now.Add(10 * time.Second)
-	l.apply(m, &wire.Report{Machine: m.id, Session: 2, Seq: 2})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 2, Seq: 2})
 	place(l, j, 0, m)
 	c.now = c.now.Add(time.Second)
 	l.failures.checkLeaseExpiry()
@@ -34,22 +34,22 @@
 func TestAbsenceNeedsAHigherToken(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	a := place(l, j, 0, m)
 	l.runCommand(a)
-	l.apply(m, report(m, 7))
+	l.failures.applyHeartbeat(m, report(m, 7))
 	if j.attempts[0] == nil {
 		t.Fatal("gone while its run may still arrive")
 	}
 	l.token = 8
-	l.apply(m, report(m, 8))
+	l.failures.applyHeartbeat(m, report(m, 8))
 	if j.attempts[0] != nil {
 		t.Fatal("not gone though no copy can run")
 	}
 	// An earlier leader's run may have carried any token below our first.
 	b := place(l, j, 1, m)
 	b.phase, b.token = attemptSent, l.token-1
-	l.apply(m, report(m, 7))
+	l.failures.applyHeartbeat(m, report(m, 7))
 	if j.attempts[1] == nil {
 		t.Fatal("gone on the word of a worker that has not seen our token")
 	}
@@ -73,12 +73,12 @@
 func TestVanishedAttemptRaisesTheToken(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	a := place(l, j, 0, m)
 	l.runCommand(a)
-	l.apply(m, report(m, 7, wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskRunning}))
+	l.failures.applyHeartbeat(m, report(m, 7, wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskRunning}))
 	c.now = c.now.Add(raisePause)
-	l.apply(m, report(m, 7))
+	l.failures.applyHeartbeat(m, report(m, 7))
 	if j.attempts[0] == nil || !l.raisingToken {
 		t.Fatalf("in force %v, raising %v", j.attempts[0] != nil, l.raisingToken)
 	}
@@ -90,7 +90,7 @@
 	c, l, _ := leading(t)
 	copied := wire.Report{Machine: "i-1", Addr: "10.0.0.1:9000", Session: 1, Seq: 5, Token: 6}
 	c.out = nil
-	c.report(ReportRequest{Req: 1, Report: copied})
+	c.answerHeartbeat(ReportRequest{Req: 1, Report: copied})
 	if l.machine("i-1").up {
 		t.Fatal("up by a report that may be a copy")
 	}
@@ -103,7 +103,7 @@
 		t.Fatal("the machine is not asked")
 	}
 	copied.Token, copied.Seq = 7, 6
-	if c.report(ReportRequest{Req: 2, Report: copied}); !l.machine("i-1").up {
+	if c.answerHeartbeat(ReportRequest{Req: 2, Report: copied}); !l.machine("i-1").up {
 		t.Fatal("not up though it has seen our token")
 	}
 }
@@ -114,7 +114,7 @@
 func TestMachineThatCountsAnewIsReleased(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 3, Seq: 70, Token: 7})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 3, Seq: 70, Token: 7})
 	l.runCommand(place(l, j, 0, m))
 	l.command(m, nil)
 	id := c.out[len(c.out)-1].(WorkerCall).ID
@@ -133,11 +133,11 @@
 	_, l, j := leading(t)
 	l.restore(j, 0, &taskRecord{Next: 1, Placed: []placedRecord{{Task: 0, Attempt: 1, Machine: "i-1", Session: 1, Zone: "a"}}}, 5)
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 6})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 6})
 	if cs := l.commands(m); len(cs) != 0 || j.attempts[0] == nil {
 		t.Fatalf("commands %v, in force %v", cs, j.attempts[0] != nil)
 	}
-	l.apply(m, report(m, 7))
+	l.failures.applyHeartbeat(m, report(m, 7))
 	if j.attempts[0] != nil {
 		t.Fatal("in force though the machine, which has seen our token, does not list it")
 	}
@@ -150,7 +150,7 @@
 	c.setTypes([]wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 8, Zones: []string{"a"}}})
 	for i := range 300 {
 		m := l.machine(fmt.Sprintf("i-%03d", i))
-		l.apply(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+		l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 	}
 	c.Step(c.now.Add(time.Second), Tick{})
 	l.view(false)
--- a/controller/lease_expiry.go
+++ b/controller/lease_expiry.go
@@ -14,7 +14,7 @@
 // A proof is why an attempt is known to be gone, as the log tells it.
 type proof string
 
-// The proofs beside what a worker reports itself.
+// The proofs beside what a worker's heartbeat says itself.
 const (
 	proofNeverSent       proof = "never sent"         // its run, and it will not be
 	proofMachineReleased proof = "machine released"   // the cloud has confirmed it
@@ -22,8 +22,8 @@
 	proofAbsent          proof = "not on its machine" // in a report newer than any copy of its run
 )
 
-// proofReported is what a worker says of an attempt that has ended.
-func proofReported(why string) proof { return proof(why) }
+// proofFromHeartbeat is what a worker's heartbeat says of an attempt that has ended.
+func proofFromHeartbeat(why string) proof { return proof(why) }
 
 // leaseCheckInterval is how often the leases of all machines are checked for expiry.
 const leaseCheckInterval = 100 * time.Millisecond
--- a/controller/placement_test.go
+++ b/controller/placement_test.go
@@ -16,7 +16,7 @@
 	c.cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 1}}
 	c.setTypes([]wire.MachineType{{Name: "t", CPUs: 2, MemoryGB: 8, FetchGBps: 0.1, BootS: 20, Zones: []string{"a"}}})
 	up, boots := l.machine("i-1"), l.machine("i-2")
-	l.apply(up, &wire.Report{Machine: up.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+	l.failures.applyHeartbeat(up, &wire.Report{Machine: up.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 	boots.typ, boots.zone = "t", "a"
 	for task := range 2 {
 		a := place(l, batch, task, up)
@@ -48,7 +48,7 @@
 	c.setTypes([]wire.MachineType{{Name: "t", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}})
 	c.quotas["red"] = quotaOf(config.Team{CPUs: 100, CPUsMax: 100})
 	m := l.machine("i-1")
-	l.apply(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 	array := wire.Job{ID: "req-000002", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 4, CPUs: 1}
 	service := wire.Job{ID: "req-000003", Team: "red", Kind: wire.KindService, Priority: "prod", Tasks: 3, CPUs: 1}
 	l.jobs, l.order = map[string]*job{}, nil
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -92,7 +92,7 @@
 		return
 	}
 	c.relays.serving[in.Req] = relayOrigin{from, r.Id}
-	c.report(in)
+	c.answerHeartbeat(in)
 }
 
 // answerRelayed sends an answer back over the mesh if its request came that way.
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -226,7 +226,7 @@
 	}
 	rep := report(from, l.token, others...)
 	rep.Addr, rep.Type, rep.Zone = from.addr, from.typ, from.zone
-	l.apply(from, rep)
+	l.failures.applyHeartbeat(from, rep)
 	l.spreading.run()
 	if ds := l.spreading.withoutHeld(l.demands()); len(ds) != 1 || len(ds[0].Tasks) != 0 {
 		t.Errorf("room would be rented for a task that has some held: %+v", ds)
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -109,7 +109,7 @@
 	c, l, _ := continuing(t, beforeChains)
 	j := l.jobs["req-000001"]
 	end := func(task int) {
-		l.gone(j.attempts[task], reduction.Succeeded, proofReported(wire.WhyDone))
+		l.gone(j.attempts[task], reduction.Succeeded, proofFromHeartbeat(wire.WhyDone))
 		j.urgent = true
 	}
 	end(150)
