--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -8,7 +8,7 @@
 )
 
 // The failure detector: which machines are suspected, and whether the fault is on the machine, in
-// its zone's network or on our side.
+// its zone's network or on the leader's side.
 
 // failureDetector is the leader's part that tells from missed heartbeats which machines have
 // failed, and which leases have expired. It owns the listening period, the time for which the
@@ -26,14 +26,14 @@
 type failureScan struct {
 	*failureDetector
 	unheard   map[string]bool      // zones, see unheardZones
-	found     bool                 // most machines of an earlier leader have reported to us
+	found     bool                 // most machines of an earlier leader have sent heartbeats to this one
 	elsewhere []*scheduler.Machine // room for what moves; nil: not drawn yet
 }
 
 // releaseFailed decides, of each machine that is suspected, between waiting its lease out and
 // releasing it.
 func (f *failureDetector) releaseFailed() {
-	scan := &failureScan{failureDetector: f, unheard: f.unheardZones(), found: f.mostMachinesReported()}
+	scan := &failureScan{failureDetector: f, unheard: f.unheardZones(), found: f.mostMachinesReconnected()}
 	for _, m := range f.fleetOrder {
 		switch {
 		case m.releasing:
@@ -45,7 +45,7 @@
 	}
 }
 
-// checkNotUp looks at a machine that has not reported to this leader.
+// checkNotUp looks at a machine that has sent no heartbeat to this leader.
 func (s *failureScan) checkNotUp(m *machine) {
 	hint := s.c.hints[m.id]
 	switch {
@@ -58,7 +58,7 @@
 	}
 }
 
-// checkUp looks at a machine that has reported.
+// checkUp looks at a machine that has sent heartbeats to this leader.
 func (s *failureScan) checkUp(m *machine) {
 	switch {
 	case faulty(m) && len(m.attempts) == 0:
@@ -68,7 +68,7 @@
 	case s.failed(m):
 		s.release(m, releaseSilent)
 	case (s.heartbeatOverdue(m) || !m.unansweredSince.IsZero()) && !m.callInFlight && !s.c.now.Before(m.probeAt):
-		s.command(m, nil) // it may be only its reports, or only our answers, that don't arrive
+		s.command(m, nil) // it may be only its heartbeats, or only the answers, that don't arrive
 	}
 }
 
@@ -115,41 +115,43 @@
 	return machines
 }
 
-// since is how much of the time since then we have listened for.
-func (f *failureDetector) since(then time.Time) time.Duration {
+// listenedSince is how much of the time since then the leader has listened for heartbeats.
+func (f *failureDetector) listenedSince(then time.Time) time.Duration {
 	return f.listening.elapsed(f.c.now, then)
 }
 
-// sinceHeartbeat is how long a machine has not been heard of.
-func (f *failureDetector) sinceHeartbeat(m *machine) time.Duration { return f.since(m.reported) }
+// sinceHeartbeat is how long a machine has sent no heartbeat.
+func (f *failureDetector) sinceHeartbeat(m *machine) time.Duration {
+	return f.listenedSince(m.reported)
+}
 
-// reportDue is how long after a report the next one should have come, with slack.
-func (f *failureDetector) reportDue(slack time.Duration) time.Duration {
+// heartbeatDue is how long after a heartbeat the next one should have come, with slack.
+func (f *failureDetector) heartbeatDue(slack time.Duration) time.Duration {
 	return config.Seconds(f.c.cfg.Facts.Workers.ReportS*1.25) + slack
 }
 
-// heartbeatOverdue reports whether a machine's report is overdue.
+// heartbeatOverdue reports whether a machine's next heartbeat is overdue.
 func (f *failureDetector) heartbeatOverdue(m *machine) bool {
-	return f.sinceHeartbeat(m) > f.reportDue(250*time.Millisecond)
+	return f.sinceHeartbeat(m) > f.heartbeatDue(250*time.Millisecond)
 }
 
-// unresponsive reports whether a machine has not been heard of for too long to be given
+// unresponsive reports whether a machine has sent no heartbeat for too long to be given
 // new work.
 func (f *failureDetector) unresponsive(m *machine) bool {
-	return f.sinceHeartbeat(m) > f.reportDue(time.Second)
+	return f.sinceHeartbeat(m) > f.heartbeatDue(time.Second)
 }
 
-// unreachableFor is how long a machine has not answered commands, whatever it reports.
+// unreachableFor is how long a machine has not answered commands, whatever its heartbeats say.
 func (f *failureDetector) unreachableFor(m *machine) time.Duration {
 	if m.unreachableSince.IsZero() {
 		return 0
 	}
-	return f.since(m.unreachableSince)
+	return f.listenedSince(m.unreachableSince)
 }
 
-// mostMachinesReported reports whether most machines that an earlier leader placed work on
-// have found us.
-func (f *failureDetector) mostMachinesReported() bool {
+// mostMachinesReconnected reports whether most machines that an earlier leader placed work on
+// have sent heartbeats to this leader since the failover.
+func (f *failureDetector) mostMachinesReconnected() bool {
 	missing, all := 0, 0
 	for _, o := range f.machines {
 		if len(o.attempts) > 0 {
@@ -163,14 +165,14 @@
 }
 
 // overdueSinceElection reports whether a machine with work of an earlier leader should
-// have found us by now. One that didn't answer when it was asked is like any other
+// have found this leader by now. One that didn't answer when it was asked is like any other
 // that has fallen silent; where nobody could ask, its worker may still be looking.
 func (f *failureDetector) overdueSinceElection(m *machine) bool {
 	limit := f.suspectAfter() + time.Second
 	if !m.unanswered {
 		limit += config.Seconds(2 * f.c.cfg.Facts.Workers.ReportS)
 	}
-	return len(m.attempts) > 0 && f.since(f.elected) > limit
+	return len(m.attempts) > 0 && f.listenedSince(f.elected) > limit
 }
 
 // canMove reports whether what a machine runs has room elsewhere now. If not,
@@ -192,7 +194,7 @@
 		boot = t.BootS
 	}
 	limit := config.Seconds(boot*2.5) + 10*time.Second
-	if f.since(f.elected) < config.Seconds(f.c.cfg.Facts.Workers.LeaseS) {
+	if f.listenedSince(f.elected) < config.Seconds(f.c.cfg.Facts.Workers.LeaseS) {
 		return false // it may be up and not have found us yet
 	}
 	if m.typ == "" { // known only from an earlier leader's placements
@@ -221,9 +223,9 @@
 }
 
 // suspectAfter is how long a machine may be silent before it is suspected: a share of
-// its lease, but never less than a report may take.
+// its lease, but never less than a heartbeat may take.
 func (f *failureDetector) suspectAfter() time.Duration {
-	return max(config.Seconds(f.c.op.SilentShare*f.c.cfg.Facts.Workers.LeaseS), f.reportDue(time.Second))
+	return max(config.Seconds(f.c.op.SilentShare*f.c.cfg.Facts.Workers.LeaseS), f.heartbeatDue(time.Second))
 }
 
 // Forwarders for callers in files that still call these on the leader.
--- a/controller/failure_detector_test.go
+++ b/controller/failure_detector_test.go
@@ -125,7 +125,7 @@
 			resume(c.workerCalls, id, WorkerReply{ID: id}) // no answer
 		}
 	}
-	for l.failures.since(l.elected) <= l.failures.suspectAfter() {
+	for l.failures.listenedSince(l.elected) <= l.failures.suspectAfter() {
 		step()
 	}
 	if asked.releasing || unknown.releasing {
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -69,8 +69,8 @@
 // its way to the workers would release them.
 func (f *failureDetector) unheardZones() map[string]bool {
 	const (
-		part  = 4 // of the time between two reports
-		least = 2 // reports that must have been due
+		part  = 4 // of the time between two heartbeats
+		least = 2 // heartbeats that must have been due
 	)
 	window := config.Seconds(f.c.cfg.Facts.Workers.ReportS / part)
 	all, heard := map[string]int{}, map[string]int{}
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -77,7 +77,7 @@
 // machine that runs something has reported to it.
 func (s *spreading) allReported() bool {
 	now := s.c.now
-	if now.Sub(s.elected) <= s.findsLeaderWithin() || now.Sub(s.failures.listening.began) <= s.failures.reportDue(time.Second) {
+	if now.Sub(s.elected) <= s.findsLeaderWithin() || now.Sub(s.failures.listening.began) <= s.failures.heartbeatDue(time.Second) {
 		return false
 	}
 	return !slices.ContainsFunc(s.fleetOrder, func(m *machine) bool { return len(m.attempts) > 0 && !m.up })
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -76,12 +76,12 @@
 // longer to find a new leader.
 func (z *zoneRecovery) observerTrusted() bool {
 	now := z.c.now
-	return now.Before(z.authority) && now.Sub(z.failures.listening.began) > z.failures.reportDue(time.Second) && now.Sub(z.elected) > z.findsLeaderWithin()
+	return now.Before(z.authority) && now.Sub(z.failures.listening.began) > z.failures.heartbeatDue(time.Second) && now.Sub(z.elected) > z.findsLeaderWithin()
 }
 
 // findsLeaderWithin is how long the workers of healthy zones take to report to a new leader.
 func (l *leader) findsLeaderWithin() time.Duration {
-	return l.failures.reportDue(time.Second) + config.Seconds(l.c.cfg.Facts.Workers.ReportS)
+	return l.failures.heartbeatDue(time.Second) + config.Seconds(l.c.cfg.Facts.Workers.ReportS)
 }
 
 // health counts the machines of every zone by whether they report. A zone whose reports arrive by
@@ -138,7 +138,7 @@
 	switch {
 	case m.up:
 		return z.failures.unresponsive(m), true
-	case len(m.attempts) > 0 && z.failures.since(m.since) > z.findsLeaderWithin():
+	case len(m.attempts) > 0 && z.failures.listenedSince(m.since) > z.findsLeaderWithin():
 		return true, true // it runs what an earlier leader has placed there
 	}
 	return false, false
