--- a/controller/chains_test.go
+++ b/controller/chains_test.go
@@ -73,15 +73,15 @@
 	if !second.cancelled || c.jobState(second.id).State != wire.StateCancelled {
 		t.Fatalf("the job that needs it: %v", c.jobState(second.id))
 	}
-	if w := l.compose(first); w != nil {
+	if w := l.writes.compose(first); w != nil {
 		t.Fatalf("its end is written: %+v", w.txn)
 	}
-	w := l.compose(second)
+	w := l.writes.compose(second)
 	if w == nil || w.final == nil || !w.final.Cancelled {
 		t.Fatalf("the end of the job that needs it: %+v", w)
 	}
 	c.headerChanged(second.id, nil)
-	if w := l.compose(first); !first.dirty || w == nil || w.final == nil {
+	if w := l.writes.compose(first); !first.dirty || w == nil || w.final == nil {
 		t.Fatalf("dirty %v, its end: %+v", first.dirty, w)
 	}
 }
--- a/controller/election.go
+++ b/controller/election.go
@@ -89,6 +89,7 @@
 	l.budget.setRate(c.now, c.writeRate())
 	l.fleet.init()
 	l.failures = newFailureDetector(l)
+	l.writes = &writeQueue{leader: l}
 	l.zones = newZoneRecovery(l)
 	l.cells = newCellSide(l)
 	l.spreading = newSpreading(l)
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -20,6 +20,7 @@
 	toSend         []*machine // that commands may wait for
 	consolidatedAt time.Time  // see consolidate
 	failures       *failureDetector
+	writes         *writeQueue
 	scratch        []scheduler.Machine // reused by every view
 	guaranteesAt   time.Time           // see assignGuarantees
 	released       map[string]time.Time
@@ -51,7 +52,7 @@
 	l.cells.run()
 	l.spreading.run()
 	l.place()
-	l.flush()
+	l.writes.flush()
 	l.zones.keepRecords()
 	l.sendCommands()
 	l.runFleet()
--- a/controller/rentals_test.go
+++ b/controller/rentals_test.go
@@ -172,7 +172,7 @@
 		for _, j := range l.order {
 			j.chunks[0].dirty, j.dirty, j.urgent, j.dirtyAt, j.write = true, true, false, c.now.Add(-time.Minute), nil
 		}
-		l.flush()
+		l.writes.flush()
 	}
 	if len(l.obsoleteKeys) > 0 {
 		t.Errorf("%v is never deleted while there are counts to write", l.obsoleteKeys)
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -115,20 +115,20 @@
 	end(150)
 	members(c, thisVersion)
 	c.control.members["n2"] = 0 // not upgraded yet
-	w := l.compose(j)
+	w := l.writes.compose(j)
 	if j.divided || len(w.txn.Then) != 1 || w.txn.Then[0].Put != chunkKey(j.id, 0) {
 		t.Fatalf("small %v, writes %+v", j.divided, w.txn.Then)
 	}
 	j.undo(w)
 	members(c, thisVersion)
 	var changes []wire.Change
-	for w = l.compose(j); w != nil; w = l.compose(j) {
+	for w = l.writes.compose(j); w != nil; w = l.writes.compose(j) {
 		if len(w.txn.Then) > 5 {
 			t.Errorf("%d changes", len(w.txn.Then))
 		}
 		changes = append(changes, w.txn.Then...)
 		j.write = w
-		l.confirm(j, uint64(50+len(changes)))
+		l.writes.confirm(j, uint64(50+len(changes)))
 	}
 	if !j.divided || len(changes) == 0 {
 		t.Fatalf("small %v, writes %+v", j.divided, changes)
--- a/controller/write_queue_test.go
+++ b/controller/write_queue_test.go
@@ -19,13 +19,13 @@
 	j.urgent = true // as a placement's write is
 	l.budget.all = rate.NewLimiter(1, 1)
 	l.budget.spend(c.now, 1, true)
-	l.flush()
+	l.writes.flush()
 	if j.write != nil || !j.dirty || !j.chunks[0].dirty {
 		t.Fatal("a refused write is lost")
 	}
 	c.now = c.now.Add(time.Second)
 	l.extend(c.now, c.op.LeaderLifetime())
-	l.flush()
+	l.writes.flush()
 	if j.write == nil {
 		t.Fatal("not written once the budget allows")
 	}
@@ -42,7 +42,7 @@
 	}
 	for range 10 {
 		c.now = c.now.Add(time.Second)
-		l.deleteObsolete()
+		l.writes.deleteObsolete()
 	}
 	if n := len(l.obsoleteKeys); n > 0 {
 		t.Errorf("%d of 100 records are left after ten seconds", n)
@@ -55,7 +55,7 @@
 	spec := wire.Job{ID: "req-000002", Kind: wire.KindArray, Priority: "standard", Tasks: 1, CPUs: 1}
 	c.headerChanged(spec.ID, &headerRecord{Job: spec, Cancelled: true, PerChunk: 10})
 	j := l.jobs[spec.ID]
-	if w := l.compose(j); !j.dirty || w == nil || w.final == nil || !w.final.Cancelled {
+	if w := l.writes.compose(j); !j.dirty || w == nil || w.final == nil || !w.final.Cancelled {
 		t.Fatalf("dirty %v, write %+v: its end is never written", j.dirty, w)
 	}
 }
