--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -8,9 +8,9 @@
 	"pumicefront/wire"
 )
 
-// The answer to a direct command may be the first to show a new session. What is
-// placed in it must not be taken for lost when the old session's time is up.
-func TestNewSessionHasALeaseOfItsOwn(t *testing.T) {
+// The answer to a direct command may be the first to show a new agent epoch. What is
+// placed in it must not be taken for lost when the old epoch's lease expires.
+func TestNewAgentEpochHasALeaseOfItsOwn(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1})
@@ -29,9 +29,9 @@
 	}
 }
 
-// A report that does not list an attempt proves it gone only when no copy of its
+// A heartbeat that does not list an attempt proves it gone only when no copy of its
 // run can still arrive.
-func TestAbsenceNeedsAHigherToken(t *testing.T) {
+func TestAbsenceNeedsAHigherFencingToken(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
@@ -69,8 +69,8 @@
 }
 
 // What a machine ran and no longer lists, in the same stint, is settled by a
-// raised token.
-func TestVanishedAttemptRaisesTheToken(t *testing.T) {
+// raised fencing token.
+func TestVanishedAttemptRaisesTheFencingToken(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
@@ -84,7 +84,7 @@
 	}
 }
 
-// A report made before the election may be a late copy, of a machine that is gone:
+// A heartbeat made before the election may be a late copy, of a machine that is gone:
 // the machine itself has to be heard before it counts as up.
 func TestLateCopyRevivesNoMachine(t *testing.T) {
 	c, l, _ := leading(t)
@@ -143,9 +143,9 @@
 	}
 }
 
-// A report in which nothing has changed costs its answer and one machine's picture,
+// A heartbeat in which nothing has changed costs its answer and one machine's picture,
 // however many machines there are.
-func TestIdleReportCostsLittle(t *testing.T) {
+func TestIdleHeartbeatCostsLittle(t *testing.T) {
 	c, l, _ := leading(t)
 	c.setTypes([]wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 8, Zones: []string{"a"}}})
 	for i := range 300 {
