--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -135,7 +135,7 @@
 		d.Gang = false // request only what is missing
 		used[d.Team] = used[d.Team].Add(d.Each, float64(min(len(d.Tasks), d.RoomInTeam)))
 	}
-	return append(ds, s.replacements()...)
+	return append(ds, s.failures.replacements()...)
 }
 
 // expectedArrivals estimates the size of the batch work that comes before a machine requested
--- a/controller/cloud_listing.go
+++ b/controller/cloud_listing.go
@@ -103,7 +103,7 @@
 	if !m.up {
 		m.typ, m.zone, m.spot, m.addr = it.Type, it.Zone, it.Spot, it.Addr
 	}
-	if it.State == wire.MachineFailed && (!m.up || s.unresponsive(m)) {
+	if it.State == wire.MachineFailed && (!m.up || s.failures.unresponsive(m)) {
 		s.release(m, releaseFailedMachine)
 	}
 }
--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -8,21 +8,33 @@
 )
 
 // The failure detector: which machines are suspected, and whether the fault is on the machine, in
-// its zone's network or on our side.
+// its zone's network or on the leader's side.
+
+// failureDetector is the leader's part that tells from missed heartbeats which machines have
+// failed, and which leases have expired. It owns the listening period, the time for which the
+// leader has heard its machines without a pause.
+type failureDetector struct {
+	*leader
+	listening       listeningPeriod
+	leasesCheckedAt time.Time // see checkLeaseExpiry
+}
+
+// newFailureDetector returns the failure detector of a leader.
+func newFailureDetector(l *leader) *failureDetector { return &failureDetector{leader: l} }
 
 // failureScan is one look at all machines.
 type failureScan struct {
-	*leader
+	*failureDetector
 	unheard   map[string]bool      // zones, see unheardZones
-	found     bool                 // most machines of an earlier leader have reported to us
+	found     bool                 // most machines of an earlier leader have sent heartbeats to this one
 	elsewhere []*scheduler.Machine // room for what moves; nil: not drawn yet
 }
 
 // releaseFailed decides, of each machine that is suspected, between waiting its lease out and
 // releasing it.
-func (l *leader) releaseFailed() {
-	scan := &failureScan{leader: l, unheard: l.unheardZones(), found: l.mostMachinesReported()}
-	for _, m := range l.fleetOrder {
+func (f *failureDetector) releaseFailed() {
+	scan := &failureScan{failureDetector: f, unheard: f.unheardZones(), found: f.mostMachinesReconnected()}
+	for _, m := range f.fleetOrder {
 		switch {
 		case m.releasing:
 		case m.up:
@@ -33,7 +45,7 @@
 	}
 }
 
-// checkNotUp looks at a machine that has not reported to this leader.
+// checkNotUp looks at a machine that has sent no heartbeat to this leader.
 func (s *failureScan) checkNotUp(m *machine) {
 	hint := s.c.hints[m.id]
 	switch {
@@ -46,7 +58,7 @@
 	}
 }
 
-// checkUp looks at a machine that has reported.
+// checkUp looks at a machine that has sent heartbeats to this leader.
 func (s *failureScan) checkUp(m *machine) {
 	switch {
 	case s.faulty(m) && len(m.attempts) == 0:
@@ -56,7 +68,7 @@
 	case s.failed(m):
 		s.release(m, releaseSilent)
 	case (s.heartbeatOverdue(m) || !m.unansweredSince.IsZero()) && !m.callInFlight && !s.c.now.Before(m.probeAt):
-		s.command(m, nil) // it may be only its reports, or only our answers, that don't arrive
+		s.command(m, nil) // it may be only its heartbeats, or only the answers, that don't arrive
 	}
 }
 
@@ -87,12 +99,12 @@
 	if s.elsewhere == nil {
 		s.elsewhere = s.roomForReplicas()
 	}
-	return s.leader.canMove(m, s.elsewhere)
+	return s.failureDetector.canMove(m, s.elsewhere)
 }
 
 // roomForReplicas is the view of the machines in which lower work gives way to replicas.
-func (l *leader) roomForReplicas() []*scheduler.Machine {
-	machines := l.view(false)
+func (f *failureDetector) roomForReplicas() []*scheduler.Machine {
+	machines := f.view(false)
 	for _, m := range machines {
 		for _, task := range m.Tasks {
 			if task.Rank > 0 {
@@ -103,41 +115,45 @@
 	return machines
 }
 
-// since is how much of the time since then we have listened for.
-func (l *leader) since(then time.Time) time.Duration { return l.listening.elapsed(l.c.now, then) }
+// listenedSince is how much of the time since then the leader has listened for heartbeats.
+func (f *failureDetector) listenedSince(then time.Time) time.Duration {
+	return f.listening.elapsed(f.c.now, then)
+}
 
-// sinceHeartbeat is how long a machine has not been heard of.
-func (l *leader) sinceHeartbeat(m *machine) time.Duration { return l.since(m.reported) }
+// sinceHeartbeat is how long a machine has sent no heartbeat.
+func (f *failureDetector) sinceHeartbeat(m *machine) time.Duration {
+	return f.listenedSince(m.reported)
+}
 
-// reportDue is how long after a report the next one should have come, with slack.
-func (l *leader) reportDue(slack time.Duration) time.Duration {
-	return config.Seconds(l.c.cfg.Facts.Workers.ReportS*1.25) + slack
+// heartbeatDue is how long after a heartbeat the next one should have come, with slack.
+func (f *failureDetector) heartbeatDue(slack time.Duration) time.Duration {
+	return config.Seconds(f.c.cfg.Facts.Workers.ReportS*1.25) + slack
 }
 
-// heartbeatOverdue reports whether a machine's report is overdue.
-func (l *leader) heartbeatOverdue(m *machine) bool {
-	return l.sinceHeartbeat(m) > l.reportDue(250*time.Millisecond)
+// heartbeatOverdue reports whether a machine's next heartbeat is overdue.
+func (f *failureDetector) heartbeatOverdue(m *machine) bool {
+	return f.sinceHeartbeat(m) > f.heartbeatDue(250*time.Millisecond)
 }
 
-// unresponsive reports whether a machine has not been heard of for too long to be given
+// unresponsive reports whether a machine has sent no heartbeat for too long to be given
 // new work.
-func (l *leader) unresponsive(m *machine) bool {
-	return l.sinceHeartbeat(m) > l.reportDue(time.Second)
+func (f *failureDetector) unresponsive(m *machine) bool {
+	return f.sinceHeartbeat(m) > f.heartbeatDue(time.Second)
 }
 
-// unreachableFor is how long a machine has not answered commands, whatever it reports.
-func (l *leader) unreachableFor(m *machine) time.Duration {
+// unreachableFor is how long a machine has not answered commands, whatever its heartbeats say.
+func (f *failureDetector) unreachableFor(m *machine) time.Duration {
 	if m.unreachableSince.IsZero() {
 		return 0
 	}
-	return l.since(m.unreachableSince)
+	return f.listenedSince(m.unreachableSince)
 }
 
-// mostMachinesReported reports whether most machines that an earlier leader placed work on
-// have found us.
-func (l *leader) mostMachinesReported() bool {
+// mostMachinesReconnected reports whether most machines that an earlier leader placed work on
+// have sent heartbeats to this leader since the failover.
+func (f *failureDetector) mostMachinesReconnected() bool {
 	missing, all := 0, 0
-	for _, o := range l.machines {
+	for _, o := range f.machines {
 		if len(o.attempts) > 0 {
 			all++
 			if !o.up {
@@ -149,21 +165,21 @@
 }
 
 // overdueSinceElection reports whether a machine with work of an earlier leader should
-// have found us by now. One that didn't answer when it was asked is like any other
+// have found this leader by now. One that didn't answer when it was asked is like any other
 // that has fallen silent; where nobody could ask, its worker may still be looking.
-func (l *leader) overdueSinceElection(m *machine) bool {
-	limit := l.suspectAfter() + time.Second
+func (f *failureDetector) overdueSinceElection(m *machine) bool {
+	limit := f.suspectAfter() + time.Second
 	if !m.unanswered {
-		limit += config.Seconds(2 * l.c.cfg.Facts.Workers.ReportS)
+		limit += config.Seconds(2 * f.c.cfg.Facts.Workers.ReportS)
 	}
-	return len(m.attempts) > 0 && l.since(l.elected) > limit
+	return len(m.attempts) > 0 && f.listenedSince(f.elected) > limit
 }
 
 // canMove reports whether what a machine runs has room elsewhere now. If not,
 // releasing it early gains nothing over waiting its lease out.
-func (l *leader) canMove(m *machine, machines []*scheduler.Machine) bool {
+func (f *failureDetector) canMove(m *machine, machines []*scheduler.Machine) bool {
 	for _, a := range m.list {
-		d := l.c.demandOf(&a.job.spec)
+		d := f.c.demandOf(&a.job.spec)
 		d.Tasks, d.RoomInTeam = []int{a.task}, 1
 		if d.Rank == 0 && len(scheduler.Place(machines, d)) == 0 {
 			return false
@@ -172,32 +188,32 @@
 	return true
 }
 
-func (l *leader) bootedTooLong(m *machine) bool {
+func (f *failureDetector) bootedTooLong(m *machine) bool {
 	boot := 60.0
-	if t, ok := l.c.types[m.typ]; ok {
+	if t, ok := f.c.types[m.typ]; ok {
 		boot = t.BootS
 	}
 	limit := config.Seconds(boot*2.5) + 10*time.Second
-	if l.since(l.elected) < config.Seconds(l.c.cfg.Facts.Workers.LeaseS) {
+	if f.listenedSince(f.elected) < config.Seconds(f.c.cfg.Facts.Workers.LeaseS) {
 		return false // it may be up and not have found us yet
 	}
 	if m.typ == "" { // known only from an earlier leader's placements
-		return l.c.now.After(l.leaseEnd(m)) && l.c.now.Sub(l.elected) > 3*config.Seconds(l.c.cfg.Facts.Cloud.ListLagS)
+		return f.c.now.After(f.leaseExpiry(m)) && f.c.now.Sub(f.elected) > 3*config.Seconds(f.c.cfg.Facts.Cloud.ListLagS)
 	}
-	return l.c.now.Sub(m.since) > limit
+	return f.c.now.Sub(m.since) > limit
 }
 
 // replacements lists the services on machines that have gone silent: the machines to
 // take them over boot while the proof that they are gone is waited for.
-func (l *leader) replacements() []*scheduler.Demand {
+func (f *failureDetector) replacements() []*scheduler.Demand {
 	var ds []*scheduler.Demand
-	for _, m := range l.fleetOrder {
-		suspected := max(l.sinceHeartbeat(m), l.unreachableFor(m)) > l.suspectAfter() || l.partitions.active[m.zone] && l.unresponsive(m)
+	for _, m := range f.fleetOrder {
+		suspected := max(f.sinceHeartbeat(m), f.unreachableFor(m)) > f.suspectAfter() || f.partitions.active[m.zone] && f.unresponsive(m)
 		if !m.up || m.leaseOut || !suspected {
 			continue
 		}
 		for _, a := range m.list {
-			if d := l.c.demandOf(&a.job.spec); d.Service && !a.job.cancelled {
+			if d := f.c.demandOf(&a.job.spec); d.Service && !a.job.cancelled {
 				d.Tasks, d.RoomInTeam = []int{a.task}, 1
 				ds = append(ds, d)
 			}
@@ -207,7 +223,7 @@
 }
 
 // suspectAfter is how long a machine may be silent before it is suspected: a share of
-// its lease, but never less than a report may take.
-func (l *leader) suspectAfter() time.Duration {
-	return max(config.Seconds(l.c.op.SilentShare*l.c.cfg.Facts.Workers.LeaseS), l.reportDue(time.Second))
+// its lease, but never less than a heartbeat may take.
+func (f *failureDetector) suspectAfter() time.Duration {
+	return max(config.Seconds(f.c.op.SilentShare*f.c.cfg.Facts.Workers.LeaseS), f.heartbeatDue(time.Second))
 }
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -18,8 +18,8 @@
 	machines     map[string]*machine
 	fleetOrder   []*machine // the same by name
 	toSend       []*machine // that commands may wait for
-	proofsAt     time.Time
-	listening    listeningPeriod
+	failures     *failureDetector
+	writes       *writeQueue
 	scratch      []scheduler.Machine // reused by every view
 	guaranteesAt time.Time           // see assignGuarantees
 	released     map[string]time.Time
@@ -43,13 +43,13 @@
 	if !l.recovered {
 		return
 	}
-	l.listening.observe(l.c.now)
-	l.proveGone()
+	l.failures.listening.observe(l.c.now)
+	l.failures.checkLeaseExpiry()
 	l.zones.run()
 	l.cells.run()
 	l.spreading.run()
 	l.place()
-	l.flush()
+	l.writes.flush()
 	l.zones.keepRecords()
 	l.sendCommands()
 	l.autoscaler.run()
--- a/controller/scale_in.go
+++ b/controller/scale_in.go
@@ -32,7 +32,7 @@
 	if s.releaseInFlight {
 		return
 	}
-	s.releaseFailed()
+	s.failures.releaseFailed()
 	var names []string
 	for _, m := range s.fleetOrder {
 		if m.releasing && len(names) < releaseNamesMost {
@@ -100,7 +100,7 @@
 	for _, m := range s.fleetOrder {
 		// A machine is charged for a minute at least: before that nothing is saved.
 		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || s.c.now.Sub(m.rented) >= leastCharge &&
-			s.c.now.Sub(m.idle) >= config.Seconds(s.c.op.IdleS)) && !s.unresponsive(m) {
+			s.c.now.Sub(m.idle) >= config.Seconds(s.c.op.IdleS)) && !s.failures.unresponsive(m) {
 			idle = append(idle, m)
 		}
 	}
