--- a/controller/api.go
+++ b/controller/api.go
@@ -1,6 +1,6 @@
-// Package controller is the core of pumicefront: a state machine that takes
-// inputs and returns what to send, write and answer. It does no I/O, starts no
-// goroutine and reads no clock; a shell around it does (package server).
+// Package controller is the core of pumicefront: a deterministic state machine that takes inputs
+// and returns the messages to send, the calls to make and the answers to give. It does no I/O,
+// starts no goroutine and reads no clock; the shell around it does (package server).
 package controller
 
 import (
@@ -17,13 +17,13 @@
 // Output is one of the types below that Step returns.
 type Output any
 
-// Tick tells only that time has passed.
+// Tick is an input without an event: it only advances the time.
 type Tick struct{}
 
-// UserOp is what a user asks for.
+// UserOp is the kind of a user request.
 type UserOp uint8
 
-// The requests of users, and the load balancer's probe.
+// The kinds of user requests. UserReady is the load balancer's readiness probe.
 const (
 	UserSubmit UserOp = iota
 	UserPoll
@@ -31,7 +31,7 @@
 	UserReady
 )
 
-// UserRequest is a request to be answered with the same Req.
+// UserRequest is a user's request. Its Answer has the same Req.
 type UserRequest struct {
 	Req  uint64
 	Op   UserOp
@@ -39,13 +39,13 @@
 	Body []byte
 }
 
-// ReportRequest is a worker's report, to be answered with the same Req.
+// ReportRequest is a worker's report, which is its heartbeat. Its Answer has the same Req.
 type ReportRequest struct {
 	Req    uint64
 	Report wire.Report
 }
 
-// Answer answers a request.
+// Answer is the response to the request with the same Req.
 type Answer struct {
 	Req        uint64
 	Status     int
@@ -53,10 +53,10 @@
 	RetryAfter time.Duration
 }
 
-// StateOp is a call of the state service.
+// StateOp is a kind of call to the state service.
 type StateOp uint8
 
-// The calls of the state service.
+// The kinds of calls to the state service.
 const (
 	OpGet StateOp = iota
 	OpRange
@@ -67,11 +67,11 @@
 	OpWatch
 )
 
-// StateCall asks the shell to call the state service once.
+// StateCall makes the shell call the state service once, without a retry.
 type StateCall struct {
 	ID       uint64
 	Op       StateOp
-	Key      string // or prefix
+	Key      string // the prefix for OpRange and OpWatch
 	After    string
 	Txn      wire.Txn
 	Life     time.Duration
@@ -81,7 +81,8 @@
 	Timeout  time.Duration
 }
 
-// StateReply answers a StateCall; Status 0: no answer, it may have run or run later.
+// StateReply is the result of a StateCall. Status 0 means that there was no response: the call may
+// have been executed or may still be executed later.
 type StateReply struct {
 	ID     uint64
 	Status int
@@ -92,10 +93,10 @@
 	Watch  wire.Watch
 }
 
-// CloudOp is a call of the cloud.
+// CloudOp is a kind of call to the cloud.
 type CloudOp uint8
 
-// The calls of the cloud.
+// The kinds of calls to the cloud.
 const (
 	CloudTypes CloudOp = iota
 	CloudList
@@ -103,7 +104,7 @@
 	CloudRelease
 )
 
-// CloudCall asks the shell to call the cloud once.
+// CloudCall makes the shell call the cloud once, without a retry.
 type CloudCall struct {
 	ID      uint64
 	Op      CloudOp
@@ -113,7 +114,7 @@
 	Timeout time.Duration
 }
 
-// CloudReply answers a CloudCall; Status 0: no answer.
+// CloudReply is the result of a CloudCall. Status 0 means that there was no response.
 type CloudReply struct {
 	ID     uint64
 	Status int
@@ -122,7 +123,7 @@
 	Names  wire.Names
 }
 
-// WorkerCall sends direct commands to a worker.
+// WorkerCall sends commands directly to a worker, instead of with the answer to its report.
 type WorkerCall struct {
 	ID       uint64
 	Machine  string
@@ -131,7 +132,8 @@
 	Timeout  time.Duration
 }
 
-// WorkerReply answers a WorkerCall; Status 0: no answer, it may still run.
+// WorkerReply is the result of a WorkerCall. Status 0 means that there was no response: the
+// commands may still be executed.
 type WorkerReply struct {
 	ID      uint64
 	Machine string
@@ -148,7 +150,7 @@
 	Envelope *mesh.Envelope
 }
 
-// Event is a line for the log.
+// Event is a log record.
 type Event struct {
 	Level slog.Level
 	Text  string
--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -6,41 +6,41 @@
 	"pumicefront/wire"
 )
 
-// attemptPhase is how far an attempt is known to have come. It only advances: what ends an
-// attempt takes it out of force.
+// attemptPhase is the phase that an attempt is known to have reached. It only advances: an attempt
+// that has ended is no longer active and has no phase.
 type attemptPhase uint8
 
 // The phases of an attempt.
 const (
-	attemptPlanned  attemptPhase = iota // its record is not known to be written
-	attemptRecorded                     // its run may be sent
-	attemptSent                         // its run may arrive at any time
-	attemptSeen                         // a report has shown it on its machine
-	attemptRunning                      // a report has shown it running
+	attemptPlanned  attemptPhase = iota // its record may not be written yet
+	attemptRecorded                     // its record is written; its run command may be sent
+	attemptSent                         // its run command has been sent and may arrive at any time
+	attemptSeen                         // a report has listed it on its machine
+	attemptRunning                      // a report has listed it as running
 )
 
-// attempt is one try of a task on a machine, in force until it is proved gone.
+// attempt is one execution of a task on a machine. It is active until it is proved to have ended.
 type attempt struct {
 	job         *job
 	task        int
 	number      uint64
 	machine     *machine
-	session     uint64 // that its run command is addressed to
-	token       uint64 // the highest that its run may have been sent with
+	session     uint64 // worker session to which its run command is addressed
+	token       uint64 // the highest token with which its run command may have been sent
 	phase       attemptPhase
-	restored    bool // an earlier leader's: its run is not sent again
-	placedByAge bool // placed after waiting its turn
-	fetches     bool // its machine lacked its image
+	restored    bool // placed by an earlier leader; its run command is not sent again
+	placedByAge bool // placed ahead of others because of its waiting time
+	fetches     bool // its machine did not have its image when it was placed
 	placed      time.Time
 	since       time.Time // running since
 	stopping    bool
 	stoppedAt   time.Time
 	grace       float64
-	saving      bool // a report has shown it saving
+	saving      bool // a report has listed it as saving a checkpoint
 }
 
-// advance takes an attempt to a phase, unless it is known to have come further: a run may be
-// sent again, and a late report may show less than an earlier one.
+// advance moves an attempt to a phase unless it has already passed it: a run command may be sent
+// again, and a late report may show an earlier phase than a previous one.
 func (a *attempt) advance(to attemptPhase) { a.phase = max(a.phase, to) }
 
 func (a *attempt) taskID() string { return wire.TaskID(a.job.id, a.task) }
--- a/controller/attempt_test.go
+++ b/controller/attempt_test.go
@@ -6,9 +6,8 @@
 	"pumicefront/wire"
 )
 
-// An attempt that runs is still known to run when its run is sent again, or when a report
-// shows it fetching: otherwise it would pass for one that was never started, and be placed
-// anew.
+// A running attempt stays in its phase when its run command is sent again, or when a late report
+// shows it fetching. Otherwise it would be treated as never started, and its task placed again.
 func TestAttemptsOnlyAdvance(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
--- a/controller/authority.go
+++ b/controller/authority.go
@@ -9,24 +9,25 @@
 	"pumicefront/wire"
 )
 
-// Authority to act as leader: from before a renewal was sent until its lease may have ended, and
-// no longer than cancellations that the leader hasn't heard of allow.
+// The leader's authority to act. It starts when a lease renewal is sent, ends before the lease can
+// expire, and is bounded further by how long the leader's copy of the job headers may miss
+// cancellations that users were already answered.
 
 const (
-	authorityMargin      = 50 * time.Millisecond
-	raisePause           = 8 * time.Second
-	raiseToForgetAfter   = 30 * time.Second
-	raiseForStoppedAfter = 4 * time.Second
+	authorityMargin      = 50 * time.Millisecond // by which authority ends before the lease
+	raisePause           = 8 * time.Second       // minimum time between two raises of the fencing token
+	raiseToForgetAfter   = 30 * time.Second      // how long an ended attempt is remembered before a raise lets it be dropped
+	raiseForStoppedAfter = 4 * time.Second       // how long a stopped attempt that was never reported may stay unresolved
 )
 
-// entitled reports whether this controller may act for the controllers now. It is
-// asked at every output of the leader.
+// entitled reports whether this controller may act as leader now. It is checked before every
+// output of the leader.
 func (c *Core) entitled() bool {
 	return c.now.Before(c.Authority())
 }
 
-// Authority returns until when this controller may act for the controllers, as far
-// as is known now. The shell asks again before it sends what had to wait.
+// Authority returns the time until which this controller may act as leader, as known now. The
+// shell checks it again before it sends an output that was delayed.
 func (c *Core) Authority() time.Time {
 	if c.lead == nil {
 		return time.Time{}
@@ -38,7 +39,7 @@
 	return until
 }
 
-// grantedUntil is until when the leader's lease, or the promises of all others, last.
+// grantedUntil returns when the leader's lease or the peer lease ends, whichever is later.
 func (c *Core) grantedUntil() time.Time {
 	if c.promises.promisedUntil.After(c.lead.authority) {
 		return c.promises.promisedUntil
@@ -46,6 +47,8 @@
 	return c.lead.authority
 }
 
+// renewLater schedules the next lease renewal, with a read of the headers if the last one is too
+// old and a peer lease request if the state service is unreachable.
 func (l *leader) renewLater() {
 	every := min(l.c.op.LeaderLifetime(), l.c.cancellationWindow()) / 4
 	l.c.after(every, func() {
@@ -77,8 +80,8 @@
 	})
 }
 
-// raiseToken fences all commands sent so far: once a worker has seen the new
-// token, no earlier copy of a command can run there any more.
+// raiseToken increments the fencing token, which fences all commands sent so far: once a worker
+// has received the new token, it rejects every command copy that carries an older one.
 func (l *leader) raiseToken(why string) {
 	if !l.mayRaiseToken(l.c.now) {
 		return
@@ -102,17 +105,17 @@
 	})
 }
 
-// tokenChanged takes over a raised token: while the leader key is ours, nobody
-// else raises it, so even a raise whose answer was lost is ours.
+// tokenChanged adopts a raised token. While this controller holds the leader key, no other
+// controller raises the token, so a raise whose response was lost is this controller's own too.
 func (c *Core) tokenChanged() {
 	if c.lead != nil && c.control.token > c.lead.token {
 		c.lead.token = c.control.token
 	}
 }
 
-// headersKnownUntil is the moment up to which the leader knows of every cancellation that a user
-// was told of: when the last read was sent that its copy of the headers holds, or
-// the last round of promises that was as good.
+// headersKnownUntil returns the time up to which the leader's copy of the headers contains every
+// cancellation that was confirmed to a user: when the last read applied to the copy was sent, or
+// when the last peer lease round that is equivalent to such a read was sent.
 func (l *leader) headersKnownUntil() time.Time {
 	if read := l.c.control.lastRead; read.After(l.headersPromisedUntil) {
 		return read
@@ -120,21 +123,23 @@
 	return l.headersPromisedUntil
 }
 
-// renewalDeadline is when the leader must answer no worker any more unless it has seen more
-// of the headers. A user may have been told of a cancellation right after seen; a
-// lease that is renewed before this deadline has run out cancel_s after that, and the task
-// with it. Settings that leave hardly any time between the two can't be kept by
-// leases alone; the service then relies on reading several times a second.
+// renewalDeadline returns the time from which the leader must not answer any worker until it has
+// a more recent copy of the headers. A user's cancellation may have been confirmed right after
+// headersKnownUntil. A machine lease that is renewed before this deadline expires at most cancel_s
+// after that, which stops the task. Settings that leave hardly any time between lease_s and
+// cancel_s can't be met by leases alone; the service then relies on reading the headers several
+// times a second.
 func (l *leader) renewalDeadline() time.Time {
 	return l.headersKnownUntil().Add(l.c.cancellationWindow())
 }
 
-// cancellationWindow is how long after a cancellation was told the lease of a machine that may
-// run its task can be renewed at the latest.
+// cancellationWindow is the longest time after a cancellation was confirmed to a user during which
+// the lease of a machine that may run a task of the job can still be renewed.
 func (c *Core) cancellationWindow() time.Duration {
 	w := c.cfg.Facts.Workers
 	return max(config.Seconds(w.CancelS-w.LeaseS*(1+2*clockDrift))-cancellationMargin, c.op.LeaderLifetime()/2)
 }
 
-// cancellationMargin is for the clocks and for what the end of a lease takes.
+// cancellationMargin allows for clock differences and for the time that a worker needs to stop its
+// tasks when its lease expires.
 const cancellationMargin = 500 * time.Millisecond
--- a/controller/authority_test.go
+++ b/controller/authority_test.go
@@ -7,13 +7,13 @@
 	"pumicefront/wire"
 )
 
-// Authority ends before the lease can: it counts from before the renewal was
-// sent. Without it a report is sent on, not answered.
+// Authority counts from before the renewal was sent, so it ends before the lease can expire.
+// Without authority, the leader redirects a heartbeat (421) instead of answering it.
 func TestAuthorityLapses(t *testing.T) {
 	c, l, _ := leading(t)
 	life := c.op.LeaderLifetime()
 	if c.now = l.elected.Add(life - 200*time.Millisecond); !c.entitled() {
-		t.Fatal("no authority within the lease")
+		t.Fatal("no authority during the lease")
 	}
 	c.now = l.elected.Add(life)
 	c.out = nil
@@ -23,21 +23,21 @@
 	}
 }
 
-// A promise binds for its life, and a process that may have promised before it
-// started waits that long before it claims.
+// A controller that granted a peer lease makes no claim until that lease has expired. A process
+// that has just started waits as long, because its predecessor may have granted one.
 func TestPromisesBind(t *testing.T) {
 	c, _, _ := leading(t)
 	c.lead = nil
 	c.control.token = 7
 	if !c.promiseBinds() {
-		t.Fatal("a fresh process claims at once")
+		t.Fatal("a newly started process may claim at once")
 	}
 	c.now = c.now.Add(bindFor + time.Millisecond)
 	if c.promiseBinds() {
-		t.Fatal("bound for ever")
+		t.Fatal("a newly started process may not claim after a peer lease's duration")
 	}
 	c.promises.bound = c.now.Add(time.Second)
 	if !c.promiseBinds() {
-		t.Fatal("a promise does not bind")
+		t.Fatal("claims are allowed during a granted peer lease")
 	}
 }
--- a/controller/chain_admission.go
+++ b/controller/chain_admission.go
@@ -6,16 +6,16 @@
 	"pumicefront/wire"
 )
 
-// Acceptance of jobs that need others, and what has to be read before anybody is told of one.
+// Admission of jobs that need other jobs, and the reads that must precede an answer about such a job.
 
-// needs finds out of a submission's predecessors that all were accepted, and whether one
-// is cancelled. What can't be known now is answered with 503. fn gets the conditions
-// that the job's record has to be written under.
+// needs checks that all jobs needed by a submission were accepted, and whether one of them is
+// cancelled. If this can't be determined now, the request is answered with 503. fn gets the
+// transaction conditions for writing the job's header.
 //
-// One that was accepted stays so, and one that is cancelled meanwhile is found out about
-// before anybody is told of the job, see lookupEnds. So no condition is needed, and a list
-// may be as long as fits into a value. Version 2 tells from headers alone: while it may run,
-// the headers of all that is unfinished must be as they were found.
+// An accepted job stays accepted, and a cancellation that happens meanwhile is detected before any
+// answer about the job is given, see lookupEnds. So no condition is needed, and the list may be as
+// long as fits into a value. Version 2 determines a job's state from headers alone: while it may
+// run, the headers of all unfinished needed jobs must be unchanged when the job is accepted.
 func (c *Core) needs(r UserRequest, job *wire.Job, fn func(cancelled bool, conds []wire.Cond)) {
 	left, unsure, refused := len(job.Needs), false, false
 	done := func() {
@@ -27,7 +27,7 @@
 			case f.Cancelled || c.withdrawn(p):
 				cancelled = true
 			case h != nil && h.Job.Kind == wire.KindService:
-				refused = true // it is never done
+				refused = true // a service is never done
 			case h != nil:
 				conds = append(conds, wire.Cond{Key: headerKey(p), Version: c.control.versions[headerKey(p)]})
 			}
@@ -57,10 +57,10 @@
 	}
 }
 
-// lookupEnds finds out how the jobs ended that an unfinished job needs, directly or through
-// others, where their headers are gone: one of them may have been cancelled, and then so is
-// this job. It is called with a copy of the headers that is up to date. Of a job that has
-// begun nothing has to be read: all that it needs was done.
+// lookupEnds looks up the outcomes of the jobs that an unfinished job needs, directly or
+// transitively, and whose headers are deleted: if one of them was cancelled, this job is cancelled
+// too. The copy of the headers must be up to date. For a job with running or done tasks nothing has
+// to be read, since all jobs that it needs were done.
 func (c *Core) lookupEnds(job string, fn func(known)) {
 	if n := c.progress[job]; n.done+n.running > 0 {
 		fn(knownActive)
@@ -80,7 +80,7 @@
 			case left > 0:
 			case unsure:
 				fn(knownUnsure)
-			case c.control.headers[job] == nil: // over by now
+			case c.control.headers[job] == nil: // finished meanwhile
 				c.lookupFinal(job, fn)
 			default:
 				fn(knownActive)
@@ -89,8 +89,8 @@
 	}
 }
 
-// unknownEnds appends the jobs that an unfinished job needs and of which this controller
-// has neither the header nor the end.
+// unknownEnds appends the jobs that an unfinished job needs, directly or transitively, and of which
+// this controller has neither the header nor the outcome.
 func (c *Core) unknownEnds(job string, visited map[string]bool, ends []string) []string {
 	for _, id := range c.control.headers[job].Job.Needs {
 		switch {
@@ -106,5 +106,6 @@
 	return ends
 }
 
-// maxConds is how many conditions one transaction may have beside its job's own.
+// maxConds returns the maximum number of conditions of a transaction, less the two for the job's own
+// records.
 func (c *Core) maxConds() int { return 4*c.cfg.Facts.State.Tightest().TxnOps - 2 }
--- a/controller/chain_deadlines.go
+++ b/controller/chain_deadlines.go
@@ -7,29 +7,29 @@
 	"pumicefront/wire"
 )
 
-// Deadlines of chains: the last job's priority and deadline count for all that it needs.
+// Inheritance of priorities and deadlines: a job passes its own on to all jobs that it needs.
 
-// deadline is by when a job should end: its own time, or that of the last job of its
-// chain less what is estimated for those between.
+// deadline is the time by which a job should end: its own deadline, or that of a job that depends on
+// it, less the estimated durations of the dependents.
 type deadline struct {
-	last   *wire.Job // whose time it is; nil: there is none
-	from   time.Time // its submission
-	before float64   // seconds before its end
+	last   *wire.Job // the job that specifies the deadline; nil if there is none
+	from   time.Time // when that job was accepted
+	before float64   // estimated duration of the dependents, in seconds
 }
 
-// within is in how many seconds from d.from a job should end, where the last one has
-// the given multiple of its time.
+// within returns how many seconds after d.from a job should end if the deadline of d.last is
+// multiplied by the given factor.
 func (d deadline) within(times float64) float64 { return *d.last.DeadlineS*times - d.before }
 
 func (d deadline) at() time.Time { return d.from.Add(config.Seconds(d.within(1))) }
 
-// earlier reports whether d presses more than o.
+// earlier reports whether d is an earlier deadline than o.
 func (d deadline) earlier(o deadline) bool {
 	return d.last != nil && (o.last == nil || d.at().Before(o.at()))
 }
 
-// inheritUrgency gives the jobs that a job needs its priority and its deadline, where those
-// press more than their own. It stops where nothing changes.
+// inheritUrgency passes a job's priority and deadline on to the jobs that it needs, transitively,
+// where they are higher or earlier than those jobs' own. It stops where nothing changes.
 func (l *leader) inheritUrgency(j *job) {
 	d := j.due
 	d.before += j.spec.EstimateS + l.slowestFetch(&j.spec)
--- a/controller/chains.go
+++ b/controller/chains.go
@@ -8,14 +8,15 @@
 	"pumicefront/scheduler"
 )
 
-// Jobs that need others are the nodes of one dynamic graph, which every controller keeps
-// for the headers that it holds. A cancellation is a failure that closes downstream:
-// since a job starts nothing before all that it needs are done, whatever fails by
-// closure has never run, and every controller can tell its users so from the headers and,
-// where those are gone, the final records (see lookupEnds). The leader writes the final record
-// of a cancelled job only when no unfinished job that it knows of needs it any more.
-
-// addToChains takes a header into the graph and tells the leader what changes by it.
+// Dependencies between jobs. Jobs that need other jobs are the nodes of one dynamic graph, which
+// every controller maintains for the headers in its copy. A cancellation is a failure that
+// propagates to all dependents. Since a job starts no task before all jobs that it needs are done, a
+// job cancelled in this way has never run, and every controller can derive the cancellation from the
+// headers or, where those are deleted, the final records (see lookupEnds). The leader writes the
+// final record of a cancelled job only when no unfinished job that it knows of needs it any more.
+
+// addToChains adds a job to the graph, or marks it as cancelled there, and applies the effects on
+// its dependents to the leader's state.
 func (c *Core) addToChains(id string, h *headerRecord) {
 	if h.Cancelled {
 		c.chainsChanged(c.chains.Accumulate(id, reduction.Cancelled))
@@ -36,14 +37,14 @@
 	}
 }
 
-// removeFromChains handles the removal of a header.
+// removeFromChains removes a job from the graph after its header was deleted.
 func (c *Core) removeFromChains(id string, h *headerRecord) {
 	c.chains.Drop(id)
 	l := c.lead
 	if l == nil || !l.recovered {
 		return
 	}
-	for _, p := range h.Job.Needs { // the end of one that is cancelled may be due now
+	for _, p := range h.Job.Needs { // the final record of a cancelled one may be due now
 		if j := l.jobs[p]; j != nil && j.cancelled {
 			l.settle(j)
 		}
@@ -53,7 +54,7 @@
 	}
 }
 
-// jobEnded applies the final record of a job.
+// jobEnded caches the final record of a job and applies its outcome to the graph.
 func (c *Core) jobEnded(id string, f finalRecord) {
 	c.finals.add(id, f)
 	c.accumulateEnd(id, f)
@@ -67,7 +68,8 @@
 	c.chainsChanged(c.chains.Accumulate(id, o))
 }
 
-// chainsChanged tells the leader of jobs that are ready or cancelled by what became of others.
+// chainsChanged updates the leader's state of jobs that became ready or were cancelled by the
+// outcome of jobs that they need.
 func (c *Core) chainsChanged(ids []string) {
 	l := c.lead
 	if l == nil || !l.recovered {
@@ -88,26 +90,27 @@
 	}
 }
 
-// withdrawn reports whether an unfinished job is cancelled, itself or by one that it needs.
+// withdrawn reports whether an unfinished job is cancelled, either directly or because a job that it
+// needs is cancelled.
 func (c *Core) withdrawn(id string) bool {
 	h := c.control.headers[id]
 	return h != nil && (h.Cancelled || c.chains.Status(id) == reduction.Failed)
 }
 
-// blocked reports whether a job waits for others: it starts nothing, rents nothing, and takes
-// no part of its team's guarantee.
+// blocked reports whether a job waits for jobs that it needs. A blocked job starts no tasks, causes
+// no rentals and uses no part of its team's guarantee.
 func (l *leader) blocked(j *job) bool {
 	return len(j.spec.Needs) > 0 && l.c.chains.Classify(j.id) == reduction.Waiting
 }
 
-// endUnknown reports whether this controller has neither the header nor the end of a job that
+// endUnknown reports whether this controller has neither the header nor the outcome of a job that
 // others need.
 func (c *Core) endUnknown(id string) bool {
 	return c.control.headers[id] == nil && c.chains.Status(id) == reduction.Pending
 }
 
-// fetchEnd finds out how a job ended that others need and whose header is gone: nothing
-// but its final record tells.
+// fetchEnd looks up the outcome of a job that others need and whose header is deleted, with retries.
+// Only its final record contains the outcome.
 func (l *leader) fetchEnd(id string) {
 	c := l.c
 	c.lookup(id, func(k known) {
@@ -125,7 +128,7 @@
 	})
 }
 
-// fetchEnds asks for all that unfinished jobs need and that this leader knows nothing of.
+// fetchEnds looks up the unknown outcomes of all jobs that unfinished jobs need.
 func (l *leader) fetchEnds() {
 	for _, j := range l.order {
 		for _, p := range j.spec.Needs {
@@ -136,8 +139,8 @@
 	}
 }
 
-// becameReady marks a job as ready: its times count from the end of the last job
-// that it needs, also for a leader that was not there.
+// becameReady sets the time since which a job is ready: the end of the last job that it needs, as
+// recorded, so that a later leader determines the same time.
 func (l *leader) becameReady(j *job) {
 	j.ready = j.accepted
 	for _, p := range j.spec.Needs {
@@ -149,8 +152,8 @@
 	l.wantPlacement()
 }
 
-// soonReady lists what will be wanted by jobs that are about to be released: all that
-// they need runs, and should end before a machine that is rented now is up.
+// soonReady lists the demands of jobs that will be ready soon: all jobs that they need are done or
+// running, and should end before a machine that is rented now is up.
 func (l *leader) soonReady() []*scheduler.Demand {
 	var ds []*scheduler.Demand
 	for _, j := range l.order {
--- a/controller/chains_test.go
+++ b/controller/chains_test.go
@@ -12,12 +12,12 @@
 	"pumicefront/wire"
 )
 
-// What a job needs has its priority and, less the estimate of what comes after, its
-// deadline. Its own times count from the end of what it needs.
+// A needed job inherits the dependent's priority and its deadline less the dependent's estimated
+// duration. The dependent's own times count from the end of the job that it needs.
 func TestPriorityAndDeadlineAreInherited(t *testing.T) {
 	c, l, first, second := chain(t)
 	if first.terms.Rank != second.terms.Rank || first.due.within(1) != 80 || !l.blocked(second) {
-		t.Fatalf("rank %d, due in %v, held %v", first.terms.Rank, first.due, l.blocked(second))
+		t.Fatalf("rank %d, due in %v, blocked %v", first.terms.Rank, first.due, l.blocked(second))
 	}
 	first.spec.Spot = true
 	if ds := l.demands(); len(ds) != 2 || ds[1].Job != "req-000010" || ds[1].Rank != 1 || !ds[1].KeepOffSpot || ds[0].KeepOffSpot {
@@ -28,12 +28,12 @@
 	c.headerChanged(first.id, nil)
 	c.now = c.now.Add(5 * time.Second)
 	if l.blocked(second) || c.now.Sub(second.ready) != 5*time.Second {
-		t.Errorf("held %v, ready since %v", l.blocked(second), second.ready)
+		t.Errorf("blocked %v, ready since %v", l.blocked(second), second.ready)
 	}
 }
 
-// A job that waits for others takes no part of its team's guarantee: the team's other work
-// stays within it. Once it is ready, it takes its part.
+// A blocked job uses no part of its team's guarantee, which stays available to the team's other
+// jobs. Once the job is ready, it uses its part.
 func TestWaitingJobsLeaveTheGuarantee(t *testing.T) {
 	c, l, first, second := chain(t)
 	c.quotas["red"] = quotaOf(config.Team{Name: "red", CPUs: 1, CPUsMax: 4})
@@ -43,7 +43,7 @@
 	second.spec.CPUs = 0.25 // less work: it would come first
 	l.assignGuarantees()
 	if first.terms.Borrowed {
-		t.Error("a job that waits takes the guarantee")
+		t.Error("a blocked job uses the guarantee")
 	}
 	c.jobEnded(first.id, finalRecord{Tasks: 1})
 	l.guaranteesAt = time.Time{}
@@ -53,71 +53,72 @@
 	}
 }
 
-// A leader that finds neither the header nor the end of a needed job asks for its final
-// record and releases nothing before it has it.
+// A leader that has neither the header nor the outcome of a needed job reads its final record, and
+// keeps the dependents blocked until it has it.
 func TestUnknownEndHoldsWhatNeedsIt(t *testing.T) {
 	c, l, _, second := chain(t)
 	c.out = nil
 	c.control.loaded = true
 	c.headerChanged("req-000010", nil)
 	if !l.blocked(second) || len(c.out) == 0 {
-		t.Fatalf("held %v, asks %v", l.blocked(second), c.out)
+		t.Fatalf("blocked %v, outputs %v", l.blocked(second), c.out)
 	}
 }
 
-// The end of a cancelled job is not written while an unfinished one needs it: every
-// controller derives from its header that the other is cancelled.
+// The final record of a cancelled job is not written while an unfinished job needs it: every
+// controller derives from the cancelled header that the dependent is cancelled.
 func TestCancelledJobStaysWhileItIsNeeded(t *testing.T) {
 	c, l, first, second := chain(t)
 	c.headerChanged(first.id, &headerRecord{Job: first.spec, Cancelled: true, PerChunk: 10})
 	if !second.cancelled || c.jobState(second.id).State != wire.StateCancelled {
-		t.Fatalf("the job that needs it: %v", c.jobState(second.id))
+		t.Fatalf("state of the dependent: %v", c.jobState(second.id))
 	}
 	if w := l.writes.compose(first); w != nil {
-		t.Fatalf("its end is written: %+v", w.txn)
+		t.Fatalf("the final record of the needed job is written too early: %+v", w.txn)
 	}
 	w := l.writes.compose(second)
 	if w == nil || w.final == nil || !w.final.Cancelled {
-		t.Fatalf("the end of the job that needs it: %+v", w)
+		t.Fatalf("write of the dependent: %+v", w)
 	}
 	c.headerChanged(second.id, nil)
 	if w := l.writes.compose(first); !first.dirty || w == nil || w.final == nil {
-		t.Fatalf("dirty %v, its end: %+v", first.dirty, w)
+		t.Fatalf("needed job: dirty %v, write %+v", first.dirty, w)
 	}
 }
 
-// A submission's predecessors are looked up afresh: one that was never accepted is 422,
-// one that can't be known now 503, and the acceptance holds only for what was found.
+// The jobs that a submission needs are looked up anew. One that was never accepted gives 422, one
+// whose state can't be determined now gives 503. The header is written on the condition that the
+// needed jobs are unchanged since the lookup.
 func TestSubmissionsThatNeedOthers(t *testing.T) {
 	c, _, first, _ := chain(t)
 	serving(c)
 	members(c, firstVersionWithChains)
 	submit := func(needs ...string) (answer *Answer, txn *StateCall) { return submitNeeding(c, nil, needs) }
 	if a, _ := submit("req-000077"); a == nil || a.Status != http.StatusUnprocessableEntity {
-		t.Errorf("needs an unknown job: %+v", a)
+		t.Errorf("submission that needs an unknown job: %+v", a)
 	}
 	if a, _ := submit("req-000099"); a == nil || a.Status != http.StatusUnprocessableEntity {
-		t.Errorf("needs itself: %+v", a)
+		t.Errorf("submission that needs itself: %+v", a)
 	}
 	if _, txn := submit(first.id, first.id); txn == nil || len(txn.Txn.If) != 3 || txn.Txn.If[2] != (wire.Cond{Key: headerKey(first.id), Version: 1}) {
-		t.Errorf("needs an unfinished job: %+v", txn)
+		t.Errorf("submission that needs an unfinished job: %+v", txn)
 	}
 	c.headerChanged(first.id, &headerRecord{Job: first.spec, Cancelled: true, PerChunk: 10})
 	if _, txn := submit(first.id); txn == nil || !decode[headerRecord](txn.Txn.Then[0].Value).Cancelled {
-		t.Errorf("needs a cancelled job: %+v", txn)
+		t.Errorf("submission that needs a cancelled job: %+v", txn)
 	}
 	c.control.members["n2"] = 0
 	if a, _ := submit(first.id); a == nil || a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
-		t.Errorf("while an earlier version may lead: %+v", a)
+		t.Errorf("submission while an earlier version may lead: %+v", a)
 	}
 	c.control.unreachable = true
 	if a, _ := submit(first.id); a == nil || a.Status != http.StatusServiceUnavailable {
-		t.Errorf("without the state service: %+v", a)
+		t.Errorf("submission without the state service: %+v", a)
 	}
 }
 
-// A header with a long list of needed jobs fits into the smaller value that is to come,
-// or is refused for good.
+// A header with a long list of needed jobs fits into the upcoming value size limit, or the
+// submission is refused permanently.
 func TestLongListsOfNeededJobs(t *testing.T) {
 	c, _, _, _ := chain(t)
 	kb, ops := 2.0, 5
@@ -136,7 +137,7 @@
 			case Answer:
 				t.Fatalf("%d needed jobs: %+v", len(spec.Needs), o)
 			case StateCall:
-				if o.Op == OpWatch { // asked whether the job is known: the header is too large
+				if o.Op == OpWatch { // looks up whether the job is known: the header is too large
 					refused = len(spec.Needs)
 				} else if n := wire.Size(o.Txn.Then[0].Value); n > 2048 {
 					t.Fatalf("%d needed jobs: a value of %d characters", len(spec.Needs), n)
@@ -146,13 +147,14 @@
 		c.writes = rate.NewLimiter(rate.Inf, 0)
 	}
 	if refused < 100 {
-		t.Errorf("%d needed jobs are too many", refused)
+		t.Errorf("a submission with %d needed jobs is refused, want at least 100 accepted", refused)
 	}
 	t.Logf("%d needed jobs fit", refused-1)
 }
 
-// However many unfinished jobs a submission names, it is accepted in one transaction that
-// the state service takes. Before, more than 18 got 503 until its user gave up.
+// A submission may need any number of unfinished jobs and is accepted in one transaction within the
+// state service's limits. With one condition per needed job, a submission with more than 18 of them
+// got 503 on every attempt.
 func TestMoreNeededJobsThanConditions(t *testing.T) {
 	c, _, first, _ := chain(t)
 	serving(c)
@@ -166,17 +168,17 @@
 		needs = append(needs, spec.ID)
 	}
 	if answer, txn := submitNeeding(c, nil, needs); txn == nil || len(txn.Txn.If) > 4*ops {
-		t.Errorf("needs %d unfinished jobs: answer %+v, write %+v", len(needs), answer, txn)
+		t.Errorf("submission that needs %d unfinished jobs: answer %+v, write %+v", len(needs), answer, txn)
 	}
-	members(c, firstVersionWithChains) // which tells of a job from headers alone
+	members(c, firstVersionWithChains) // version 2 determines job states from headers alone
 	if answer, txn := submitNeeding(c, nil, needs); answer == nil || answer.Status != http.StatusServiceUnavailable {
-		t.Errorf("beside version 2: answer %+v, write %+v", answer, txn)
+		t.Errorf("submission while version 2 runs: answer %+v, write %+v", answer, txn)
 	}
 }
 
-// A job may be accepted just as one that it needs is cancelled and ends, so that no header
-// tells of the cancellation any more. Before a controller tells of the job it finds out,
-// or two of them would call it cancelled and queued in turn.
+// A job may be accepted while a job that it needs is cancelled and finished, so that no header shows
+// the cancellation any more. A controller must look up the outcome before it answers about the
+// dependent: otherwise two controllers would report it as cancelled and queued in turn.
 func TestEndsOfNeededJobsAreReadBeforeAnswers(t *testing.T) {
 	cancelled := map[string]finalRecord{"req-000010": {Cancelled: true, Tasks: 1}}
 	for name, request := range map[string]UserRequest{
@@ -188,7 +190,7 @@
 	} {
 		c, _, first, second := chain(t)
 		serving(c)
-		c.lead = nil // a controller that doesn't lead is told of ends by nobody
+		c.lead = nil // a controller that doesn't lead doesn't get outcomes unless it reads them
 		third := second.spec
 		third.ID, third.Needs = "req-000012", []string{second.id}
 		c.headerChanged(third.ID, &headerRecord{Job: third, PerChunk: 10})
@@ -202,8 +204,8 @@
 	}
 }
 
-// Of a job that has begun nothing is read: a controller that has just started would ask for
-// the ends of all that running jobs have needed.
+// No final record is read for a job that has running or done tasks. Otherwise a controller that has
+// just started would read the final records of all jobs that running jobs have needed.
 func TestBegunJobsNeedNoReads(t *testing.T) {
 	c, _, first, second := chain(t)
 	serving(c)
@@ -214,19 +216,19 @@
 		c.out = nil
 		c.user(UserRequest{Req: req, Op: UserPoll, Job: second.id})
 		if answer, _ := state.serve(c); answer == nil || answer.Status != http.StatusOK {
-			t.Errorf("question %d: answer %+v", req, answer)
+			t.Errorf("request %d: answer %+v", req, answer)
 		}
 		return state.reads
 	}
 	c.progress[second.id] = jobCount{running: 1}
 	if n := readsFor(6); n != 0 {
-		t.Errorf("%d final records are read for a job that runs", n)
+		t.Errorf("%d final records are read for a running job", n)
 	}
 	delete(c.progress, second.id)
 	if n := readsFor(7); n != 1 {
-		t.Errorf("%d final records are read for a job that has not begun, want 1", n)
+		t.Errorf("%d final records are read for a job that has not started, want 1", n)
 	}
 	if n := readsFor(8); n != 0 {
-		t.Errorf("%d final records are read once the end is known", n)
+		t.Errorf("%d final records are read when the outcome is known", n)
 	}
 }
--- a/controller/control.go
+++ b/controller/control.go
@@ -10,10 +10,10 @@
 	"pumicefront/wire"
 )
 
-// The watched records, of which every controller keeps a copy.
+// The watch cache: every controller's copy of the records under controlPrefix.
 
-// control is this controller's copy of the watched records. It is as old as its
-// revision; before anything is told to a user from it, sync brings it up to date.
+// control is this controller's copy of the watched records as of a revision of the state service.
+// Before a user request is answered from it, sync brings it up to date.
 type control struct {
 	loaded, loading bool
 	revision        uint64
@@ -22,13 +22,13 @@
 	token           uint64
 	headers         map[string]*headerRecord
 	cells           cellIndex
-	epoch           cells.Epoch // the last that was taken for a grant to another cell
+	epoch           cells.Epoch // the last one allocated for a grant to another cell
 	gone            map[cells.Cell]goneRecord
-	members         map[string]int // the version that each member has noted
+	members         map[string]int // the software version that each member has recorded
 
 	syncing     bool
-	unreachable bool      // the last sync failed; it is tried again until one succeeds
-	lastRead    time.Time // when the last read that the copy holds was sent
+	unreachable bool      // the last sync failed; syncs are retried until one succeeds
+	lastRead    time.Time // when the last read applied to the copy was sent
 	waiting     []func(ok bool)
 }
 
@@ -40,10 +40,10 @@
 	k.gone = map[cells.Cell]goneRecord{}
 }
 
-// maxWaiting bounds the requests that wait for one sync.
+// maxWaiting is the maximum number of requests that wait for one sync.
 const maxWaiting = 512
 
-// load reads all watched records and then starts to watch them.
+// load reads all watched records and then watches them.
 func (c *Core) load() {
 	c.control.loading = true
 	sent := c.now
@@ -71,8 +71,8 @@
 	})
 }
 
-// readAll reads every key with the prefix. The revision is that of the first
-// page: what changes later is seen again by a watch that starts there.
+// readAll reads every key with the prefix. It returns the revision of the first page, so that a
+// watch started there reports all later changes, including those that later pages contain already.
 func (c *Core) readAll(prefix string, timeout time.Duration, done func([]wire.Item, uint64, bool)) {
 	var items []wire.Item
 	revision := uint64(0)
@@ -97,7 +97,7 @@
 	page("")
 }
 
-// follow keeps one long watch open.
+// follow keeps one long-polling watch open.
 func (c *Core) follow() {
 	call := StateCall{Op: OpWatch, Key: controlPrefix, Revision: c.control.revision, Wait: watchWait,
 		Timeout: watchWait + userCallTimeout}
@@ -116,9 +116,9 @@
 	})
 }
 
-// sync calls fn once the copy holds everything that was written before sync was
-// called. Requests that arrive meanwhile share one read.
-// While the state service is not reached, the answer is known without waiting.
+// sync calls fn once the copy contains everything that was written before the call. Requests that
+// arrive while a read is in flight share the next read. While the state service is unreachable,
+// sync fails at once.
 func (c *Core) sync(fn func(ok bool)) {
 	if c.control.unreachable {
 		fn(false)
@@ -127,7 +127,7 @@
 	c.syncAlways(fn)
 }
 
-// syncAlways is sync that always tries.
+// syncAlways is like sync, but tries to read even while the state service is unreachable.
 func (c *Core) syncAlways(fn func(ok bool)) {
 	if !c.control.loaded || len(c.control.waiting) >= maxWaiting {
 		fn(false)
@@ -156,7 +156,8 @@
 			c.applyWatch(r.Watch)
 			c.noteRead(sent)
 		} else if r.Status == http.StatusGone && !c.control.loading {
-			// The long watch would find out too late: nothing can be told until then.
+			// The revision was compacted. The long-polling watch would detect this only when its
+			// wait ends, and until then no user request could be answered.
 			c.control.loaded = false
 			c.load()
 		}
@@ -176,8 +177,8 @@
 
 func (c *Core) applyWatch(w wire.Watch) {
 	for _, e := range w.Events {
-		// Replaying a creation whose removal was applied already would bring
-		// the key back for a moment.
+		// An event up to the copy's revision is skipped: replaying a creation whose deletion was
+		// already applied would restore the key for a moment.
 		if e.Version > c.control.revision {
 			c.applyControl(e)
 		}
@@ -185,24 +186,24 @@
 	c.control.revision = max(c.control.revision, w.Revision)
 }
 
-// noteRead notes that the copy has all that was written before a read was sent.
+// noteRead records that the copy contains everything written before a read was sent.
 func (c *Core) noteRead(sent time.Time) {
 	if sent.After(c.control.lastRead) {
 		c.control.lastRead = sent
 	}
 }
 
-// written applies a change that this controller has made itself. The watch may
-// have told of it, and of what came after it, before the reply arrived: then it
-// is old, and applying it would bring back a key that is gone.
+// written applies a change made by this controller. If the watch has already reported this change
+// and later ones before the reply arrived, the change is skipped: applying it could restore a key
+// that has been deleted since.
 func (c *Core) written(e wire.Event) {
 	if e.Version > c.control.revision {
 		c.applyControl(e)
 	}
 }
 
-// applyControl applies one change, unless the copy already holds a newer one:
-// the long watch and the reads of sync overlap.
+// applyControl applies one change, unless the copy already holds the same or a newer version of the
+// key: the long-polling watch and the reads of sync overlap.
 func (c *Core) applyControl(e wire.Event) {
 	key := e.Put + e.Delete
 	if c.control.versions[key] >= e.Version {
--- a/controller/core.go
+++ b/controller/core.go
@@ -15,7 +15,7 @@
 	"pumicefront/wire"
 )
 
-// Timeouts and pauses of the core's own calls.
+// Timeouts and retry intervals of the core's calls.
 const (
 	userCallTimeout    = 600 * time.Millisecond
 	leadCallTimeout    = 2 * time.Second
@@ -28,7 +28,7 @@
 	tickEvery          = 250 * time.Millisecond
 )
 
-// clockDrift bounds how far the steady clocks of two machines drift apart.
+// clockDrift is the maximum relative drift between the monotonic clocks of two machines.
 const clockDrift = 0.001
 
 // Core is the state machine of one controller.
@@ -55,29 +55,30 @@
 	measure  scheduler.Measure
 	finals   finals
 	progress map[string]jobCount
-	chains   *reduction.DynamicGraph // unfinished jobs that need others, and those
+	chains   *reduction.DynamicGraph // unfinished jobs that need other jobs, and the jobs that they need
 
 	announcing    bool // see announce
 	rateRefusals  int  // see observeRateLimit
-	ratesLowered  bool // the state service takes changes at its coming rate
-	valuesLowered bool // it has refused a record for its size
+	ratesLowered  bool // the upcoming write rate limit of the state service is in effect
+	valuesLowered bool // the state service has refused a record for its size
 	claiming      bool
 	claimAfter    time.Time
 	endAfter      time.Time
 	lead          *leader
 	promises      promises
 	relays        relays
-	hints         map[string]*mesh.Hint // by machine, as the last leader told
-	rejected      map[string]*wire.Job  // submissions refused for now, to be told to the leader
+	hints         map[string]*mesh.Hint // by machine, as last broadcast by a leader
+	rejected      map[string]*wire.Job  // submissions refused for now, to be reported to the leader
 }
 
-// timer runs a function once its time has come.
+// timer is a function that runs at a given time.
 type timer struct {
 	at time.Time
 	fn func()
 }
 
-// jobCount is the leader's count of a job's tasks, for display.
+// jobCount holds the numbers of a job's done and running tasks, as counted by the leader for
+// display.
 type jobCount struct{ done, running int }
 
 // New returns the core of a controller that starts now.
@@ -98,8 +99,9 @@
 		chains:      reduction.NewDynamicGraph(),
 		hints:       map[string]*mesh.Hint{},
 		rejected:    map[string]*wire.Job{},
-		// An answer that an earlier process of this controller asked for over the mesh
-		// must not be taken for one to us: a worker would get another one's commands.
+		// IDs start at a random number: an answer to a request that an earlier process of this
+		// controller relayed over the mesh must not match a request of this process, or a worker would
+		// get the commands of another worker.
 		next: rng.Uint64() >> 2,
 	}
 	for _, t := range cfg.Facts.Teams {
@@ -113,7 +115,7 @@
 	return c
 }
 
-// Step takes one input and returns what follows from it.
+// Step processes one input and returns the resulting outputs.
 func (c *Core) Step(now time.Time, in Input) []Output {
 	c.now = now
 	c.out = nil
@@ -127,7 +129,7 @@
 	return c.out
 }
 
-// Wake returns when the core wants its next Tick at the latest.
+// Wake returns the time by which the core needs its next Tick.
 func (c *Core) Wake() time.Time {
 	at := c.now.Add(tickEvery)
 	for _, t := range c.timers {
@@ -172,7 +174,7 @@
 	}
 }
 
-// resume hands a reply to whoever made the call.
+// resume passes a reply to the callback of its call, once.
 func resume[R any](calls map[uint64]func(R), id uint64, reply R) {
 	if fn, ok := calls[id]; ok {
 		delete(calls, id)
@@ -192,7 +194,7 @@
 	}
 }
 
-// after runs fn once d has passed.
+// after runs fn after the duration d.
 func (c *Core) after(d time.Duration, fn func()) {
 	c.timers = append(c.timers, timer{c.now.Add(d), fn})
 }
@@ -237,14 +239,14 @@
 	c.reply(Answer{Req: req, Status: status, Body: body})
 }
 
-// reply answers a request, over the mesh if it came that way.
+// reply answers a request, over the mesh if it was relayed by another controller.
 func (c *Core) reply(a Answer) {
 	if !c.answerRelayed(a) {
 		c.emit(a)
 	}
 }
 
-// retryLater refuses a request that can't be taken now, at once.
+// retryLater refuses a request with 503 and a Retry-After of one second.
 func (c *Core) retryLater(req uint64, why string) {
 	c.reply(Answer{Req: req, Status: http.StatusServiceUnavailable, Body: wire.Error{Error: why}, RetryAfter: time.Second})
 }
--- a/controller/divided_records.go
+++ b/controller/divided_records.go
@@ -1,8 +1,8 @@
 package controller
 
-// Records that an earlier version has made larger than the state service takes now.
+// Division of task records that an earlier version wrote larger than the state service accepts now.
 
-// tasksPerRecord is how many tasks go into a record now.
+// tasksPerRecord returns how many tasks fit into a record under the tightest announced limits.
 func (l *leader) tasksPerRecord() int { return tasksPerRecord(l.c.cfg.Facts.State.Tightest().ValueKB) }
 
 func (j *job) chunkKey(n int) string {
@@ -12,11 +12,11 @@
 	return chunkKey(j.id, n)
 }
 
-// divide divides a job into smaller chunks than its header says: an earlier version has
-// fixed there how many tasks share a record, and that may be more than may be written
-// now. The larger records stay as they are, and a small one, once it is written, stands
-// for its tasks instead. No earlier version could read this, so it waits until none can
-// come back.
+// divide divides a job into smaller chunks than its header specifies: an earlier version stored
+// there how many tasks share a record, which may be more than can be written now. The undivided
+// records stay unchanged, and a divided record, once written, replaces them for its tasks. Earlier
+// versions can't read divided records, so callers divide a job only when no earlier version can
+// run any more.
 func (l *leader) divide(j *job) {
 	per := l.tasksPerRecord()
 	chunks := make([]chunk, (j.spec.Tasks+per-1)/per)
--- a/controller/election.go
+++ b/controller/election.go
@@ -8,10 +8,11 @@
 	"pumicefront/wire"
 )
 
-// Leader election. The leader key is attached to a lease of the state service, and a claim takes
-// the next fencing token in the same transaction.
+// Leader election. The leader key is attached to a lease of the state service, and a claim
+// allocates the next fencing token in the same transaction.
 
-// leaderName returns who leads as far as known, or "".
+// leaderName returns the member that leads according to this controller's copy of the leader key,
+// or "" if there is none or it is this member.
 func (c *Core) leaderName() string {
 	if c.control.leader == nil || c.control.leader.Member == c.cfg.Member {
 		return ""
@@ -19,8 +20,9 @@
 	return c.control.leader.Member
 }
 
-// pursueLeadership claims the leadership when nobody holds it, and ends what an
-// earlier process of this member, or a claim in doubt, has left behind.
+// pursueLeadership claims the leadership when there is no leader key. If the key names this
+// member, it was written by an earlier process or by a claim whose result is unknown, and its
+// lease is revoked.
 func (c *Core) pursueLeadership() {
 	if !c.control.loaded || c.claiming || c.lead != nil {
 		return
@@ -55,8 +57,8 @@
 	c.claimAfter = c.now.Add(retryPause + time.Duration(c.rng.Int64N(int64(retryPause))))
 }
 
-// claim tries to become leader with a lease granted at sent, and takes the next
-// token in the same transaction.
+// claim tries to become leader with a lease whose request was sent at sent, and allocates the next
+// fencing token in the same transaction.
 func (c *Core) claim(sent time.Time, lease uint64) {
 	token := c.control.token + 1
 	set := put(leaderKey, leaderRecord{c.cfg.Member, lease})
@@ -67,7 +69,7 @@
 	}
 	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(r StateReply) {
 		if r.Status != http.StatusOK {
-			// In doubt it may still be applied: without its lease it can't stay.
+			// The transaction may still be applied later. Revoking the lease removes the key then.
 			c.endLease(lease)
 			c.claimFailed()
 			return
@@ -108,7 +110,8 @@
 	c.claimAfter = c.now
 }
 
-// leaderChanged is called when the watched leader key has changed.
+// leaderChanged steps down if the changed leader key is no longer the one written by this term's
+// claim.
 func (c *Core) leaderChanged() {
 	if c.lead == nil {
 		return
--- a/controller/finals.go
+++ b/controller/finals.go
@@ -7,24 +7,25 @@
 	"pumicefront/wire"
 )
 
-// Final records: how jobs that are over ended.
+// Final records, which hold the outcome of finished and cancelled jobs, and lookups of them.
 
-// finals remembers jobs that are over. A final state never changes, so it can
-// be told without asking the state service.
+// finals caches final records and queues reads of them. A final record never changes, so a cached
+// one can be used without a read.
 type finals struct {
 	jobs     map[string]finalRecord
 	order    []string
-	asks     map[string][]*finalAsk // questions whose read has not been sent yet
-	queue    []string               // their jobs, first come first served
-	timerSet bool                   // a timer goes on with the queue
+	asks     map[string][]*finalAsk // lookups by job whose read has not been sent yet
+	queue    []string               // the jobs of asks, in order of arrival
+	timerSet bool                   // a timer is set that continues with the queue
 }
 
-// finalAsk is a question that waits for its turn to read a final record.
+// finalAsk is a lookup that waits for a read of a job's final record.
 type finalAsk struct {
 	fn   func(known)
 	told bool
 }
 
+// tell completes the lookup, unless it has timed out.
 func (a *finalAsk) tell(k known) {
 	if !a.told {
 		a.told = true
@@ -34,7 +35,7 @@
 
 const (
 	maxFinalAsks     = 512
-	finalReadTimeout = time.Second // users wait for two
+	finalReadTimeout = time.Second // below the two seconds that users wait
 )
 
 const maxFinals = 4096
@@ -56,17 +57,17 @@
 	f.order = append(f.order, job)
 }
 
-// known is what the state service has of a job.
+// known is the state of a job according to the records in the state service.
 type known uint8
 
 const (
-	knownNot    known = iota // nobody submitted it
-	knownUnsure              // the state service gave no answer
+	knownNot    known = iota // never accepted
+	knownUnsure              // the state service did not respond
 	knownActive
 	knownFinal
 )
 
-// lookup finds out what the state service has of a job now.
+// lookup determines the current state of a job from the records in the state service.
 func (c *Core) lookup(job string, fn func(known)) {
 	if _, ok := c.finals.jobs[job]; ok {
 		fn(knownFinal)
@@ -81,7 +82,7 @@
 		case !ok:
 			fn(knownUnsure)
 		case c.control.headers[job] != nil && c.control.headers[job].Origin != nil:
-			fn(knownNot) // another cell's: its users are told there
+			fn(knownNot) // granted by another cell, which answers the job's users
 		case c.control.headers[job] != nil:
 			c.lookupEnds(job, fn)
 		default:
@@ -90,12 +91,12 @@
 	})
 }
 
-// lookupFinal is asked after the header was seen to be missing: a job moves from
-// its header to its final record in one transaction.
+// lookupFinal reads a job's final record. It is called after the header was found to be missing: one
+// transaction replaces a job's header by its final record.
 //
-// Reads go first come first served, and one whose user has stopped waiting is
-// still made: where there are more questions than reads, refusing at random
-// could refuse the same job every time, and it would count as forgotten.
+// Reads are made in order of arrival, even if the user no longer waits for the answer. If there are
+// more lookups than reads and some were refused at random, the same job could be refused every time
+// and would seem to be lost.
 func (c *Core) lookupFinal(job string, fn func(known)) {
 	f := &c.finals
 	if len(f.asks[job]) == 0 {
@@ -111,8 +112,8 @@
 	c.readFinals()
 }
 
-// readFinals sends the reads that are due, as fast as the budget allows. What is
-// asked after a read was sent needs another: it may have been too early.
+// readFinals sends the queued reads, as fast as the rate limit allows. A lookup that arrives after
+// its job's read was sent needs another read: the first one may precede the final record.
 func (c *Core) readFinals() {
 	f := &c.finals
 	for len(f.queue) > 0 && c.reads.AllowN(c.now, 1) {
--- a/controller/fixtures_test.go
+++ b/controller/fixtures_test.go
@@ -11,7 +11,7 @@
 	"pumicefront/wire"
 )
 
-// leading returns a core that leads, with one job of two tasks.
+// leading returns the core of a leader that has recovered and has one job of two tasks.
 func leading(t testing.TB) (*Core, *leader, *job) {
 	t.Helper()
 	var cfg config.Platform
@@ -23,7 +23,7 @@
 	f.Cloud.RPS, f.Cloud.ListLagS = 4, 5
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	c := New(&cfg, config.DefaultOperator(), rand.New(rand.NewPCG(1, 1)), now)
-	c.noteRead(now) // as who claims has read the headers
+	c.noteRead(now) // a controller reads the headers before it claims the leadership
 	c.becomeLeader(now, 1, 7, 1)
 	l := c.lead
 	l.rebuild(nil, nil)
@@ -31,7 +31,7 @@
 	return c, l, l.addJob(spec.ID, &headerRecord{Job: spec, PerChunk: 10})
 }
 
-// place puts an attempt in force as a round does, and has its record written.
+// place adds an active attempt like a placement round, in the phase after its record was written.
 func place(l *leader, j *job, task int, m *machine) *attempt {
 	j.chunks[0].lastAttempt++
 	a := &attempt{job: j, task: task, number: j.chunks[0].lastAttempt, machine: m, session: m.session, phase: attemptRecorded}
@@ -41,6 +41,7 @@
 	return a
 }
 
+// report returns the next report of a machine with the given tasks.
 func report(m *machine, token uint64, tasks ...wire.Task) *wire.Report {
 	return &wire.Report{Machine: m.id, Session: m.session, Seq: m.seq + 1, Token: token, Tasks: tasks}
 }
@@ -62,7 +63,7 @@
 	return c, l, l.jobs["req-000010"], l.jobs["req-000011"]
 }
 
-// serving lets a core take submissions that one team's machines can run.
+// serving prepares a core to accept submissions of team red.
 func serving(c *Core) {
 	members(c, thisVersion)
 	c.setTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 8, Zones: []string{"a"}}})
@@ -70,14 +71,14 @@
 	c.control.loaded = true
 }
 
-// stateStub stands in for a state service that holds some final records and nothing new
-// beside them.
+// stateStub is a stub of the state service that contains some final records. Its watches return no
+// events.
 type stateStub struct {
 	finals map[string]finalRecord
 	reads  int // of final records
 }
 
-// serve carries out what the core asks, until it answers a user or writes.
+// serve executes the core's calls until the core answers a user or sends a transaction.
 func (s *stateStub) serve(c *Core) (answer *Answer, txn *StateCall) {
 	for len(c.out) > 0 {
 		asked := c.out
@@ -111,7 +112,7 @@
 	return StateReply{Status: http.StatusNotFound}
 }
 
-// submitNeeding submits a job that needs others.
+// submitNeeding submits a job that needs the given jobs.
 func submitNeeding(c *Core, finals map[string]finalRecord, needs []string) (answer *Answer, txn *StateCall) {
 	spec := wire.Job{ID: "req-000099", Class: "a", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1, Image: "i", Needs: needs}
 	c.out = nil
--- a/controller/job.go
+++ b/controller/job.go
@@ -12,45 +12,46 @@
 	"pumicefront/wire"
 )
 
-// Unfinished jobs in the leader's memory: their tasks, the attempts in force, and how outcomes
-// change them.
+// Unfinished jobs in the leader's memory: their tasks, their active attempts, and the processing of
+// outcomes.
 
-// job is an unfinished job in the leader's memory. Its tasks are the nodes of a
-// reduction; the attempts in force are those not proved gone.
+// job is an unfinished job in the leader's memory. Its tasks are the nodes of a reduction graph. Its
+// active attempts are those that are not proved to have ended.
 type job struct {
 	id        string
 	spec      wire.Job
 	cancelled bool
-	// No user was told of the cancellation before: it was not in what the leader had seen.
+	// Earliest time at which the cancellation can have been confirmed to a user: the leader's copy of
+	// the headers didn't contain it before.
 	cancelledAt    time.Time
 	accepted       time.Time
-	ready          time.Time // all that it needs was done: its times count from then
+	ready          time.Time // when all jobs that it needs were done; its times count from then
 	due            deadline
 	graph          *reduction.Graph
 	state          *reduction.State
 	attempts       map[int]*attempt
 	tasksPerRecord int
 	chunks         []chunk
-	divided        bool     // chunks are smaller than the header says, see divide
-	undividedKeys  []string // records of the larger ones, which stay until the job is over
+	divided        bool     // chunks are smaller than the header specifies, see divide
+	undividedKeys  []string // keys of the undivided records, which stay until the job is finished
 	retryAt        map[int]time.Time
 	fails          map[int]int
 	avoid          map[string]bool
-	failures       failureclass.Job // whether it fails on every machine
-	dirty          bool             // chunks hold what their records don't, or the job is over
+	failures       failureclass.Job // classifies whether the job fails on every machine
+	dirty          bool             // chunks differ from their records, or the final record is due
 	dirtyAt        time.Time
-	urgent         bool // its write starts tasks or tells the end; counts alone can wait
+	urgent         bool // its write starts tasks or is the final one; one that only records completed tasks can wait
 	write          *write
 	holdUntil      time.Time
 	ended          bool // the final record is written
 	terms          *scheduler.Terms
-	begun          bool          // a task has run, ever
-	disrupted      bool          // has lost an attempt to a failure, or gave way: goes on first
-	grant          *grantRecord  // another cell may run it, and nobody here
-	origin         *originRecord // it is another cell's
+	begun          bool          // a task has run at some time
+	disrupted      bool          // lost a reported attempt to a failure or a preemption; has precedence in placement
+	grant          *grantRecord  // the job is granted to another cell and must not run in this one
+	origin         *originRecord // the job belongs to another cell
 }
 
-// chunk is a run of tasks that share a record.
+// chunk is a range of consecutive tasks that share a task record.
 type chunk struct {
 	version     uint64
 	lastAttempt uint64
@@ -65,7 +66,7 @@
 	return scheduler.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// demandOf holds what of a demand follows from the job's description.
+// demandOf returns a demand with the fields that follow from the job's specification.
 func (c *Core) demandOf(j *wire.Job) *scheduler.Demand {
 	return &scheduler.Demand{
 		Job: j.ID, Class: j.Class, Team: j.Team, Total: j.Tasks, Each: jobEach(j), Measure: c.measure, Types: j.Types, Zone: j.Zone,
@@ -87,7 +88,7 @@
 	j.terms = &scheduler.Terms{Job: id, Team: h.Job.Team, Rank: slices.Index(wire.Priorities, h.Job.Priority),
 		Each: jobEach(&h.Job), CheckpointS: h.Job.CheckpointS}
 	j.grant, j.origin = h.Grant, h.Origin
-	if j.origin != nil { // below all that is this cell's own
+	if j.origin != nil { // below all of this cell's own jobs
 		j.terms.Rank, j.terms.Borrowed = len(wire.Priorities)-1, true
 	}
 	if j.spec.DeadlineS != nil {
@@ -95,7 +96,7 @@
 	}
 	l.guaranteesAt = time.Time{}
 	l.jobs[id] = j
-	for _, s := range l.c.chains.Successors(id) { // they may be known first
+	for _, s := range l.c.chains.Successors(id) { // their headers may have arrived first
 		if later := l.jobs[s]; later != nil {
 			l.inheritUrgency(later)
 		}
@@ -114,14 +115,14 @@
 	return j
 }
 
-// header applies a change of a job's header.
+// header applies a change of a job's header to the leader's state.
 func (l *leader) header(id string, h *headerRecord) {
 	j := l.jobs[id]
 	switch {
 	case h == nil:
-		// Only we remove headers; the write that did it is confirmed in its own time.
+		// Only the leader deletes headers; confirm handles the write that did it.
 		return
-	case j == nil: // it may be cancelled already: a copy that is read anew shows no steps
+	case j == nil: // it may be cancelled already: a full reload skips intermediate versions
 		j = l.addJob(id, h)
 		l.c.log(slog.LevelInfo, "job accepted", "job", id, "class", h.Job.Class, "team", h.Job.Team, "tasks", h.Job.Tasks)
 		l.wantPlacement()
@@ -136,7 +137,7 @@
 	}
 }
 
-// cancel counts every unfinished task as failed and stops what is in force.
+// cancel marks every unfinished task as cancelled and stops the active attempts.
 func (l *leader) cancel(j *job) {
 	if !j.cancelled {
 		j.cancelled, j.cancelledAt = true, l.headersKnownUntil()
@@ -158,18 +159,20 @@
 	return as
 }
 
+// touch marks the chunk of a task as dirty.
 func (j *job) touch(task int, now time.Time) {
 	j.chunks[task/j.tasksPerRecord].dirty = true
 	j.mark(now)
 }
 
+// mark marks the job as dirty.
 func (j *job) mark(now time.Time) {
 	if !j.dirty {
 		j.dirty, j.dirtyAt = true, now
 	}
 }
 
-// gone takes an attempt out of force; the caller has proof.
+// gone removes an active attempt that is proved to have ended, and applies its outcome to the task.
 func (l *leader) gone(a *attempt, o reduction.Outcome, why proof) {
 	j := a.job
 	if j.attempts[a.task] != a {
@@ -192,21 +195,20 @@
 	l.wantPlacement()
 }
 
-// finish counts a reported finish.
+// finish marks a task as completed after a worker reported it.
 func (l *leader) finish(j *job, task int) {
 	if j.state.Status(task) == reduction.Completed || j.cancelled {
 		return
 	}
 	j.state.Accumulate(task, reduction.Succeeded)
 	j.touch(task, l.c.now)
-	if a := j.attempts[task]; a != nil { // another attempt won: this one has no use
+	if a := j.attempts[task]; a != nil { // another attempt completed the task
 		l.stop(a, 0)
 	}
 	l.settle(j)
 }
 
-// settle classifies a job; when nothing is pending, running or in force, its
-// final record is due.
+// settle makes the job's final record due if no task is pending or running and no attempt is active.
 func (l *leader) settle(j *job) {
 	if j.ended || len(j.attempts) > 0 {
 		return
@@ -217,17 +219,19 @@
 	}
 }
 
+// removeJob forgets a job whose final record has been written, and marks its task records as
+// obsolete.
 func (l *leader) removeJob(j *job, f finalRecord) {
 	j.ended = true
 	delete(l.jobs, j.id)
-	l.obsoleteKeys = append(l.obsoleteKeys, j.undividedKeys...) // nobody waits for their end
+	l.obsoleteKeys = append(l.obsoleteKeys, j.undividedKeys...) // their deletion is not urgent
 	for n := range j.chunks {
 		if j.chunks[n].version > 0 {
 			l.obsoleteKeys = append(l.obsoleteKeys, j.chunkKey(n))
 		}
 	}
 	l.order = slices.DeleteFunc(l.order, func(o *job) bool { return o == j })
-	if j.origin == nil { // what ends for another cell is nobody's job here
+	if j.origin == nil { // a job of another cell has no final record here
 		l.c.jobEnded(j.id, f)
 	}
 	delete(l.progressTold, j.id)
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -6,39 +6,39 @@
 	"pumicefront/scheduler"
 )
 
-// leader is what a controller knows and does as leader; it goes when another one
-// leads. Authority may lapse and come back meanwhile (see entitled).
+// leader is a controller's state as leader. It is discarded when the controller steps down.
+// Authority may lapse and be regained within a term (see entitled).
 type leader struct {
 	term
 	c         *Core
-	recovered bool // the records of earlier leaders are read
+	recovered bool // the records of earlier leaders have been read
 
 	jobs         map[string]*job
-	order        []*job // by acceptance
+	order        []*job // by acceptance time
 	machines     map[string]*machine
-	fleetOrder   []*machine // the same by name
-	toSend       []*machine // that commands may wait for
+	fleetOrder   []*machine // machines sorted by name
+	toSend       []*machine // machines that may have commands to be sent
 	failures     *failureDetector
 	writes       *writeQueue
-	scratch      []scheduler.Machine // reused by every view
+	scratch      []scheduler.Machine // buffer reused by every view
 	guaranteesAt time.Time           // see assignGuarantees
 	released     map[string]time.Time
-	obsoleteKeys []string // task records whose job is over
+	obsoleteKeys []string // records to delete, such as task records of finished jobs
 	budget       writeBudget
-	placeAt      time.Time            // when the next round of placement is due; zero: none
-	probedAt     map[string]time.Time // machines asked for a report, and when
+	placeAt      time.Time            // when the next placement round is due; zero if none is
+	probedAt     map[string]time.Time // when each machine was last asked for a report
 	partitions   partitions
 
 	progressAt   time.Time
 	hintedAt     time.Time
 	progressTold map[string]jobCount
-	zones        *zoneRecovery // nil: switched off
-	cells        *cellSide     // nil: this cell is alone
+	zones        *zoneRecovery // nil if zone recovery is off
+	cells        *cellSide     // nil if there are no links to other cells
 	autoscaler   *autoscaler
-	spreading    *spreading // nil: load is not spread
+	spreading    *spreading // nil if load spreading is off
 }
 
-// run is the leader's part of every step.
+// run does the leader's work at the end of every step.
 func (l *leader) run() {
 	if !l.recovered {
 		return
--- a/controller/progress.go
+++ b/controller/progress.go
@@ -9,13 +9,14 @@
 	"pumicefront/reduction"
 )
 
-// What the leader tells the other controllers of its own accord.
+// Broadcasts of the leader to the other controllers: task counts and machine hints.
 
-// hintAllEvery is how often the other controllers are told of all machines: they
-// forget them when they end.
+// hintAllEvery is the interval between broadcasts of the hints of all machines. They are repeated
+// because the other controllers lose them when they restart.
 const hintAllEvery = 10 * time.Second
 
-// broadcastProgress tells the other controllers the counts of tasks, for display.
+// broadcastProgress sends the other controllers the task counts that have changed, for display, and
+// the hints.
 func (l *leader) broadcastProgress() {
 	const every = 500 * time.Millisecond
 	if l.c.now.Sub(l.progressAt) < every {
@@ -43,9 +44,9 @@
 	}
 }
 
-// hints lists what whoever leads next should know of machines that have changed,
-// and now and then of all: where they are reached, since workers take seconds to
-// find a new leader, and their images, which reports don't tell.
+// hints lists the hints for the next leader about machines that have changed, and about all machines
+// every hintAllEvery: their addresses, since workers take seconds to find a new leader, and their
+// images, which reports don't contain.
 func (l *leader) hints() []*mesh.Hint {
 	all := l.c.now.Sub(l.hintedAt) > hintAllEvery
 	if all {
--- a/controller/promises.go
+++ b/controller/promises.go
@@ -8,55 +8,58 @@
 	"pumicefront/mesh"
 )
 
-// A state service that is down must not cost the workers their leases. While
-// the leader can't reach it, it keeps its authority as long as every other
-// controller promises, for a short time each, that it can't reach the state
-// service either and won't claim the leadership. With all of them bound nobody
-// can take over; one that still reaches the state service refuses, so a leader
-// that is cut off alone is replaced. Under promises nothing is written, so
-// nothing is accepted, placed or told done: only leases are renewed, and what
-// is recorded already is carried on.
+// Peer leases keep the leader in office during an outage of the state service, so that the workers
+// don't lose their machine leases. While the leader can't reach the state service, it keeps its
+// authority as long as every other controller grants it a short peer lease: a promise that the
+// controller can't reach the state service either and makes no claim to the leadership until the
+// peer lease expires. Since the grant must be unanimous, no other controller can take over
+// meanwhile. A controller that still reaches the state service refuses, so a leader that alone is
+// partitioned from it is replaced. Under a peer lease nothing can be written, so no job is
+// accepted, placed or reported as done: the leader only renews machine leases and continues what
+// is already recorded.
 //
-// What the leader doesn't hear of meanwhile is bounded by what it has verifiably
-// seen (see renewalDeadline), never by when it last renewed: its copy may be older than that.
+// How long the leader may act without learning of changes is bounded by the age of its copy of the
+// headers (see renewalDeadline), never by its last lease renewal: the copy may be older than that.
 
-// promiseLife is how long one promise binds.
+// promiseLife is the duration of one peer lease.
 const promiseLife = 1200 * time.Millisecond
 
-// promises holds both sides: those that this controller gave, and as leader
-// those that it was given.
+// promises is the state of both sides of the peer lease protocol: the leases that this controller
+// has granted, and those that it was granted as leader.
 type promises struct {
 	started       time.Time
-	bound         time.Time // no claim before
+	bound         time.Time // this controller makes no claim before
 	round         uint64
 	asks          map[uint64]*promiseRound
-	promisedUntil time.Time // authority by promises
-	onPromises    bool
+	promisedUntil time.Time // when the leader's authority by peer lease ends
+	onPromises    bool      // the leader has had a peer lease since it last reached the state service
 }
 
-// promiseRound is one question to all other controllers.
+// promiseRound is one request for a peer lease to all other controllers.
 type promiseRound struct {
 	token               uint64
 	sent                time.Time
 	granted             map[string]bool
-	lastProcessStart    time.Time // when the process was started, at the latest, that started last
-	unknownCancellation bool      // somebody may have told users what no answer tells
+	lastProcessStart    time.Time // latest possible start time of the most recently started peer process
+	unknownCancellation bool      // a peer reported a cancelled job that the leader can't match to a header
 }
 
-// promiseBinds reports whether a promise forbids a claim. A process that has just
-// started doesn't know what the one before it promised, so it waits a promise's
-// life, unless nobody has ever led. A leader key that names this member is no
-// excuse: a claim of the earlier process may have been applied after it promised.
+// promiseBinds reports whether a granted peer lease forbids this controller to claim the
+// leadership. A process that has just started doesn't know what its predecessor granted, so it
+// waits for the duration of a peer lease, unless there has never been a leader. A leader key that
+// names this member doesn't shorten the wait: a claim of the earlier process may have been applied
+// after that process granted a peer lease.
 func (c *Core) promiseBinds() bool {
 	p := &c.promises
 	return c.now.Before(p.bound) || c.control.token > 0 && c.now.Before(p.started.Add(bindFor))
 }
 
-// bindFor is the life of a promise by a clock that may run fast.
+// bindFor is how long a controller makes no claim after it granted a peer lease: the lease's
+// duration by a clock that may run fast.
 const bindFor = promiseLife + promiseLife/500
 
-// askPromises begins a round once renewals have failed for a while, or reads for half
-// of the time that there may be between two.
+// askPromises requests a peer lease when the last successful renewal is older than a third of the
+// lease's lifetime, or the copy of the headers is older than half of the cancellation window.
 func (l *leader) askPromises() {
 	c, p := l.c, &l.c.promises
 	fine := c.now.Sub(l.renewed) < c.op.LeaderLifetime()/3 && c.now.Sub(l.headersKnownUntil()) < c.cancellationWindow()/2
@@ -70,8 +73,8 @@
 		Token: l.token, Round: p.round, LifeMs: uint64(promiseLife.Milliseconds()), Revision: c.control.revision}}})
 }
 
-// promiseAsked answers a leader that can't reach the state service. Whether we
-// can is found out by trying.
+// promiseAsked handles a peer lease request from a leader that can't reach the state service. It
+// grants the lease only if a read by this controller fails as well.
 func (c *Core) promiseAsked(from string, ask *mesh.PromiseAsk) {
 	answer := func(granted bool) {
 		p := &mesh.Promise{Token: ask.Token, Round: ask.Round, Granted: granted}
@@ -81,13 +84,13 @@
 		}
 		c.sendMesh(from, &mesh.Envelope{Body: &mesh.Envelope_Promise{Promise: p}})
 	}
-	// A leader that was refused alone may not have heard that another was elected
-	// before the state service went down for all. The newer token tells it.
+	// A former leader that lost access to the state service first may not have learned that another
+	// one was elected before the outage became general. The newer token in the request shows it.
 	if c.lead != nil && !c.entitled() && ask.Token > c.lead.token {
 		c.stepDown("another one leads")
 	}
 	free := func() bool {
-		older := !c.control.loaded || c.control.token < ask.Token // our copy, than the election
+		older := !c.control.loaded || c.control.token < ask.Token // the copy predates the election
 		return c.lead == nil && !c.claiming && c.control.token <= ask.Token &&
 			(older || c.control.leader != nil && c.control.leader.Member == from) &&
 			ask.LifeMs <= uint64(promiseLife.Milliseconds())
@@ -106,9 +109,9 @@
 	})
 }
 
-// cancelledSince lists the unfinished jobs that this controller knows to be
-// cancelled by changes after a revision: whatever this process has told users of
-// cancellations is among them, or in the leader's own copy.
+// cancelledSince lists the unfinished jobs that were cancelled, according to this controller's
+// copy, by changes after a revision. Every cancellation that this process has confirmed to a user
+// is in this list or in the leader's own copy.
 func (c *Core) cancelledSince(revision uint64) []string {
 	var jobs []string
 	for id, h := range c.control.headers {
@@ -120,11 +123,12 @@
 	return jobs
 }
 
-// promiseAnswered counts an answer. Authority is extended only where nobody else can
-// have led meanwhile: if there is a gap, every other controller must have run all
-// through it, and know no newer token. Likewise a round in which every other one has run
-// for as long as the leader hasn't read, and tells what it knows of cancellations, is as
-// good as a read of them: nobody else could have told a user of one.
+// promiseAnswered handles a peer's response to a peer lease request. Authority is extended only if
+// no other controller can have led meanwhile: if there is a gap since the previous authority,
+// every other controller must have been running throughout the gap, and know no newer token.
+// Likewise, a round is equivalent to a read of the headers if every other controller has been
+// running since the leader's last read and reports the cancellations that it knows: no other
+// process can have confirmed a cancellation to a user.
 func (c *Core) promiseAnswered(from string, a *mesh.Promise) {
 	p, l := &c.promises, c.lead
 	r := p.asks[a.Round]
@@ -133,7 +137,7 @@
 	}
 	for _, id := range a.Cancelled {
 		if !c.noteCancelled(id) && !l.recovered {
-			r.unknownCancellation = true // a task of it may be found on a machine and not be known
+			r.unknownCancellation = true // a machine may run a task of this job, which recovery has not loaded yet
 		}
 	}
 	up := time.Duration(float64(a.UpMs) * (1 - clockDrift) * float64(time.Millisecond))
@@ -145,7 +149,7 @@
 	if len(r.granted) < len(c.cfg.Others) || !c.now.Before(held) && r.lastProcessStart.After(held) {
 		return
 	}
-	// Where a process has started since, who ran before it may have told users.
+	// If a peer process started after that time, its predecessor may have confirmed a cancellation.
 	if !r.unknownCancellation && !r.lastProcessStart.After(l.headersKnownUntil()) && r.sent.After(l.headersPromisedUntil) {
 		l.headersPromisedUntil = r.sent
 	}
@@ -158,8 +162,9 @@
 	}
 }
 
-// noteCancelled notes that another controller knows a job to be cancelled, which is
-// as durable as if we had read it. It reports whether the job is known here.
+// noteCancelled applies a cancellation that another controller has read from the state service,
+// which is as durable as if this controller had read it. It reports whether this controller has
+// the job's header.
 func (c *Core) noteCancelled(id string) bool {
 	h := c.control.headers[id]
 	if h == nil {
@@ -173,7 +178,7 @@
 	return true
 }
 
-// stateServiceBack handles the return of the state service for the leader.
+// stateServiceBack ends the operation under peer leases once a lease renewal has succeeded.
 func (l *leader) stateServiceBack() {
 	p := &l.c.promises
 	if p.onPromises {
--- a/controller/rate_limits.go
+++ b/controller/rate_limits.go
@@ -9,15 +9,16 @@
 	"pumicefront/config"
 )
 
-// The rate of changes that the state service takes, now and from an unannounced moment on.
+// Rate limits of the state service: the current ones, and lower upcoming ones that take effect at an
+// unannounced time.
 
-// refusalsToLower is how many changes must be refused for the rate, more than are taken
-// meanwhile, before the coming rate is taken to hold. Budgets add up to more than the
-// rate, so that some are refused at any time.
+// refusalsToLower is the net number of rate limit refusals, with three accepted transactions
+// offsetting one refusal, after which the upcoming rate limit is assumed to be in effect. Some
+// refusals occur at any time, since the controllers' budgets add up to more than the limit.
 const refusalsToLower = 12
 
-// observeRateLimit learns from what becomes of transactions that the limits have become those
-// that are to come, which nobody announces.
+// observeRateLimit detects from the statuses of transactions that the upcoming limits have taken
+// effect, which is not announced.
 func (c *Core) observeRateLimit(status int) {
 	switch {
 	case c.ratesLowered:
@@ -32,7 +33,7 @@
 	}
 }
 
-// lowerRates goes over to the coming limits.
+// lowerRates adapts the write budgets to the upcoming limits.
 func (c *Core) lowerRates() {
 	c.ratesLowered = true
 	c.writes.SetLimitAt(c.now, c.userRate())
@@ -42,7 +43,7 @@
 	c.log(slog.LevelInfo, "the state service has its coming limits", "changes", c.writeRate())
 }
 
-// writeRate is how many changes a second the state service takes.
+// writeRate returns how many changes per second the state service accepts.
 func (c *Core) writeRate() float64 {
 	if c.ratesLowered {
 		return c.cfg.Facts.State.Tightest().WriteRPS
@@ -50,22 +51,22 @@
 	return c.cfg.Facts.State.WriteRPS
 }
 
-// Shares of the requests that the state service takes in a second, for reads on behalf of
-// users. They leave room for watches, renewals and writes.
+// Shares of the state service's request rate limit that are used for reads on behalf of users. They
+// leave room for watches, lease renewals and writes.
 const (
 	readShare      = 0.6
-	readBurstShare = 0.3 // that may be made at once
+	readBurstShare = 0.3 // burst, as a share of the requests per second
 )
 
-// readLimiter bounds one controller's reads for users. It keeps to the tighter of the limits
-// from the start: nothing tells when the coming one holds, and a refused read is a question
-// unanswered.
+// readLimiter returns the limiter of one controller's reads for users. It applies the tighter of the
+// current and the upcoming limit from the start: it is unknown when the upcoming one takes effect,
+// and a refused read leaves a user request unanswered.
 func readLimiter(state config.State, share float64) *rate.Limiter {
 	requests := state.Tightest().RPS * share
 	return rate.NewLimiter(rate.Limit(requests*readShare), max(2, int(requests*readBurstShare)))
 }
 
-// userRate is what of that each controller spends on users.
+// userRate returns the rate of changes that each controller may make for users.
 func (c *Core) userRate() rate.Limit {
 	return rate.Limit(c.writeRate() * userShare / float64(len(c.cfg.Others)+1))
 }
--- a/controller/rate_limits_test.go
+++ b/controller/rate_limits_test.go
@@ -11,8 +11,8 @@
 	"pumicefront/config"
 )
 
-// The state service may take fewer requests from a moment that nobody announces. Reads for
-// users keep to that from the start, and changes once refusals tell that it has come.
+// The state service may lower its rate limits at an unannounced time. Reads for users observe the
+// upcoming limit from the start, and changes once refusals show that it is in effect.
 func TestComingRates(t *testing.T) {
 	template, _, _ := leading(t)
 	cfg := *template.cfg
@@ -21,15 +21,15 @@
 	c := New(&cfg, config.DefaultOperator(), rand.New(rand.NewPCG(1, 1)), time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC))
 	controllers := rate.Limit(len(cfg.Others) + 1)
 	if got := c.reads.Limit() * controllers; got > rate.Limit(requests) {
-		t.Errorf("%v reads a second, the state service will take %v requests", got, requests)
+		t.Errorf("%v reads per second exceed the upcoming limit of %v requests", got, requests)
 	}
 	if got := c.writes.Limit() * controllers; got != rate.Limit(cfg.Facts.State.WriteRPS*userShare) {
-		t.Errorf("%v changes a second before the limit has come", got)
+		t.Errorf("%v changes per second before the upcoming limit is in effect", got)
 	}
 	for range refusalsToLower {
 		c.observeRateLimit(http.StatusTooManyRequests)
 	}
 	if got := c.writes.Limit() * controllers; got > rate.Limit(changes) {
-		t.Errorf("%v changes a second, the state service takes %v", got, changes)
+		t.Errorf("%v changes per second exceed the limit of %v", got, changes)
 	}
 }
--- a/controller/records.go
+++ b/controller/records.go
@@ -7,11 +7,11 @@
 	"pumicefront/wire"
 )
 
-// The values stored in the state service. Their keys and fields must stay readable by earlier
+// The records stored in the state service. Their keys and fields must stay readable by earlier
 // versions, see versions_test.go.
 
-// Keys of the state service. Everything under controlPrefix is watched by every
-// controller; tasks and hires are read by a new leader alone.
+// Keys in the state service. Every controller watches everything under controlPrefix. Task and
+// rental records are read only by a new leader.
 const (
 	controlPrefix = "c/"
 	leaderKey     = "c/leader"
@@ -28,56 +28,56 @@
 	gonePrefix    = "c/gone/"
 )
 
-// leaderRecord says who leads.
+// leaderRecord names the leader and its lease in the state service.
 type leaderRecord struct {
 	Member string `cbor:"m"`
 	Lease  uint64 `cbor:"l"`
 }
 
-// tokenRecord is the counter that tokens come from.
+// tokenRecord is the counter from which fencing tokens are allocated.
 type tokenRecord struct {
 	Token uint64 `cbor:"n"`
 }
 
-// headerRecord is the record of an unfinished job. Any controller creates and
-// cancels it; only the leader removes it.
+// headerRecord is the header of an unfinished job. Any controller may create it or mark it as
+// cancelled; only the leader deletes it.
 type headerRecord struct {
 	Job        wire.Job `cbor:"j"`
 	Cancelled  bool     `cbor:"x,omitempty"`
 	AcceptedMS int64    `cbor:"t"`
-	PerChunk   int      `cbor:"per"` // tasks in each of its task records
+	PerChunk   int      `cbor:"per"` // number of tasks in each of its task records
 
-	Grant  *grantRecord  `cbor:"g,omitempty"` // another cell may run it, and nobody here
-	Origin *originRecord `cbor:"o,omitempty"` // it is another cell's, and may run here
+	Grant  *grantRecord  `cbor:"g,omitempty"` // the job is granted to another cell and must not run in this one
+	Origin *originRecord `cbor:"o,omitempty"` // the job belongs to another cell, which granted it to this one
 }
 
-// finalRecord is what is kept of a job that is over.
+// finalRecord is the record of a finished or cancelled job.
 type finalRecord struct {
 	Cancelled bool  `cbor:"x,omitempty"`
 	Tasks     int   `cbor:"n"`
-	EndedMS   int64 `cbor:"e,omitempty"` // jobs that need it count their times from then
+	EndedMS   int64 `cbor:"e,omitempty"` // from which the jobs that need it count their times
 }
 
-// taskRecord holds a run of a job's tasks: those completed, as ranges, and the
-// attempts in force.
+// taskRecord holds the state of one chunk of a job's tasks: the completed tasks, as ranges, and the
+// active attempts.
 type taskRecord struct {
-	Write  uint64         `cbor:"w"` // tells the writes of one leader apart
-	Next   uint64         `cbor:"n"` // the last attempt number given
+	Write  uint64         `cbor:"w"` // identifies the write
+	Next   uint64         `cbor:"n"` // the last attempt number allocated
 	Done   [][2]int       `cbor:"d,omitempty"`
 	Placed []placedRecord `cbor:"p,omitempty"`
 }
 
-// placedRecord is an attempt in force.
+// placedRecord is an active attempt.
 type placedRecord struct {
 	Task    int    `cbor:"t"`
 	Attempt uint64 `cbor:"a"`
 	Machine string `cbor:"m"`
 	Session uint64 `cbor:"s"`
-	Zone    string `cbor:"z"` // constraints are checked before the machine reports again
+	Zone    string `cbor:"z"` // lets a new leader check constraints before the machine reports
 }
 
-// rentalRecord is a rental request, written before it is made, and its answer, so that
-// a new leader asks again only for what has none.
+// rentalRecord is a rental request and its answer. It is written before the request is sent, so
+// that a new leader repeats only the requests without an answer.
 type rentalRecord struct {
 	Rent     wire.Rent `cbor:"r"`
 	Answered bool      `cbor:"a,omitempty"`
@@ -89,13 +89,14 @@
 
 func chunkKey(job string, chunk int) string { return fmt.Sprintf("%s%s/%06d", taskPrefix, job, chunk) }
 
-// dividedChunkKey names a record of a job whose header asks for larger ones than may be
-// written: what it holds stands for its tasks instead of what a larger one says.
+// dividedChunkKey returns the key of a divided record: one of a job whose header specifies more
+// tasks per record than may be written now. It replaces what an undivided record contains for the
+// same tasks.
 func dividedChunkKey(job string, chunk int) string {
 	return fmt.Sprintf("%s%s/s%06d", taskPrefix, job, chunk)
 }
 
-// splitChunk takes a task record's key apart.
+// splitChunk parses the key of a task record. small is true for a divided record.
 func splitChunk(key string) (job string, chunk int, small, ok bool) {
 	job, num, found := strings.Cut(strings.TrimPrefix(key, taskPrefix), "/")
 	if !found {
@@ -106,22 +107,22 @@
 	return job, chunk, small, err == nil
 }
 
-// tasksPerRecord is how many tasks go into one task record so that it stays within
-// the largest value: a placement takes up to 75 characters of it as JSON.
+// tasksPerRecord returns how many tasks fit into one task record within the value size limit: an
+// active attempt takes up to 75 characters as JSON.
 func tasksPerRecord(valueKB float64) int { return max(1, int(valueKB*1024/80)) }
 
-// headerRoom is what a header leaves of the largest value: a cancellation adds to it.
+// headerRoom is the number of characters that a new header leaves free within the value size limit,
+// since a cancellation adds to it.
 const headerRoom = 64
 
-// fits reports whether a value, and as many characters more, is within the state service's
-// limit, which counts the JSON form.
+// fits reports whether a value and the given number of additional characters are within the state
+// service's size limit, which applies to the JSON form.
 func fits(raw []byte, more int, valueKB float64) bool {
 	return float64(wire.Size(raw)+more) <= valueKB*1024
 }
 
-// cancelledHeader is a header with the cancellation in it. Where an earlier version has
-// stored more than may be written now, what nobody needs of a cancelled job is
-// left out.
+// cancelledHeader returns the encoded header marked as cancelled. If an earlier version stored a
+// larger header than may be written now, the fields that a cancelled job doesn't need are omitted.
 func cancelledHeader(h headerRecord, valueKB float64) []byte {
 	h.Cancelled = true
 	raw := wire.Marshal(h)
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -10,11 +10,11 @@
 	"pumicefront/wire"
 )
 
-// A new leader continues from the records that earlier ones have left.
+// Recovery: a new leader rebuilds its state from the records of earlier leaders.
 
-// readRecords reads what the earlier leader left: first the headers, as new as our
-// election, then rentals and task records, which only we write now. It begins
-// again until all is read.
+// readRecords reads the records of earlier leaders: first the headers, at least as recent as this
+// leader's election, then the rentals and task records, which no other controller writes from now
+// on. It starts over after a failure until all have been read.
 func (l *leader) readRecords() {
 	c := l.c
 	again := func() {
@@ -50,8 +50,9 @@
 	})
 }
 
-// findOut reads a key until it is known what is recorded there, as after a write without an answer;
-// fn gets nil where nothing is. It ends when this controller leads no more.
+// findOut reads a key, with retries until the state service responds, for example after a write
+// whose result is unknown. fn gets nil if the key doesn't exist. The retries end when this
+// controller no longer leads.
 func (l *leader) findOut(key string, fn func(*wire.Item)) {
 	l.c.state(StateCall{Op: OpGet, Key: key, Timeout: leadCallTimeout}, func(r StateReply) {
 		switch {
@@ -70,13 +71,14 @@
 	})
 }
 
-// optionalRecords are records of what operators have switched on.
+// optionalRecords is a kind of records that belongs to an optional feature.
 type optionalRecords struct {
 	prefix  string
 	restore func([]wire.Item)
 }
 
-// readOptional reads the records of what operators have switched on, one kind after the other.
+// readOptional reads the records of the optional features that are enabled, one kind after the
+// other.
 func (l *leader) readOptional(read func(prefix string, next func([]wire.Item)), done func()) {
 	var kinds []optionalRecords
 	if l.zones != nil {
@@ -102,8 +104,8 @@
 	next(0)
 }
 
-// rebuild makes the leader's state from the records: what was running is
-// pending again, but stays off the frontier until its attempt is proved gone.
+// rebuild builds the leader's state from the records. Tasks that were running are pending again,
+// but can't be placed until their recorded attempt is proved to have ended.
 func (l *leader) rebuild(tasks, hires []wire.Item) {
 	c := l.c
 	for id, h := range c.control.headers {
@@ -114,7 +116,7 @@
 		rec := decode[taskRecord](it.Value)
 		j := l.jobs[id]
 		if j != nil && small && !j.divided {
-			l.divide(j) // the larger records come first, by their names
+			l.divide(j) // the undivided records sort before the divided ones, so they are restored by now
 		}
 		if !ok || rec == nil || j == nil || small != j.divided || n >= len(j.chunks) {
 			l.obsoleteKeys = append(l.obsoleteKeys, it.Key)
@@ -143,7 +145,7 @@
 }
 
 func (l *leader) restore(j *job, n int, rec *taskRecord, version uint64) {
-	if j.divided { // it stands for its tasks instead of what a larger record says of them
+	if j.divided { // a divided record replaces what the undivided one contains for its tasks
 		for t := n * j.tasksPerRecord; t < min((n+1)*j.tasksPerRecord, j.spec.Tasks); t++ {
 			if a := j.attempts[t]; a != nil {
 				delete(j.attempts, t)
--- a/controller/snapshots.go
+++ b/controller/snapshots.go
@@ -8,18 +8,20 @@
 	"pumicefront/wire"
 )
 
-// The scheduler's view of the machines. A snapshot is kept until something changes its machine.
+// The scheduler's view of the machines. The snapshot of a machine is reused until the machine
+// changes.
 
 // usable reports whether a machine may be given new work.
 func (l *leader) usable(m *machine) bool {
-	// Where commands to many get no answer, the fault is ours, and reports carry them.
+	// If commands to many machines get no response, the fault is likely on the leader's side, and the
+	// answers to reports carry the commands.
 	hears := m.unansweredSince.IsZero() || l.partitions.active[allZones]
 	return m.up && !m.releasing && !m.consolidating && !m.notice && !m.leaseOut && !l.failures.unresponsive(m) && hears
 }
 
-// view gives the scheduler its view of the machines; with booting, those that
-// are not up yet count too. The view may be changed; it lasts until the next
-// view. Only machines that have changed since are drawn anew.
+// view returns the scheduler's view of the usable machines and, with booting, of those that are not
+// up yet. The caller may modify the view, which is valid until the next call. Only the snapshots of
+// machines that have changed are rebuilt.
 func (l *leader) view(booting bool) []*scheduler.Machine {
 	l.assignGuarantees()
 	if cap(l.scratch) < len(l.fleetOrder) {
@@ -41,7 +43,7 @@
 	return ms
 }
 
-// takeSnapshot draws one machine as the scheduler sees it.
+// takeSnapshot returns the scheduler's view of one machine.
 func (l *leader) takeSnapshot(m *machine, t wire.MachineType) *scheduler.Machine {
 	s := &scheduler.Machine{
 		ID: m.id, Type: m.typ, Zone: m.zone, Spot: m.spot, Part: m.part,
@@ -57,7 +59,7 @@
 		if j := l.jobs[id]; j != nil {
 			s.Free = s.Free.Add(jobEach(&j.spec), -1)
 		} else {
-			s.Free = scheduler.Resources{} // nobody knows what it takes
+			s.Free = scheduler.Resources{} // the resources that the attempt uses are unknown
 		}
 	}
 	for _, a := range m.list {
@@ -66,12 +68,13 @@
 	return s
 }
 
-// overdue reports whether a booting machine is late, so that another should be
-// rented in its place: a few never come up, and waiting for proof takes long.
+// overdue reports whether a booting machine is so late that another one should be rented in its
+// place: a few machines never come up, and it takes long to prove that.
 func (l *leader) overdue(m *machine, t wire.MachineType) bool {
 	return l.c.now.Sub(m.since) > config.Seconds(t.BootS*1.6)+2*time.Second
 }
 
+// occupy accounts for an attempt in a machine's snapshot.
 func (l *leader) occupy(s *scheduler.Machine, a *attempt) {
 	each := a.job.terms.Each
 	s.Free = s.Free.Add(each, -1)
@@ -80,7 +83,7 @@
 		return
 	}
 	if a.phase < attemptSeen {
-		return // may be anywhere between here and there: not worth a stop
+		return // its run command may still be in transit, so it is no preemption candidate
 	}
 	since := time.Time{}
 	if a.phase == attemptRunning {
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Authority counts from before a renewal was sent, falls short of the lease's life, and never goes
-// back for a reply that comes late.
+// Authority counts from before a renewal was sent, ends before the lease does, and is never moved
+// back by a late reply.
 func TestTermCountsFromBeforeTheRenewal(t *testing.T) {
 	now, life := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC), 2*time.Second
 	held := newTerm(now, 1, 7, 3)
 	held.extend(now, life)
 	if short := now.Add(life).Sub(held.authority); short < authorityMargin || short > 2*authorityMargin {
-		t.Errorf("authority ends %v before the lease", short)
+		t.Errorf("authority ends %v before the lease, want between one and two margins", short)
 	}
 	until := held.authority
 	held.extend(now.Add(-time.Second), life)
 	if held.authority != until || held.renewed != now {
-		t.Errorf("a late reply moves the authority from %v to %v", until, held.authority)
+		t.Errorf("a late reply moved the end of authority from %v to %v", until, held.authority)
 	}
 	if held.mayRaiseToken(now.Add(raisePause-time.Millisecond)) || !held.mayRaiseToken(now.Add(raisePause)) {
-		t.Error("the token may be raised at the wrong time")
+		t.Error("the minimum time between two token raises is not observed")
 	}
 	held.raisingToken = true
 	if held.mayRaiseToken(now.Add(time.Hour)) {
-		t.Error("the token may be raised while it is being raised")
+		t.Error("the token may be raised while a raise is in progress")
 	}
 }
 
-// Silence counts only while the leader listens.
+// A machine's silence counts only for the time that the leader was receiving heartbeats.
 func TestListeningPeriod(t *testing.T) {
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	var p listeningPeriod
 	p.observe(start)
 	p.observe(start.Add(listenGap))
 	if got := p.elapsed(start.Add(listenGap), start.Add(-time.Hour)); got != listenGap {
-		t.Errorf("%v listened for", got)
+		t.Errorf("listened for %v, want listenGap", got)
 	}
 	resumed := start.Add(10 * time.Second)
 	p.observe(resumed)
 	if got := p.elapsed(resumed.Add(time.Second), start); got != time.Second {
-		t.Errorf("%v listened for after a pause", got)
+		t.Errorf("listened for %v after a pause, want 1s", got)
 	}
 	if got := p.elapsed(resumed.Add(3*time.Second), resumed.Add(time.Second)); got != 2*time.Second {
-		t.Errorf("%v since a moment in the period", got)
+		t.Errorf("listened for %v since a time within the period, want 2s", got)
 	}
 }
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -7,24 +7,25 @@
 	"pumicefront/wire"
 )
 
-// Versions. Old ones may lead beside new ones while a deployment is upgraded. Every process notes
-// its version; when all members have noted one, no process of an earlier version can come back.
+// Software versions. During a rolling upgrade, controllers of different versions run side by side,
+// and any of them may lead. Every process records its version. Once all members have recorded a
+// version, no process of an earlier version can run any more.
 
-// versionRecord tells that a member runs a version of the service: it stays when that
-// has been replaced by a newer one, and an older one never comes back.
+// versionRecord records that a member has run a version of the service. It is only ever replaced by
+// that of a newer version, since a member is never downgraded.
 type versionRecord struct {
 	Version int `cbor:"v"`
 }
 
-// Versions of the records and messages, by what they brought.
+// Versions of the records and messages, named after the feature that each introduced.
 const (
 	firstVersionWithChains = 2
-	firstVersionWithEnds   = 3 // finds out how needed jobs ended before it tells of a job
+	firstVersionWithEnds   = 3 // looks up how needed jobs ended before it answers about a job
 	thisVersion            = firstVersionWithEnds
-	firstVersionWithCells  = 4 // knows that a job may be granted to another cell; noted where that is switched on
+	firstVersionWithCells  = 4 // supports grants of jobs to other cells; recorded only if that is enabled
 )
 
-// version is what this process notes of itself.
+// version returns the version that this process records for its member.
 func (c *Core) version() int {
 	if c.op.Cell != nil {
 		return firstVersionWithCells
@@ -32,7 +33,7 @@
 	return thisVersion
 }
 
-// announce notes this process's version where it isn't noted yet.
+// announce records this process's version unless it or a later one is already recorded.
 func (c *Core) announce() {
 	if !c.control.loaded || c.announcing || c.control.members[c.cfg.Member] >= c.version() {
 		return
@@ -49,8 +50,8 @@
 	})
 }
 
-// allRun reports whether every member runs the version or a later one, so that no process of
-// an earlier version can come back.
+// allRun reports whether every member has recorded the version or a later one, so that no process
+// of an earlier version can run any more.
 func (c *Core) allRun(version int) bool {
 	least := c.control.members[c.cfg.Member]
 	for _, o := range c.cfg.Others {
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -22,9 +22,8 @@
 	"pumicefront/wire"
 )
 
-// fixture is what an earlier version has written: values of the state service by key,
-// messages between controllers by name, and the description of those messages under
-// "described".
+// fixture is data written by an earlier version: values in the state service by key, messages between
+// controllers by name, and the protobuf descriptor of those messages under "described".
 type fixture struct{ Records, Messages map[string][]byte }
 
 // The earlier versions whose data must stay readable. Each testdata/NAME.json was made by
@@ -47,8 +46,8 @@
 	return f
 }
 
-// continuing is a leader that takes over what an earlier version has written, with coming
-// limits that are far below what it was written by.
+// continuing returns a leader that has recovered from the records of an earlier version, with
+// upcoming limits far below those under which the records were written.
 func continuing(t *testing.T, name string) (*Core, *leader, fixture) {
 	t.Helper()
 	c, _, _ := leading(t)
@@ -77,12 +76,14 @@
 	return c, c.lead, p
 }
 
+// members sets the recorded version of every member.
 func members(c *Core, version int) {
 	for _, m := range c.members() {
 		c.control.members[m] = version
 	}
 }
 
+// A leader recovers from the records of version 1, which has no dependencies between jobs.
 func TestContinuesFromBeforeChains(t *testing.T) {
 	c, l, p := continuing(t, beforeChains)
 	j := l.jobs["req-000001"]
@@ -90,21 +91,21 @@
 		t.Fatalf("%+v", j)
 	}
 	if off := l.jobs["req-000002"]; off == nil || !off.cancelled || !off.dirty {
-		t.Errorf("the cancelled job: %+v", off)
+		t.Errorf("cancelled job: %+v", off)
 	}
 	if h := l.autoscaler.requests["r-6-1"]; h == nil || !h.answered || len(h.machines) != 2 || l.machines["i-000031"] == nil {
-		t.Errorf("the rental: %+v", h)
+		t.Errorf("rental: %+v", h)
 	}
 	if len(c.types) != 1 {
-		t.Errorf("%d machine types", len(c.types))
+		t.Errorf("%d machine types, want 1", len(c.types))
 	}
 	if f := decode[finalRecord](p.Records[finalKey("req-000004")]); f == nil || !f.Cancelled || f.EndedMS != 0 {
-		t.Errorf("a final record: %+v", f)
+		t.Errorf("final record: %+v", f)
 	}
 }
 
-// What version 1 has stored in records larger than may be written soon stays in its form
-// while that version may come back, and is written in smaller form after that.
+// Task records of version 1 that exceed the upcoming size limit keep their format while a member
+// may still run version 1, and are written as smaller divided records after that.
 func TestLargeRecordsAreDivided(t *testing.T) {
 	c, l, _ := continuing(t, beforeChains)
 	j := l.jobs["req-000001"]
@@ -117,28 +118,28 @@
 	c.control.members["n2"] = 0 // not upgraded yet
 	w := l.writes.compose(j)
 	if j.divided || len(w.txn.Then) != 1 || w.txn.Then[0].Put != chunkKey(j.id, 0) {
-		t.Fatalf("small %v, writes %+v", j.divided, w.txn.Then)
+		t.Fatalf("divided %v, writes %+v", j.divided, w.txn.Then)
 	}
 	j.undo(w)
 	members(c, thisVersion)
 	var changes []wire.Change
 	for w = l.writes.compose(j); w != nil; w = l.writes.compose(j) {
 		if len(w.txn.Then) > 5 {
-			t.Errorf("%d changes", len(w.txn.Then))
+			t.Errorf("%d changes in one transaction, want at most 5", len(w.txn.Then))
 		}
 		changes = append(changes, w.txn.Then...)
 		j.write = w
 		l.writes.confirm(j, uint64(50+len(changes)))
 	}
 	if !j.divided || len(changes) == 0 {
-		t.Fatalf("small %v, writes %+v", j.divided, changes)
+		t.Fatalf("divided %v, writes %+v", j.divided, changes)
 	}
 	for _, change := range changes {
 		if wire.Size(change.Value) > 2048 || !strings.HasPrefix(change.Put, taskPrefix+j.id+"/s") {
 			t.Errorf("writes %d characters to %s", wire.Size(change.Value), change.Put)
 		}
 	}
-	// The next leader reads both, and what was written last stands.
+	// The next leader reads both kinds of records; the divided ones take precedence.
 	items := map[string][]byte{}
 	for key, raw := range readFixture(t, beforeChains).Records {
 		if strings.HasPrefix(key, taskPrefix) {
@@ -161,42 +162,43 @@
 	}
 	for task, a := range again.attempts {
 		if next := again.chunks[task/again.tasksPerRecord].lastAttempt; a.number > next {
-			t.Fatalf("task %d has attempt %d, the next ones count from %d", task, a.number, next)
+			t.Fatalf("task %d has attempt %d, but the last allocated number is %d", task, a.number, next)
 		}
 	}
 	if n := len(again.undividedKeys); n != 2 {
-		t.Errorf("%d larger records to remove in the end", n)
+		t.Errorf("%d undivided records to delete when the job is finished, want 2", n)
 	}
 }
 
-// A leader takes up the chains that version 2 has recorded: what runs goes on, what waits
-// is held, and what a cancelled job took with it stays cancelled.
+// A leader recovers from the records of version 2, the first with dependencies between jobs: running
+// tasks continue, jobs that wait for others are blocked, and the dependents of a cancelled job stay
+// cancelled.
 func TestContinuesFromFirstChains(t *testing.T) {
 	c, l, p := continuing(t, firstChains)
 	first := l.jobs["req-000010"]
 	if first == nil || first.state.Count(reduction.Completed) != 2 || len(first.attempts) != 1 || l.blocked(first) {
-		t.Fatalf("the first job of the chain: %+v", first)
+		t.Fatalf("first job of the chain: %+v", first)
 	}
 	if first.terms.Rank != 1 || first.due.last == nil || first.due.last.ID != "req-000012" {
-		t.Errorf("the first job has rank %d and the deadline %+v", first.terms.Rank, first.due)
+		t.Errorf("first job has rank %d and deadline %+v", first.terms.Rank, first.due)
 	}
 	for _, id := range []string{"req-000011", "req-000012", "req-000015"} {
 		if j := l.jobs[id]; j == nil || !l.blocked(j) || j.cancelled {
-			t.Errorf("%s, which waits: %+v", id, j)
+			t.Errorf("%s is not blocked: %+v", id, j)
 		}
 	}
 	for _, id := range []string{"req-000013", "req-000014", "req-000016"} {
 		if j := l.jobs[id]; j == nil || !j.cancelled || c.jobState(id).State != wire.StateCancelled {
-			t.Errorf("%s, which is cancelled: %+v", id, j)
+			t.Errorf("%s is not cancelled: %+v", id, j)
 		}
 	}
 	c.jobEnded("req-000003", *decode[finalRecord](p.Records[finalKey("req-000003")]))
 	if !l.blocked(l.jobs["req-000015"]) {
-		t.Error("req-000015 is released while req-000010 runs")
+		t.Error("req-000015 is not blocked although req-000010 is running")
 	}
 	divided := l.jobs["req-000001"]
 	if !divided.divided || divided.state.Status(12) != reduction.Completed || divided.attempts[20] == nil || divided.attempts[30] == nil {
-		t.Errorf("the job with divided records: %+v", divided)
+		t.Errorf("job with divided records: %+v", divided)
 	}
 }
 
@@ -205,12 +207,12 @@
 	t.Helper()
 	var was, is any
 	if wire.Unmarshal(read, &was) != nil || wire.Unmarshal(written, &is) != nil {
-		t.Fatal("a record can't be read")
+		t.Fatal("a record can't be decoded")
 	}
 	return reflect.DeepEqual(was, is)
 }
 
-// rewritten is a record of an earlier version after this one has read and written it.
+// rewritten decodes a record of an earlier version and encodes it again.
 func rewritten(t *testing.T, key string, raw []byte) []byte {
 	t.Helper()
 	switch {
@@ -231,26 +233,26 @@
 	case key == typesKey:
 		return wire.Marshal(decode[wire.MachineTypes](raw))
 	}
-	t.Fatalf("nobody reads %s", key)
+	t.Fatalf("no record type for key %s", key)
 	return nil
 }
 
-// Earlier versions find in our records, under the same keys and fields, all that they
-// have written there themselves: no job, cancellation or placement is lost to them.
+// Records that this version writes keep every field of an earlier version under the same key and
+// name, so that an earlier version loses no job, cancellation or placement.
 func TestEarlierVersionsReadOurRecords(t *testing.T) {
 	for _, name := range []string{beforeChains, firstChains} {
 		for key, raw := range readFixture(t, name).Records {
 			if !sameFields(t, raw, rewritten(t, key, raw)) {
-				t.Errorf("%s: %s reads differently once it is written again", name, key)
+				t.Errorf("%s: %s differs after decoding and encoding", name, key)
 			}
 		}
 	}
 	if sameFields(t, wire.Marshal(finalRecord{Tasks: 3}), wire.Marshal(finalRecord{Tasks: 3, EndedMS: 7})) {
-		t.Error("a difference is not noticed")
+		t.Error("sameFields misses a difference")
 	}
 }
 
-// The records as version 1 reads them. It ignores what it doesn't know.
+// The records as version 1 decodes them. It ignores unknown fields.
 type (
 	oldHeader struct {
 		Job        oldJob `cbor:"j"`
@@ -270,31 +272,33 @@
 	}
 )
 
+// Version 1 can decode records with the fields that were added later, and doesn't take the new keys
+// for keys of its own.
 func TestVersion1ReadsWhatWeAdd(t *testing.T) {
 	job := wire.Job{ID: "req-000009", Class: "batch", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 30, CPUs: 1,
 		Image: "img-0", Needs: []string{"req-000001"}}
 	h := decode[oldHeader](wire.Marshal(headerRecord{Job: job, AcceptedMS: 5, PerChunk: 25}))
 	if h == nil || h.Job != (oldJob{"req-000009", "batch", "red", 30}) || h.PerChunk != 25 || h.AcceptedMS != 5 || h.Cancelled {
-		t.Errorf("a header: %+v", h)
+		t.Errorf("header: %+v", h)
 	}
 	big := job
 	big.Types = strings.Split(strings.Repeat("some-machine-type ", 200), " ")
 	raw := cancelledHeader(headerRecord{Job: big, PerChunk: 204}, 2)
 	if h := decode[oldHeader](raw); h == nil || !h.Cancelled || h.Job.Tasks != 30 || h.Job.Team != "red" || wire.Size(raw) > 2048 {
-		t.Errorf("a cancelled header of %d bytes: %+v", len(raw), h)
+		t.Errorf("cancelled header of %d bytes: %+v", len(raw), h)
 	}
 	if f := decode[oldFinal](wire.Marshal(finalRecord{Tasks: 3, EndedMS: 7})); f == nil || f.Tasks != 3 || f.Cancelled {
-		t.Errorf("a final record: %+v", f)
+		t.Errorf("final record: %+v", f)
 	}
 	for _, key := range []string{versionPrefix + "n1", dividedChunkKey("req-000009", 2)} {
 		if strings.HasPrefix(key, headerPrefix) || key == leaderKey || key == tokenKey || key == typesKey {
-			t.Errorf("version 1 takes %s for something else", key)
+			t.Errorf("version 1 takes key %s for one of its own", key)
 		}
 	}
 }
 
-// Messages of the mesh both ways: ours read with the description that an earlier version
-// has of them, and its messages by us.
+// Mesh messages are compatible in both directions: messages of this version can be read with the
+// protobuf descriptor of an earlier version, and messages of the earlier version by this one.
 func TestMeshOfTwoVersions(t *testing.T) {
 	for _, name := range []string{beforeChains, firstChains} {
 		t.Run(name, func(t *testing.T) { checkMessages(t, readFixture(t, name).Messages) })
@@ -330,11 +334,11 @@
 		}
 		again := dynamicpb.NewMessage(old)
 		if err := proto.Unmarshal(back, again); err != nil || !proto.Equal(theirs, again) {
-			t.Errorf("%s: the earlier version reads %v where it wrote %v (%v)", name, again, theirs, err)
+			t.Errorf("%s: the earlier version decodes %v, want %v (%v)", name, again, theirs, err)
 		}
 		again.Range(func(fd protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 			if fd.Message() != nil && len(v.Message().GetUnknown()) > 0 {
-				t.Errorf("%s: fields that the earlier version doesn't know: %s", name, fmt.Sprint(v))
+				t.Errorf("%s: fields unknown to the earlier version: %s", name, fmt.Sprint(v))
 			}
 			return true
 		})
--- a/controller/write_budget_test.go
+++ b/controller/write_budget_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Background writes have less of the budget than urgent ones, and count for both; a burst
-// is all that is ever allowed at once.
+// Background writes have a lower rate than urgent ones and count against both limits. No more than
+// a burst is ever allowed at once.
 func TestWriteBudget(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	b := newWriteBudget(10)
@@ -19,7 +19,7 @@
 		t.Errorf("%d left after 6 of 10 changes", b.left(now))
 	}
 	b.spend(now, 4, false)
-	now = now.Add(250 * time.Millisecond) // brings 4.25 changes, of which 2 may be background
+	now = now.Add(250 * time.Millisecond) // adds 4.25 changes, of which 2 may be background
 	if !b.allows(now, 4, true) || b.allows(now, 5, true) {
 		t.Error("urgent changes after a quarter of a second: want 4")
 	}
@@ -27,6 +27,6 @@
 		t.Errorf("%d background changes after a quarter of a second, want 2", n)
 	}
 	if b.pausedUntil = now.Add(time.Millisecond); !b.paused(now) || b.paused(now.Add(time.Millisecond)) {
-		t.Error("a pause is not as long as it says")
+		t.Error("a pause doesn't last exactly until pausedUntil")
 	}
 }
--- a/controller/write_queue.go
+++ b/controller/write_queue.go
@@ -10,18 +10,19 @@
 	"pumicefront/wire"
 )
 
-// The leader's write queue. What is dirty is written oldest first, one conditional transaction
-// per job and round, within a budget below the state service's rate. What jobs wait for goes before
-// counts, and counts before the removal of obsolete records.
+// The leader's write queue. Dirty jobs are written oldest first, with one conditional transaction
+// per job and round, within a budget below the write rate limit of the state service. Urgent writes,
+// which tasks or users wait for, precede writes that only record completed tasks, and those precede
+// the deletion of obsolete records.
 
-// writeQueue is the leader's part that writes the records of jobs to the state service and
-// deletes the records of jobs that are over. The budget of writes and the list of obsolete keys
-// are the leader's, since other parts write and delete too.
+// writeQueue writes the records of jobs to the state service and deletes the records of finished
+// jobs. The write budget and the list of obsolete keys are fields of the leader, since other
+// components write and delete too.
 type writeQueue struct {
 	*leader
 }
 
-// write is one write of a job's records, sent again unchanged while in doubt.
+// write is one write of a job's records. It is retried unchanged while its result is unknown.
 type write struct {
 	id       uint64
 	txn      wire.Txn
@@ -31,25 +32,27 @@
 	doubt    bool
 }
 
-// countsWait is how long a write may wait that tells of counts alone: finishes
-// that come one by one share a write, and what tasks wait for goes first.
+// countsWait is how long a write that only records completed tasks is delayed, so that tasks that
+// complete one by one share a write, and urgent writes go first.
 const countsWait = 2 * time.Second
 
-// budgetPause is how long writes wait for the budget to recover.
+// budgetPause is how long writes pause when the budget is exhausted.
 const budgetPause = 20 * time.Millisecond
 
-// flush writes what is dirty, oldest first: one conditional write per job and
-// round, under the budget.
+// flush sends the writes that are due, urgent ones and then the oldest first: one conditional write
+// per job and round, within the budget.
 func (q *writeQueue) flush() {
 	if !q.c.now.Before(q.authority) {
-		return // under promises alone nothing can be written
+		return // with only a peer lease, nothing can be written
 	}
 	if q.budget.paused(q.c.now) {
 		return
 	}
 	deleted := false
 	for _, j := range q.dueWrites() {
-		if !j.urgent && !deleted { // counts never end: what comes after them would never be deleted
+		// Deletions go before non-urgent writes once per round: such writes are always due on a busy
+		// cluster, and records would never be deleted after them.
+		if !j.urgent && !deleted {
 			q.deleteObsolete()
 			deleted = true
 		}
@@ -63,7 +66,8 @@
 	}
 }
 
-// dueWrites lists the jobs whose write is due, urgent ones first.
+// dueWrites lists the jobs whose write is due: urgent ones first, then by the time since which they
+// are dirty.
 func (q *writeQueue) dueWrites() []*job {
 	var due []*job
 	for _, j := range q.order {
@@ -84,10 +88,9 @@
 	return due
 }
 
-// writeJob sends the write that is due for a job, and reports whether the budget had room
-// for it.
+// writeJob sends the write that is due for a job. It reports false if the budget doesn't allow it.
 func (q *writeQueue) writeJob(j *job) bool {
-	if !q.budget.allows(q.c.now, 1, j.urgent) { // before anything is encoded in vain
+	if !q.budget.allows(q.c.now, 1, j.urgent) { // saves encoding the records
 		return false
 	}
 	w := q.compose(j)
@@ -96,7 +99,7 @@
 	}
 	changes := min(len(w.txn.Then), q.budget.burst())
 	if !q.budget.allows(q.c.now, changes, j.urgent) {
-		j.undo(w) // what compose took must stay dirty, or it is never written
+		j.undo(w) // compose marked the chunks as clean; they must be written later
 		return false
 	}
 	q.budget.spend(q.c.now, changes, j.urgent)
@@ -106,18 +109,19 @@
 	return true
 }
 
-// pauseWrites holds all writes back for a moment.
+// pauseWrites stops all writes of the queue for the given duration.
 func (q *writeQueue) pauseWrites(pause time.Duration) {
 	q.budget.pausedUntil = q.c.now.Add(pause)
 	q.c.after(pause, func() {})
 }
 
-// compose makes the write that is due for a job; nil: nothing is.
+// compose returns the write that is due for a job and marks its chunks as clean, or returns nil if
+// none is due.
 func (q *writeQueue) compose(j *job) *write {
 	if !j.divided && j.tasksPerRecord > q.tasksPerRecord() && (q.c.allRun(firstVersionWithChains) || q.c.valuesLowered) {
 		q.divide(j)
 	}
-	w := &write{id: q.c.rng.Uint64() >> 1} // no other leader's write may look like ours
+	w := &write{id: q.c.rng.Uint64() >> 1} // random, so that no other leader's write has the same ID
 	w.txn.If = []wire.Cond{q.leadershipCondition(), {Key: headerKey(j.id), Version: q.c.control.versions[headerKey(j.id)]}}
 	settled, _ := reduction.Classify(j.graph, j.state)
 	switch {
@@ -125,7 +129,7 @@
 		q.composeFinal(j, w)
 		return w
 	case j.cancelled:
-		j.dirty = false // nothing but the end is worth a write
+		j.dirty = false // of a cancelled job only the final record is written
 		return nil
 	}
 	budget, size := q.c.cfg.Facts.State.Tightest().TxnOps, 0
@@ -150,7 +154,7 @@
 	return w
 }
 
-// composeFinal moves the job from its header to its final record.
+// composeFinal composes the transaction that replaces a job's header by its final record.
 func (q *writeQueue) composeFinal(j *job, w *write) {
 	if j.origin != nil {
 		q.composeEnd(j, w)
@@ -160,7 +164,7 @@
 	w.txn.Then = []wire.Change{put(finalKey(j.id), *w.final), {Delete: headerKey(j.id)}}
 }
 
-// chunkRecord encodes chunk n and lists its attempts that are not recorded yet.
+// chunkRecord returns the record of chunk n and the active attempts that are not recorded yet.
 func (q *writeQueue) chunkRecord(j *job, n int, id uint64) (taskRecord, []*attempt) {
 	rec := taskRecord{Write: id, Next: j.chunks[n].lastAttempt}
 	var fresh []*attempt
@@ -182,8 +186,8 @@
 	return rec, fresh
 }
 
-// send sends a job's write. While it is in doubt it is sent again unchanged: of
-// two copies with the same conditions at most one is applied.
+// send sends a job's write. While the result is unknown, the write is retried unchanged: of two
+// copies with the same conditions, at most one is applied.
 func (q *writeQueue) send(j *job) {
 	c, w := q.c, j.write
 	c.state(StateCall{Op: OpTxn, Txn: w.txn, Timeout: leadCallTimeout}, func(r StateReply) {
@@ -196,15 +200,16 @@
 		case r.Status == http.StatusConflict:
 			q.reread(j)
 		case r.Status == http.StatusBadRequest:
-			// Too large: the coming limits hold, so no earlier version can come back, and
-			// no copy of it is carried out any more. One that was may be on record.
+			// A record is too large: the upcoming limits are in effect, so no earlier version can run
+			// any more, and no copy of this write can be applied from now on. An earlier copy may
+			// have been applied, so the records are read.
 			c.log(slog.LevelInfo, "write refused for its size", "job", j.id, "error", r.Txn.Error)
 			c.valuesLowered = true
 			q.reread(j)
 		case r.Status == 0 || w.doubt:
 			w.doubt = true
 			c.after(retryPause, func() { q.resend(j, w) })
-		default: // it did not run
+		default: // the write was not executed
 			if r.Status == http.StatusTooManyRequests {
 				q.pauseWrites(retryPause / 4)
 			}
@@ -219,7 +224,7 @@
 	}
 }
 
-// confirm handles the confirmation that a job's write was applied.
+// confirm processes a job's write that was applied at the given revision.
 func (q *writeQueue) confirm(j *job, revision uint64) {
 	w := j.write
 	j.write = nil
@@ -256,7 +261,7 @@
 	}
 }
 
-// undo marks as dirty again what a write that is not made held.
+// undo marks the contents of a write that was not made as dirty again.
 func (j *job) undo(w *write) {
 	for _, n := range w.chunks {
 		j.chunks[n].dirty = true
@@ -265,7 +270,7 @@
 	j.urgent = j.urgent || len(w.attempts) > 0 || w.final != nil
 }
 
-// discard gives up a write that did not run; what it held is dirty again.
+// discard drops a write that was not executed and marks its contents as dirty again.
 func (q *writeQueue) discard(j *job) {
 	j.undo(j.write)
 	j.write = nil
@@ -279,8 +284,8 @@
 	}
 }
 
-// reread settles a write that a condition failed: either an earlier copy of it
-// was applied, or the records have changed under it.
+// reread reads the job's records to determine the result of a write whose conditions failed: either
+// an earlier copy of it was applied, or the records were changed by another write.
 func (q *writeQueue) reread(j *job) {
 	c, w := q.c, j.write
 	again := func() {
@@ -309,6 +314,8 @@
 	})
 }
 
+// resolve confirms a job's write if the records that were read show that it was applied, and
+// discards it otherwise.
 func (q *writeQueue) resolve(j *job, items []wire.Item) {
 	w := j.write
 	if w.final != nil && q.c.control.headers[j.id] == nil {
@@ -329,10 +336,10 @@
 	q.discard(j)
 }
 
-// deleteObsolete removes task records whose job is over, a transaction at a time.
+// deleteObsolete deletes obsolete records in one transaction.
 func (q *writeQueue) deleteObsolete() {
-	// As many as there is budget for: more than a burst would never be allowed, and
-	// none of them ever removed.
+	// No more than the budget has left: a transaction larger than its burst would never be allowed,
+	// and no record would ever be deleted.
 	n := min(len(q.obsoleteKeys), q.c.cfg.Facts.State.Tightest().TxnOps, q.budget.left(q.c.now))
 	if n <= 0 {
 		return
--- a/controller/write_queue_test.go
+++ b/controller/write_queue_test.go
@@ -10,7 +10,7 @@
 	"pumicefront/wire"
 )
 
-// A write that the budget refuses must stay due: its tasks would hang otherwise.
+// A write that the budget doesn't allow must stay due. If it were lost, its tasks would never start.
 func TestRefusedWriteStaysDirty(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
@@ -21,19 +21,19 @@
 	l.budget.spend(c.now, 1, true)
 	l.writes.flush()
 	if j.write != nil || !j.dirty || !j.chunks[0].dirty {
-		t.Fatal("a refused write is lost")
+		t.Fatal("a write that exceeded the budget is not dirty any more")
 	}
 	c.now = c.now.Add(time.Second)
 	l.extend(c.now, c.op.LeaderLifetime())
 	l.writes.flush()
 	if j.write == nil {
-		t.Fatal("not written once the budget allows")
+		t.Fatal("no write after the budget has recovered")
 	}
 }
 
-// A transaction may hold more changes than the budget's burst. Records that are due to
-// be removed must go nonetheless, or every new leader reads them, and takes rentals
-// of long ago for machines that boot.
+// A transaction may hold more changes than the budget's burst. Obsolete records must be deleted
+// nonetheless: otherwise every new leader reads them, and takes long finished rentals for machines
+// that are booting.
 func TestDeletionFitsTheBudget(t *testing.T) {
 	c, l, _ := leading(t)
 	c.cfg.Facts.State.TxnOps = 32
@@ -45,17 +45,18 @@
 		l.writes.deleteObsolete()
 	}
 	if n := len(l.obsoleteKeys); n > 0 {
-		t.Errorf("%d of 100 records are left after ten seconds", n)
+		t.Errorf("%d of 100 obsolete records are not deleted after ten seconds", n)
 	}
 }
 
-// A job may be seen first when it is cancelled already, by a copy that was read anew.
+// After a full reload of the watched records, the first version of a job that the leader gets may
+// already be cancelled. Its final record must still be written.
 func TestJobThatIsSeenCancelledEnds(t *testing.T) {
 	c, l, _ := leading(t)
 	spec := wire.Job{ID: "req-000002", Kind: wire.KindArray, Priority: "standard", Tasks: 1, CPUs: 1}
 	c.headerChanged(spec.ID, &headerRecord{Job: spec, Cancelled: true, PerChunk: 10})
 	j := l.jobs[spec.ID]
 	if w := l.writes.compose(j); !j.dirty || w == nil || w.final == nil || !w.final.Cancelled {
-		t.Fatalf("dirty %v, write %+v: its end is never written", j.dirty, w)
+		t.Fatalf("dirty %v, write %+v: want a write of the cancelled final record", j.dirty, w)
 	}
 }
