--- a/controller/authority.go
+++ b/controller/authority.go
@@ -11,7 +11,7 @@
 
 // The leader's authority to act. It starts when a lease renewal is sent, ends before the lease can
 // expire, and is bounded further by how long the leader's copy of the job headers may miss
-// cancellations that users were already answered.
+// cancellations that were already confirmed to users.
 
 const (
 	authorityMargin      = 50 * time.Millisecond // by which authority ends before the lease
@@ -32,39 +32,39 @@
 	if c.lead == nil {
 		return time.Time{}
 	}
-	until := c.grantedUntil()
+	until := c.leasedUntil()
 	if deadline := c.lead.renewalDeadline(); deadline.Before(until) {
 		until = deadline
 	}
 	return until
 }
 
-// grantedUntil returns when the leader's lease or the peer lease ends, whichever is later.
-func (c *Core) grantedUntil() time.Time {
-	if c.promises.promisedUntil.After(c.lead.authority) {
-		return c.promises.promisedUntil
+// leasedUntil returns when the leader's lease or the peer lease ends, whichever is later.
+func (c *Core) leasedUntil() time.Time {
+	if c.peerLease.until.After(c.lead.authority) {
+		return c.peerLease.until
 	}
 	return c.lead.authority
 }
 
-// renewLater schedules the next lease renewal, with a read of the headers if the last one is too
+// scheduleRenewal schedules the next lease renewal, with a read of the headers if the last one is too
 // old and a peer lease request if the state service is unreachable.
-func (l *leader) renewLater() {
+func (l *leader) scheduleRenewal() {
 	every := min(l.c.op.LeaderLifetime(), l.c.cancellationWindow()) / 4
 	l.c.after(every, func() {
 		if l.c.lead != l {
 			return
 		}
-		l.renew()
+		l.renewLease()
 		if l.c.now.Sub(l.c.control.lastRead) >= every {
-			l.c.syncAlways(func(bool) {}) // see renewalDeadline
+			l.c.forceSync(func(bool) {}) // see renewalDeadline
 		}
-		l.askPromises()
-		l.renewLater()
+		l.requestPeerLease()
+		l.scheduleRenewal()
 	})
 }
 
-func (l *leader) renew() {
+func (l *leader) renewLease() {
 	c, sent := l.c, l.c.now
 	c.state(StateCall{Op: OpTouch, Lease: l.lease, Timeout: c.op.LeaderLifetime()}, func(r StateReply) {
 		if c.lead != l {
@@ -73,7 +73,7 @@
 		switch r.Status {
 		case http.StatusOK:
 			l.extend(sent, c.op.LeaderLifetime())
-			l.stateServiceBack()
+			l.endPeerLease()
 		case http.StatusNotFound:
 			c.stepDown("lease ended")
 		}
@@ -117,10 +117,10 @@
 // cancellation that was confirmed to a user: when the last read applied to the copy was sent, or
 // when the last peer lease round that is equivalent to such a read was sent.
 func (l *leader) headersKnownUntil() time.Time {
-	if read := l.c.control.lastRead; read.After(l.headersPromisedUntil) {
+	if read := l.c.control.lastRead; read.After(l.headersConfirmedUntil) {
 		return read
 	}
-	return l.headersPromisedUntil
+	return l.headersConfirmedUntil
 }
 
 // renewalDeadline returns the time from which the leader must not answer any worker until it has
--- a/controller/authority_test.go
+++ b/controller/authority_test.go
@@ -25,19 +25,19 @@
 
 // A controller that granted a peer lease makes no claim until that lease has expired. A process
 // that has just started waits as long, because its predecessor may have granted one.
-func TestPromisesBind(t *testing.T) {
+func TestPeerLeaseForbidsClaims(t *testing.T) {
 	c, _, _ := leading(t)
 	c.lead = nil
 	c.control.token = 7
-	if !c.promiseBinds() {
+	if !c.mustHoldOff() {
 		t.Fatal("a newly started process may claim at once")
 	}
-	c.now = c.now.Add(bindFor + time.Millisecond)
-	if c.promiseBinds() {
+	c.now = c.now.Add(peerLeaseHoldOff + time.Millisecond)
+	if c.mustHoldOff() {
 		t.Fatal("a newly started process may not claim after a peer lease's duration")
 	}
-	c.promises.bound = c.now.Add(time.Second)
-	if !c.promiseBinds() {
+	c.peerLease.noClaimBefore = c.now.Add(time.Second)
+	if !c.mustHoldOff() {
 		t.Fatal("claims are allowed during a granted peer lease")
 	}
 }
--- a/controller/chain_admission.go
+++ b/controller/chain_admission.go
@@ -13,11 +13,11 @@
 // transaction conditions for writing the job's header.
 //
 // An accepted job stays accepted, and a cancellation that happens meanwhile is detected before any
-// answer about the job is given, see lookupEnds. So no condition is needed, and the list may be as
+// answer about the job is given, see lookupOutcomes. So no condition is needed, and the list may be as
 // long as fits into a value. Version 2 determines a job's state from headers alone: while it may
 // run, the headers of all unfinished needed jobs must be unchanged when the job is accepted.
 func (c *Core) needs(r UserRequest, job *wire.Job, fn func(cancelled bool, conds []wire.Cond)) {
-	left, unsure, refused := len(job.Needs), false, false
+	remaining, undetermined, refused := len(job.Needs), false, false
 	done := func() {
 		cancelled := false
 		var conds []wire.Cond
@@ -35,9 +35,9 @@
 		switch {
 		case refused:
 			c.answer(r.Req, http.StatusUnprocessableEntity, wire.Error{Error: "needs a job that was never accepted, or a service"})
-		case unsure:
+		case undetermined:
 			c.retryLater(r.Req, "can't tell yet whether the jobs that it needs were accepted")
-		case cancelled || c.allRun(firstVersionWithEnds):
+		case cancelled || c.allRun(firstVersionWithOutcomes):
 			fn(cancelled, nil)
 		case len(conds) > c.maxConds():
 			c.retryLater(r.Req, "needs too many unfinished jobs for an earlier version")
@@ -47,38 +47,38 @@
 	}
 	for _, p := range job.Needs {
 		c.lookup(p, func(k known) {
-			left--
+			remaining--
 			refused = refused || k == knownNot
-			unsure = unsure || k == knownUnsure
-			if left == 0 {
+			undetermined = undetermined || k == knownUnsure
+			if remaining == 0 {
 				done()
 			}
 		})
 	}
 }
 
-// lookupEnds looks up the outcomes of the jobs that an unfinished job needs, directly or
+// lookupOutcomes looks up the outcomes of the jobs that an unfinished job needs, directly or
 // transitively, and whose headers are deleted: if one of them was cancelled, this job is cancelled
 // too. The copy of the headers must be up to date. For a job with running or done tasks nothing has
 // to be read, since all jobs that it needs were done.
-func (c *Core) lookupEnds(job string, fn func(known)) {
+func (c *Core) lookupOutcomes(job string, fn func(known)) {
 	if n := c.progress[job]; n.done+n.running > 0 {
 		fn(knownActive)
 		return
 	}
-	ends := c.unknownEnds(job, map[string]bool{}, nil)
-	if len(ends) == 0 {
+	unknown := c.unknownOutcomes(job, map[string]bool{}, nil)
+	if len(unknown) == 0 {
 		fn(knownActive)
 		return
 	}
-	left, unsure := len(ends), false
-	for _, id := range ends {
+	remaining, undetermined := len(unknown), false
+	for _, id := range unknown {
 		c.lookupFinal(id, func(k known) {
-			left--
-			unsure = unsure || k == knownUnsure
+			remaining--
+			undetermined = undetermined || k == knownUnsure
 			switch {
-			case left > 0:
-			case unsure:
+			case remaining > 0:
+			case undetermined:
 				fn(knownUnsure)
 			case c.control.headers[job] == nil: // finished meanwhile
 				c.lookupFinal(job, fn)
@@ -89,21 +89,21 @@
 	}
 }
 
-// unknownEnds appends the jobs that an unfinished job needs, directly or transitively, and of which
+// unknownOutcomes appends the jobs that an unfinished job needs, directly or transitively, and of which
 // this controller has neither the header nor the outcome.
-func (c *Core) unknownEnds(job string, visited map[string]bool, ends []string) []string {
+func (c *Core) unknownOutcomes(job string, visited map[string]bool, unknown []string) []string {
 	for _, id := range c.control.headers[job].Job.Needs {
 		switch {
 		case visited[id]:
 			continue
 		case c.control.headers[id] != nil:
-			ends = c.unknownEnds(id, visited, ends)
-		case c.endUnknown(id):
-			ends = append(ends, id)
+			unknown = c.unknownOutcomes(id, visited, unknown)
+		case c.outcomeUnknown(id):
+			unknown = append(unknown, id)
 		}
 		visited[id] = true
 	}
-	return ends
+	return unknown
 }
 
 // maxConds returns the maximum number of conditions of a transaction, less the two for the job's own
--- a/controller/chains.go
+++ b/controller/chains.go
@@ -12,33 +12,33 @@
 // every controller maintains for the headers in its copy. A cancellation is a failure that
 // propagates to all dependents. Since a job starts no task before all jobs that it needs are done, a
 // job cancelled in this way has never run, and every controller can derive the cancellation from the
-// headers or, where those are deleted, the final records (see lookupEnds). The leader writes the
+// headers or, where those are deleted, the final records (see lookupOutcomes). The leader writes the
 // final record of a cancelled job only when no unfinished job that it knows of needs it any more.
 
-// addToChains adds a job to the graph, or marks it as cancelled there, and applies the effects on
+// addDependencies adds a job to the graph, or marks it as cancelled there, and applies the effects on
 // its dependents to the leader's state.
-func (c *Core) addToChains(id string, h *headerRecord) {
+func (c *Core) addDependencies(id string, h *headerRecord) {
 	if h.Cancelled {
-		c.chainsChanged(c.chains.Accumulate(id, reduction.Cancelled))
+		c.updateDependents(c.chains.Accumulate(id, reduction.Cancelled))
 		return
 	}
 	if len(h.Job.Needs) == 0 {
 		return
 	}
-	c.chainsChanged(c.chains.Add(id, h.Job.Needs))
+	c.updateDependents(c.chains.Add(id, h.Job.Needs))
 	for _, p := range h.Job.Needs {
 		if ph := c.control.headers[p]; ph != nil && ph.Cancelled {
-			c.chainsChanged(c.chains.Accumulate(p, reduction.Cancelled))
+			c.updateDependents(c.chains.Accumulate(p, reduction.Cancelled))
 		} else if f, over := c.finals.jobs[p]; over {
-			c.accumulateEnd(p, f)
+			c.accumulateOutcome(p, f)
 		} else if ph == nil && c.lead != nil && c.lead.recovered {
-			c.lead.fetchEnd(p)
+			c.lead.fetchOutcome(p)
 		}
 	}
 }
 
-// removeFromChains removes a job from the graph after its header was deleted.
-func (c *Core) removeFromChains(id string, h *headerRecord) {
+// removeDependencies removes a job from the graph after its header was deleted.
+func (c *Core) removeDependencies(id string, h *headerRecord) {
 	c.chains.Drop(id)
 	l := c.lead
 	if l == nil || !l.recovered {
@@ -49,28 +49,28 @@
 			l.settle(j)
 		}
 	}
-	if len(c.chains.Successors(id)) > 0 && c.endUnknown(id) {
-		l.fetchEnd(id)
+	if len(c.chains.Successors(id)) > 0 && c.outcomeUnknown(id) {
+		l.fetchOutcome(id)
 	}
 }
 
-// jobEnded caches the final record of a job and applies its outcome to the graph.
-func (c *Core) jobEnded(id string, f finalRecord) {
+// applyFinal caches the final record of a job and applies its outcome to the graph.
+func (c *Core) applyFinal(id string, f finalRecord) {
 	c.finals.add(id, f)
-	c.accumulateEnd(id, f)
+	c.accumulateOutcome(id, f)
 }
 
-func (c *Core) accumulateEnd(id string, f finalRecord) {
+func (c *Core) accumulateOutcome(id string, f finalRecord) {
 	o := reduction.Succeeded
 	if f.Cancelled {
 		o = reduction.Cancelled
 	}
-	c.chainsChanged(c.chains.Accumulate(id, o))
+	c.updateDependents(c.chains.Accumulate(id, o))
 }
 
-// chainsChanged updates the leader's state of jobs that became ready or were cancelled by the
+// updateDependents updates the leader's state of jobs that became ready or were cancelled by the
 // outcome of jobs that they need.
-func (c *Core) chainsChanged(ids []string) {
+func (c *Core) updateDependents(ids []string) {
 	l := c.lead
 	if l == nil || !l.recovered {
 		return
@@ -85,7 +85,7 @@
 			l.settle(j)
 		default:
 			c.log(slog.LevelInfo, "job ready", "job", id, "after", c.now.Sub(j.accepted))
-			l.becameReady(j)
+			l.markReady(j)
 		}
 	}
 }
@@ -103,45 +103,45 @@
 	return len(j.spec.Needs) > 0 && l.c.chains.Classify(j.id) == reduction.Waiting
 }
 
-// endUnknown reports whether this controller has neither the header nor the outcome of a job that
+// outcomeUnknown reports whether this controller has neither the header nor the outcome of a job that
 // others need.
-func (c *Core) endUnknown(id string) bool {
+func (c *Core) outcomeUnknown(id string) bool {
 	return c.control.headers[id] == nil && c.chains.Status(id) == reduction.Pending
 }
 
-// fetchEnd looks up the outcome of a job that others need and whose header is deleted, with retries.
-// Only its final record contains the outcome.
-func (l *leader) fetchEnd(id string) {
+// fetchOutcome looks up the outcome of a job that others need and whose header is deleted, with
+// retries. Only its final record contains the outcome.
+func (l *leader) fetchOutcome(id string) {
 	c := l.c
 	c.lookup(id, func(k known) {
 		switch {
 		case c.lead != l || k == knownActive:
 		case k == knownFinal:
-			c.accumulateEnd(id, c.finals.jobs[id])
+			c.accumulateOutcome(id, c.finals.jobs[id])
 		default:
 			c.after(time.Second, func() {
 				if c.lead == l {
-					l.fetchEnd(id)
+					l.fetchOutcome(id)
 				}
 			})
 		}
 	})
 }
 
-// fetchEnds looks up the unknown outcomes of all jobs that unfinished jobs need.
-func (l *leader) fetchEnds() {
+// fetchUnknownOutcomes looks up the unknown outcomes of all jobs that unfinished jobs need.
+func (l *leader) fetchUnknownOutcomes() {
 	for _, j := range l.order {
 		for _, p := range j.spec.Needs {
-			if l.c.endUnknown(p) {
-				l.fetchEnd(p)
+			if l.c.outcomeUnknown(p) {
+				l.fetchOutcome(p)
 			}
 		}
 	}
 }
 
-// becameReady sets the time since which a job is ready: the end of the last job that it needs, as
+// markReady sets the time since which a job is ready: the end of the last job that it needs, as
 // recorded, so that a later leader determines the same time.
-func (l *leader) becameReady(j *job) {
+func (l *leader) markReady(j *job) {
 	j.ready = j.accepted
 	for _, p := range j.spec.Needs {
 		if at := time.UnixMilli(l.c.finals.jobs[p].EndedMS); at.After(j.ready) {
@@ -157,7 +157,7 @@
 func (l *leader) soonReady() []*scheduler.Demand {
 	var ds []*scheduler.Demand
 	for _, j := range l.order {
-		if j.cancelled || !l.blocked(j) || !l.needsEndSoon(j) {
+		if j.cancelled || !l.blocked(j) || !l.neededJobsEndSoon(j) {
 			continue
 		}
 		d := l.c.demandOf(&j.spec)
@@ -167,7 +167,7 @@
 	return ds
 }
 
-func (l *leader) needsEndSoon(j *job) bool {
+func (l *leader) neededJobsEndSoon(j *job) bool {
 	boot := l.c.soonestBoot(&j.spec)
 	for _, p := range j.spec.Needs {
 		needed := l.jobs[p]
--- a/controller/chains_test.go
+++ b/controller/chains_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("demands %+v", ds)
 	}
 	c.now = c.now.Add(30 * time.Second)
-	c.jobEnded(first.id, finalRecord{Tasks: 1, EndedMS: c.now.UnixMilli()})
+	c.applyFinal(first.id, finalRecord{Tasks: 1, EndedMS: c.now.UnixMilli()})
 	c.headerChanged(first.id, nil)
 	c.now = c.now.Add(5 * time.Second)
 	if l.blocked(second) || c.now.Sub(second.ready) != 5*time.Second {
@@ -34,7 +34,7 @@
 
 // A blocked job uses no part of its team's guarantee, which stays available to the team's other
 // jobs. Once the job is ready, it uses its part.
-func TestWaitingJobsLeaveTheGuarantee(t *testing.T) {
+func TestBlockedJobsUseNoGuarantee(t *testing.T) {
 	c, l, first, second := chain(t)
 	c.quotas["red"] = quotaOf(config.Team{Name: "red", CPUs: 1, CPUsMax: 4})
 	for _, j := range []*job{first, second} {
@@ -45,7 +45,7 @@
 	if first.terms.Borrowed {
 		t.Error("a blocked job uses the guarantee")
 	}
-	c.jobEnded(first.id, finalRecord{Tasks: 1})
+	c.applyFinal(first.id, finalRecord{Tasks: 1})
 	l.guaranteesAt = time.Time{}
 	l.assignGuarantees()
 	if !first.terms.Borrowed || second.terms.Borrowed {
@@ -55,7 +55,7 @@
 
 // A leader that has neither the header nor the outcome of a needed job reads its final record, and
 // keeps the dependents blocked until it has it.
-func TestUnknownEndHoldsWhatNeedsIt(t *testing.T) {
+func TestUnknownOutcomeBlocksDependents(t *testing.T) {
 	c, l, _, second := chain(t)
 	c.out = nil
 	c.control.loaded = true
@@ -67,7 +67,7 @@
 
 // The final record of a cancelled job is not written while an unfinished job needs it: every
 // controller derives from the cancelled header that the dependent is cancelled.
-func TestCancelledJobStaysWhileItIsNeeded(t *testing.T) {
+func TestCancelledJobKeepsHeaderWhileNeeded(t *testing.T) {
 	c, l, first, second := chain(t)
 	c.headerChanged(first.id, &headerRecord{Job: first.spec, Cancelled: true, PerChunk: 10})
 	if !second.cancelled || c.jobState(second.id).State != wire.StateCancelled {
@@ -93,7 +93,7 @@
 	c, _, first, _ := chain(t)
 	serving(c)
 	members(c, firstVersionWithChains)
-	submit := func(needs ...string) (answer *Answer, txn *StateCall) { return submitNeeding(c, nil, needs) }
+	submit := func(needs ...string) (answer *Answer, txn *StateCall) { return submitWithNeeds(c, nil, needs) }
 	if a, _ := submit("req-000077"); a == nil || a.Status != http.StatusUnprocessableEntity {
 		t.Errorf("submission that needs an unknown job: %+v", a)
 	}
@@ -107,7 +107,7 @@
 	if _, txn := submit(first.id); txn == nil || !decode[headerRecord](txn.Txn.Then[0].Value).Cancelled {
 		t.Errorf("submission that needs a cancelled job: %+v", txn)
 	}
-	c.control.members["n2"] = 0
+	c.control.memberVersions["n2"] = 0
 	if a, _ := submit(first.id); a == nil || a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("submission while an earlier version may lead: %+v", a)
 	}
@@ -128,7 +128,7 @@
 	refused := 0
 	for refused == 0 && len(spec.Needs) < 1000 {
 		id := fmt.Sprintf("req-%06d", 1000+len(spec.Needs))
-		c.jobEnded(id, finalRecord{Tasks: 1})
+		c.applyFinal(id, finalRecord{Tasks: 1})
 		spec.Needs = append(spec.Needs, id)
 		c.out = nil
 		c.submit(UserRequest{Req: 5, Op: UserSubmit, Body: wire.Marshal(spec)})
@@ -167,11 +167,11 @@
 		c.headerChanged(spec.ID, &headerRecord{Job: spec, PerChunk: 10})
 		needs = append(needs, spec.ID)
 	}
-	if answer, txn := submitNeeding(c, nil, needs); txn == nil || len(txn.Txn.If) > 4*ops {
+	if answer, txn := submitWithNeeds(c, nil, needs); txn == nil || len(txn.Txn.If) > 4*ops {
 		t.Errorf("submission that needs %d unfinished jobs: answer %+v, write %+v", len(needs), answer, txn)
 	}
 	members(c, firstVersionWithChains) // version 2 determines job states from headers alone
-	if answer, txn := submitNeeding(c, nil, needs); answer == nil || answer.Status != http.StatusServiceUnavailable {
+	if answer, txn := submitWithNeeds(c, nil, needs); answer == nil || answer.Status != http.StatusServiceUnavailable {
 		t.Errorf("submission while version 2 runs: answer %+v, write %+v", answer, txn)
 	}
 }
@@ -179,7 +179,7 @@
 // A job may be accepted while a job that it needs is cancelled and finished, so that no header shows
 // the cancellation any more. A controller must look up the outcome before it answers about the
 // dependent: otherwise two controllers would report it as cancelled and queued in turn.
-func TestEndsOfNeededJobsAreReadBeforeAnswers(t *testing.T) {
+func TestOutcomesOfNeededJobsAreReadBeforeAnswers(t *testing.T) {
 	cancelled := map[string]finalRecord{"req-000010": {Cancelled: true, Tasks: 1}}
 	for name, request := range map[string]UserRequest{
 		"poll":              {Req: 6, Op: UserPoll, Job: "req-000011"},
@@ -206,7 +206,7 @@
 
 // No final record is read for a job that has running or done tasks. Otherwise a controller that has
 // just started would read the final records of all jobs that running jobs have needed.
-func TestBegunJobsNeedNoReads(t *testing.T) {
+func TestStartedJobsNeedNoReads(t *testing.T) {
 	c, _, first, second := chain(t)
 	serving(c)
 	c.lead = nil
--- a/controller/control.go
+++ b/controller/control.go
@@ -24,24 +24,24 @@
 	cells           cellIndex
 	epoch           cells.Epoch // the last one allocated for a grant to another cell
 	gone            map[cells.Cell]goneRecord
-	members         map[string]int // the software version that each member has recorded
+	memberVersions  map[string]int // the software version that each member has recorded
 
 	syncing     bool
 	unreachable bool      // the last sync failed; syncs are retried until one succeeds
 	lastRead    time.Time // when the last read applied to the copy was sent
-	waiting     []func(ok bool)
+	syncWaiters []func(ok bool)
 }
 
 func (k *control) init() {
 	k.versions = map[string]uint64{}
 	k.headers = map[string]*headerRecord{}
 	k.cells.init()
-	k.members = map[string]int{}
+	k.memberVersions = map[string]int{}
 	k.gone = map[cells.Cell]goneRecord{}
 }
 
-// maxWaiting is the maximum number of requests that wait for one sync.
-const maxWaiting = 512
+// maxSyncWaiters is the maximum number of requests that wait for one sync.
+const maxSyncWaiters = 512
 
 // load reads all watched records and then watches them.
 func (c *Core) load() {
@@ -67,7 +67,7 @@
 		c.control.revision = max(c.control.revision, revision)
 		c.control.loaded, c.control.loading, c.control.unreachable = true, false, false
 		c.noteRead(sent)
-		c.follow()
+		c.watchRecords()
 	})
 }
 
@@ -97,8 +97,8 @@
 	page("")
 }
 
-// follow keeps one long-polling watch open.
-func (c *Core) follow() {
+// watchRecords keeps one long-polling watch open.
+func (c *Core) watchRecords() {
 	call := StateCall{Op: OpWatch, Key: controlPrefix, Revision: c.control.revision, Wait: watchWait,
 		Timeout: watchWait + userCallTimeout}
 	sent := c.now
@@ -107,11 +107,11 @@
 		case http.StatusOK:
 			c.applyWatch(r.Watch)
 			c.noteRead(sent)
-			c.follow()
+			c.watchRecords()
 		case http.StatusGone:
 			c.load()
 		default:
-			c.after(retryPause, c.follow)
+			c.after(retryPause, c.watchRecords)
 		}
 	})
 }
@@ -124,16 +124,16 @@
 		fn(false)
 		return
 	}
-	c.syncAlways(fn)
+	c.forceSync(fn)
 }
 
-// syncAlways is like sync, but tries to read even while the state service is unreachable.
-func (c *Core) syncAlways(fn func(ok bool)) {
-	if !c.control.loaded || len(c.control.waiting) >= maxWaiting {
+// forceSync is like sync, but tries to read even while the state service is unreachable.
+func (c *Core) forceSync(fn func(ok bool)) {
+	if !c.control.loaded || len(c.control.syncWaiters) >= maxSyncWaiters {
 		fn(false)
 		return
 	}
-	c.control.waiting = append(c.control.waiting, fn)
+	c.control.syncWaiters = append(c.control.syncWaiters, fn)
 	if !c.control.syncing {
 		c.control.syncing = true
 		c.startSync()
@@ -145,8 +145,8 @@
 		c.after(10*time.Millisecond, c.startSync)
 		return
 	}
-	served := c.control.waiting
-	c.control.waiting = nil
+	waiters := c.control.syncWaiters
+	c.control.syncWaiters = nil
 	call := StateCall{Op: OpWatch, Key: controlPrefix, Revision: c.control.revision, Timeout: userCallTimeout}
 	sent := c.now
 	c.state(call, func(r StateReply) {
@@ -161,16 +161,16 @@
 			c.control.loaded = false
 			c.load()
 		}
-		for _, fn := range served {
+		for _, fn := range waiters {
 			fn(ok)
 		}
-		if len(c.control.waiting) > 0 {
+		if len(c.control.syncWaiters) > 0 {
 			c.startSync()
 			return
 		}
 		c.control.syncing = false
 		if c.control.unreachable {
-			c.after(retryPause, func() { c.syncAlways(func(bool) {}) })
+			c.after(retryPause, func() { c.forceSync(func(bool) {}) })
 		}
 	})
 }
@@ -237,7 +237,7 @@
 		}
 	case strings.HasPrefix(key, versionPrefix):
 		if v := decode[versionRecord](e.Value); v != nil {
-			c.control.members[strings.TrimPrefix(key, versionPrefix)] = v.Version
+			c.control.memberVersions[strings.TrimPrefix(key, versionPrefix)] = v.Version
 		}
 	case strings.HasPrefix(key, headerPrefix):
 		c.headerChanged(strings.TrimPrefix(key, headerPrefix), decode[headerRecord](e.Value))
@@ -256,19 +256,19 @@
 }
 
 func (c *Core) headerChanged(job string, h *headerRecord) {
-	was := c.control.headers[job]
-	c.control.cells.changed(job, was, h)
+	previous := c.control.headers[job]
+	c.control.cells.changed(job, previous, h)
 	switch {
 	case h != nil:
 		c.control.headers[job] = h
-		c.addToChains(job, h)
-	case was != nil:
+		c.addDependencies(job, h)
+	case previous != nil:
 		delete(c.control.headers, job)
 		delete(c.progress, job)
-		c.removeFromChains(job, was)
+		c.removeDependencies(job, previous)
 	}
 	if c.lead != nil && c.lead.recovered {
-		c.lead.header(job, h)
+		c.lead.applyHeader(job, h)
 	}
 }
 
--- a/controller/core.go
+++ b/controller/core.go
@@ -33,12 +33,12 @@
 
 // Core is the state machine of one controller.
 type Core struct {
-	cfg  *config.Platform
-	op   config.Operator
-	rng  *rand.Rand
-	now  time.Time
-	out  []Output
-	next uint64
+	cfg    *config.Platform
+	op     config.Operator
+	rng    *rand.Rand
+	now    time.Time
+	out    []Output
+	nextID uint64
 
 	stateCalls  map[uint64]func(StateReply)
 	cloudCalls  map[uint64]func(CloudReply)
@@ -57,18 +57,18 @@
 	progress map[string]jobCount
 	chains   *reduction.DynamicGraph // unfinished jobs that need other jobs, and the jobs that they need
 
-	announcing    bool // see announce
-	rateRefusals  int  // see observeRateLimit
-	ratesLowered  bool // the upcoming write rate limit of the state service is in effect
-	valuesLowered bool // the state service has refused a record for its size
-	claiming      bool
-	claimAfter    time.Time
-	endAfter      time.Time
-	lead          *leader
-	promises      promises
-	relays        relays
-	hints         map[string]*mesh.Hint // by machine, as last broadcast by a leader
-	rejected      map[string]*wire.Job  // submissions refused for now, to be reported to the leader
+	recordingVersion  bool // see recordVersion
+	rateRefusals      int  // see observeRateLimit
+	rateLimitLowered  bool // the upcoming write rate limit of the state service is in effect
+	valueLimitLowered bool // the state service has refused a record for its size
+	claiming          bool
+	claimAfter        time.Time
+	revokeAfter       time.Time
+	lead              *leader
+	peerLease         peerLeaseState
+	relays            relays
+	hints             map[string]*mesh.Hint // by machine, as last broadcast by a leader
+	rejected          map[string]*wire.Job  // submissions refused for now, to be reported to the leader
 }
 
 // timer is a function that runs at a given time.
@@ -102,15 +102,15 @@
 		// IDs start at a random number: an answer to a request that an earlier process of this
 		// controller relayed over the mesh must not match a request of this process, or a worker would
 		// get the commands of another worker.
-		next: rng.Uint64() >> 2,
+		nextID: rng.Uint64() >> 2,
 	}
 	for _, t := range cfg.Facts.Teams {
 		c.quotas[t.Name] = quotaOf(t)
 	}
-	c.writes.SetLimitAt(now, c.userRate())
+	c.writes.SetLimitAt(now, c.userWriteRate())
 	c.finals.init()
 	c.control.init()
-	c.promises.started = now
+	c.peerLease.processStarted = now
 	c.relays.init()
 	return c
 }
@@ -122,7 +122,7 @@
 	c.runTimers()
 	c.dispatch(in)
 	c.runTimers()
-	c.pursueLeadership()
+	c.campaign()
 	if c.entitled() {
 		c.lead.run()
 	}
@@ -146,7 +146,7 @@
 		if !c.control.loaded && !c.control.loading {
 			c.load()
 		}
-		c.announce()
+		c.recordVersion()
 	case StateReply:
 		resume(c.stateCalls, in.ID, in)
 	case CloudReply:
@@ -200,8 +200,8 @@
 }
 
 func (c *Core) id() uint64 {
-	c.next++
-	return c.next
+	c.nextID++
+	return c.nextID
 }
 
 func (c *Core) emit(o Output) { c.out = append(c.out, o) }
@@ -213,10 +213,10 @@
 func (c *Core) state(call StateCall, fn func(StateReply)) {
 	call.ID = c.id()
 	if call.Op == OpTxn {
-		told := fn
+		callback := fn
 		fn = func(r StateReply) {
 			c.observeRateLimit(r.Status)
-			told(r)
+			callback(r)
 		}
 	}
 	c.stateCalls[call.ID] = fn
--- a/controller/divided_records.go
+++ b/controller/divided_records.go
@@ -22,9 +22,9 @@
 	chunks := make([]chunk, (j.spec.Tasks+per-1)/per)
 	for n := range chunks {
 		for t := n * per; t < min((n+1)*per, j.spec.Tasks); t++ {
-			of := j.chunks[t/j.tasksPerRecord]
-			chunks[n].lastAttempt = max(chunks[n].lastAttempt, of.lastAttempt)
-			chunks[n].dirty = chunks[n].dirty || of.dirty
+			undivided := j.chunks[t/j.tasksPerRecord]
+			chunks[n].lastAttempt = max(chunks[n].lastAttempt, undivided.lastAttempt)
+			chunks[n].dirty = chunks[n].dirty || undivided.dirty
 		}
 	}
 	for n := range j.chunks {
--- a/controller/election.go
+++ b/controller/election.go
@@ -20,21 +20,21 @@
 	return c.control.leader.Member
 }
 
-// pursueLeadership claims the leadership when there is no leader key. If the key names this
+// campaign claims the leadership when there is no leader key. If the key names this
 // member, it was written by an earlier process or by a claim whose result is unknown, and its
 // lease is revoked.
-func (c *Core) pursueLeadership() {
+func (c *Core) campaign() {
 	if !c.control.loaded || c.claiming || c.lead != nil {
 		return
 	}
 	if l := c.control.leader; l != nil {
-		if l.Member == c.cfg.Member && !c.now.Before(c.endAfter) {
-			c.endAfter = c.now.Add(2 * retryPause)
-			c.endLease(l.Lease)
+		if l.Member == c.cfg.Member && !c.now.Before(c.revokeAfter) {
+			c.revokeAfter = c.now.Add(2 * retryPause)
+			c.revokeLease(l.Lease)
 		}
 		return
 	}
-	if c.now.Before(c.claimAfter) || c.promiseBinds() {
+	if c.now.Before(c.claimAfter) || c.mustHoldOff() {
 		return
 	}
 	c.claiming = true
@@ -48,7 +48,7 @@
 	})
 }
 
-func (c *Core) endLease(lease uint64) {
+func (c *Core) revokeLease(lease uint64) {
 	c.state(StateCall{Op: OpEnd, Lease: lease, Timeout: userCallTimeout}, func(StateReply) {})
 }
 
@@ -70,7 +70,7 @@
 	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(r StateReply) {
 		if r.Status != http.StatusOK {
 			// The transaction may still be applied later. Revoking the lease removes the key then.
-			c.endLease(lease)
+			c.revokeLease(lease)
 			c.claimFailed()
 			return
 		}
@@ -86,7 +86,7 @@
 		c: c, term: newTerm(c.now, lease, token, version),
 		jobs: map[string]*job{}, machines: map[string]*machine{}, released: map[string]time.Time{},
 		budget:   newWriteBudget(writeBurst(c.cfg.Facts.State)),
-		probedAt: map[string]time.Time{}, progressTold: map[string]jobCount{}, partitions: partitions{lastSeen: map[string]time.Time{}},
+		probedAt: map[string]time.Time{}, progressSent: map[string]jobCount{}, partitions: partitions{lastSeen: map[string]time.Time{}},
 	}
 	l.budget.setRate(c.now, c.writeRate())
 	l.autoscaler = newAutoscaler(l)
@@ -98,7 +98,7 @@
 	c.lead = l
 	l.extend(sent, c.op.LeaderLifetime())
 	c.log(slog.LevelInfo, "leading", "token", token)
-	l.renewLater()
+	l.scheduleRenewal()
 	l.readRecords()
 }
 
@@ -106,7 +106,7 @@
 	c.log(slog.LevelInfo, "no longer leading", "token", c.lead.token, "why", why)
 	c.lead.zones.handOver()
 	c.lead = nil
-	c.promises.promisedUntil, c.promises.onPromises, c.promises.asks = time.Time{}, false, nil
+	c.peerLease.until, c.peerLease.active, c.peerLease.rounds = time.Time{}, false, nil
 	c.claimAfter = c.now
 }
 
--- a/controller/finals.go
+++ b/controller/finals.go
@@ -14,42 +14,42 @@
 type finals struct {
 	jobs     map[string]finalRecord
 	order    []string
-	asks     map[string][]*finalAsk // lookups by job whose read has not been sent yet
-	queue    []string               // the jobs of asks, in order of arrival
-	timerSet bool                   // a timer is set that continues with the queue
+	pending  map[string][]*finalLookup // lookups by job whose read has not been sent yet
+	queue    []string                  // the jobs in pending, in order of arrival
+	timerSet bool                      // a timer is set that continues with the queue
 }
 
-// finalAsk is a lookup that waits for a read of a job's final record.
-type finalAsk struct {
+// finalLookup is a lookup that waits for a read of a job's final record.
+type finalLookup struct {
 	fn   func(known)
-	told bool
+	done bool
 }
 
-// tell completes the lookup, unless it has timed out.
-func (a *finalAsk) tell(k known) {
-	if !a.told {
-		a.told = true
+// complete completes the lookup, unless it has timed out.
+func (a *finalLookup) complete(k known) {
+	if !a.done {
+		a.done = true
 		a.fn(k)
 	}
 }
 
 const (
-	maxFinalAsks     = 512
+	maxPendingFinals = 512
 	finalReadTimeout = time.Second // below the two seconds that users wait
 )
 
-const maxFinals = 4096
+const maxCachedFinals = 4096
 
 func (f *finals) init() {
 	f.jobs = map[string]finalRecord{}
-	f.asks = map[string][]*finalAsk{}
+	f.pending = map[string][]*finalLookup{}
 }
 
 func (f *finals) add(job string, r finalRecord) {
 	if _, ok := f.jobs[job]; ok {
 		return
 	}
-	if len(f.order) >= maxFinals {
+	if len(f.order) >= maxCachedFinals {
 		delete(f.jobs, f.order[0])
 		f.order = f.order[1:]
 	}
@@ -84,7 +84,7 @@
 		case c.control.headers[job] != nil && c.control.headers[job].Origin != nil:
 			fn(knownNot) // granted by another cell, which answers the job's users
 		case c.control.headers[job] != nil:
-			c.lookupEnds(job, fn)
+			c.lookupOutcomes(job, fn)
 		default:
 			c.lookupFinal(job, fn)
 		}
@@ -99,16 +99,16 @@
 // and would seem to be lost.
 func (c *Core) lookupFinal(job string, fn func(known)) {
 	f := &c.finals
-	if len(f.asks[job]) == 0 {
-		if len(f.queue) >= maxFinalAsks {
+	if len(f.pending[job]) == 0 {
+		if len(f.queue) >= maxPendingFinals {
 			fn(knownUnsure)
 			return
 		}
 		f.queue = append(f.queue, job)
 	}
-	ask := &finalAsk{fn: fn}
-	f.asks[job] = append(f.asks[job], ask)
-	c.after(finalReadTimeout, func() { ask.tell(knownUnsure) })
+	pending := &finalLookup{fn: fn}
+	f.pending[job] = append(f.pending[job], pending)
+	c.after(finalReadTimeout, func() { pending.complete(knownUnsure) })
 	c.readFinals()
 }
 
@@ -119,20 +119,20 @@
 	for len(f.queue) > 0 && c.reads.AllowN(c.now, 1) {
 		job := f.queue[0]
 		f.queue = f.queue[1:]
-		asks := f.asks[job]
-		delete(f.asks, job)
+		lookups := f.pending[job]
+		delete(f.pending, job)
 		c.state(StateCall{Op: OpGet, Key: finalKey(job), Timeout: userCallTimeout}, func(r StateReply) {
 			rec := decode[finalRecord](r.Item.Value)
 			k := knownUnsure
 			switch {
 			case r.Status == http.StatusOK && rec != nil:
-				c.jobEnded(job, *rec)
+				c.applyFinal(job, *rec)
 				k = knownFinal
 			case r.Status == http.StatusNotFound:
 				k = knownNot
 			}
-			for _, a := range asks {
-				a.tell(k)
+			for _, a := range lookups {
+				a.complete(k)
 			}
 		})
 	}
--- a/controller/fixtures_test.go
+++ b/controller/fixtures_test.go
@@ -81,9 +81,9 @@
 // serve executes the core's calls until the core answers a user or sends a transaction.
 func (s *stateStub) serve(c *Core) (answer *Answer, txn *StateCall) {
 	for len(c.out) > 0 {
-		asked := c.out
+		outputs := c.out
 		c.out = nil
-		for _, o := range asked {
+		for _, o := range outputs {
 			switch o := o.(type) {
 			case Answer:
 				return &o, nil
@@ -112,8 +112,8 @@
 	return StateReply{Status: http.StatusNotFound}
 }
 
-// submitNeeding submits a job that needs the given jobs.
-func submitNeeding(c *Core, finals map[string]finalRecord, needs []string) (answer *Answer, txn *StateCall) {
+// submitWithNeeds submits a job that needs the given jobs.
+func submitWithNeeds(c *Core, finals map[string]finalRecord, needs []string) (answer *Answer, txn *StateCall) {
 	spec := wire.Job{ID: "req-000099", Class: "a", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1, Image: "i", Needs: needs}
 	c.out = nil
 	c.submit(UserRequest{Req: 5, Op: UserSubmit, Body: wire.Marshal(spec)})
--- a/controller/job.go
+++ b/controller/job.go
@@ -103,7 +103,7 @@
 	}
 	l.inheritUrgency(j)
 	if !l.blocked(j) {
-		l.becameReady(j)
+		l.markReady(j)
 	}
 	at, _ := slices.BinarySearchFunc(l.order, j, func(a, b *job) int {
 		if n := a.accepted.Compare(b.accepted); n != 0 {
@@ -115,8 +115,8 @@
 	return j
 }
 
-// header applies a change of a job's header to the leader's state.
-func (l *leader) header(id string, h *headerRecord) {
+// applyHeader applies a change of a job's header to the leader's state.
+func (l *leader) applyHeader(id string, h *headerRecord) {
 	j := l.jobs[id]
 	switch {
 	case h == nil:
@@ -137,7 +137,7 @@
 	}
 }
 
-// cancel marks every unfinished task as cancelled and stops the active attempts.
+// cancel fails every unfinished task with the outcome Cancelled and stops the active attempts.
 func (l *leader) cancel(j *job) {
 	if !j.cancelled {
 		j.cancelled, j.cancelledAt = true, l.headersKnownUntil()
@@ -162,17 +162,17 @@
 // touch marks the chunk of a task as dirty.
 func (j *job) touch(task int, now time.Time) {
 	j.chunks[task/j.tasksPerRecord].dirty = true
-	j.mark(now)
+	j.markDirty(now)
 }
 
-// mark marks the job as dirty.
-func (j *job) mark(now time.Time) {
+func (j *job) markDirty(now time.Time) {
 	if !j.dirty {
 		j.dirty, j.dirtyAt = true, now
 	}
 }
 
-// gone removes an active attempt that is proved to have ended, and applies its outcome to the task.
+// gone removes an active attempt that the caller has proved to have ended, and applies its outcome to
+// the task.
 func (l *leader) gone(a *attempt, o reduction.Outcome, why proof) {
 	j := a.job
 	if j.attempts[a.task] != a {
@@ -214,7 +214,7 @@
 		return
 	}
 	if j.state.Count(reduction.Pending) == 0 && j.state.Count(reduction.Running) == 0 {
-		j.mark(l.c.now)
+		j.markDirty(l.c.now)
 		j.urgent = true
 	}
 }
@@ -232,9 +232,9 @@
 	}
 	l.order = slices.DeleteFunc(l.order, func(o *job) bool { return o == j })
 	if j.origin == nil { // a job of another cell has no final record here
-		l.c.jobEnded(j.id, f)
+		l.c.applyFinal(j.id, f)
 	}
-	delete(l.progressTold, j.id)
+	delete(l.progressSent, j.id)
 	l.cells.forget(j.id)
 	if f.Cancelled {
 		l.c.log(slog.LevelInfo, "job ended", "job", j.id, "state", "cancelled")
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -29,13 +29,13 @@
 	probedAt     map[string]time.Time // when each machine was last asked for a report
 	partitions   partitions
 
-	progressAt   time.Time
-	hintedAt     time.Time
-	progressTold map[string]jobCount
-	zones        *zoneRecovery // nil if zone recovery is off
-	cells        *cellSide     // nil if there are no links to other cells
-	autoscaler   *autoscaler
-	spreading    *spreading // nil if load spreading is off
+	progressSentAt time.Time
+	allHintsSentAt time.Time
+	progressSent   map[string]jobCount
+	zones          *zoneRecovery // nil if zone recovery is off
+	cells          *cellSide     // nil if there are no links to other cells
+	autoscaler     *autoscaler
+	spreading      *spreading // nil if load spreading is off
 }
 
 // run does the leader's work at the end of every step.
--- a/controller/progress.go
+++ b/controller/progress.go
@@ -11,18 +11,18 @@
 
 // Broadcasts of the leader to the other controllers: task counts and machine hints.
 
-// hintAllEvery is the interval between broadcasts of the hints of all machines. They are repeated
+// allHintsInterval is the interval between broadcasts of the hints of all machines. They are repeated
 // because the other controllers lose them when they restart.
-const hintAllEvery = 10 * time.Second
+const allHintsInterval = 10 * time.Second
 
 // broadcastProgress sends the other controllers the task counts that have changed, for display, and
 // the hints.
 func (l *leader) broadcastProgress() {
 	const every = 500 * time.Millisecond
-	if l.c.now.Sub(l.progressAt) < every {
+	if l.c.now.Sub(l.progressSentAt) < every {
 		return
 	}
-	l.progressAt = l.c.now
+	l.progressSentAt = l.c.now
 	var jobs []*mesh.JobProgress
 	for _, j := range l.order {
 		n := jobCount{done: j.state.Count(reduction.Completed)}
@@ -31,26 +31,26 @@
 				n.running++
 			}
 		}
-		if l.progressTold[j.id] != n {
-			l.progressTold[j.id] = n
+		if l.progressSent[j.id] != n {
+			l.progressSent[j.id] = n
 			l.c.progress[j.id] = n
 			jobs = append(jobs, &mesh.JobProgress{Job: j.id, Done: uint32(n.done), Running: uint32(n.running)})
 		}
 	}
 	hints := l.hints()
-	unheard := l.partitions.active[allZones]
-	if len(jobs)+len(hints) > 0 || unheard {
-		l.c.broadcast(&mesh.Envelope{Body: &mesh.Envelope_Progress{Progress: &mesh.Progress{Jobs: jobs, Hints: hints, WorkersUnheard: unheard}}})
+	workersUnreachable := l.partitions.active[allZones]
+	if len(jobs)+len(hints) > 0 || workersUnreachable {
+		l.c.broadcast(&mesh.Envelope{Body: &mesh.Envelope_Progress{Progress: &mesh.Progress{Jobs: jobs, Hints: hints, WorkersUnheard: workersUnreachable}}})
 	}
 }
 
 // hints lists the hints for the next leader about machines that have changed, and about all machines
-// every hintAllEvery: their addresses, since workers take seconds to find a new leader, and their
+// every allHintsInterval: their addresses, since workers take seconds to find a new leader, and their
 // images, which reports don't contain.
 func (l *leader) hints() []*mesh.Hint {
-	all := l.c.now.Sub(l.hintedAt) > hintAllEvery
+	all := l.c.now.Sub(l.allHintsSentAt) > allHintsInterval
 	if all {
-		l.hintedAt = l.c.now
+		l.allHintsSentAt = l.c.now
 	}
 	var hs []*mesh.Hint
 	for _, m := range l.fleetOrder {
--- a/controller/promises.go
+++ b/controller/promises.go
@@ -21,56 +21,56 @@
 // How long the leader may act without learning of changes is bounded by the age of its copy of the
 // headers (see renewalDeadline), never by its last lease renewal: the copy may be older than that.
 
-// promiseLife is the duration of one peer lease.
-const promiseLife = 1200 * time.Millisecond
+// peerLeaseDuration is the duration of one peer lease.
+const peerLeaseDuration = 1200 * time.Millisecond
 
-// promises is the state of both sides of the peer lease protocol: the leases that this controller
+// peerLeaseState is the state of both sides of the peer lease protocol: the leases that this controller
 // has granted, and those that it was granted as leader.
-type promises struct {
-	started       time.Time
-	bound         time.Time // this controller makes no claim before
-	round         uint64
-	asks          map[uint64]*promiseRound
-	promisedUntil time.Time // when the leader's authority by peer lease ends
-	onPromises    bool      // the leader has had a peer lease since it last reached the state service
+type peerLeaseState struct {
+	processStarted time.Time
+	noClaimBefore  time.Time // this controller makes no claim before
+	lastRound      uint64
+	rounds         map[uint64]*peerLeaseRound
+	until          time.Time // when the leader's authority by peer lease ends
+	active         bool      // the leader has had a peer lease since it last reached the state service
 }
 
-// promiseRound is one request for a peer lease to all other controllers.
-type promiseRound struct {
+// peerLeaseRound is one request for a peer lease to all other controllers.
+type peerLeaseRound struct {
 	token               uint64
 	sent                time.Time
 	granted             map[string]bool
-	lastProcessStart    time.Time // latest possible start time of the most recently started peer process
+	latestPeerStart     time.Time // latest possible start time of the most recently started peer process
 	unknownCancellation bool      // a peer reported a cancelled job that the leader can't match to a header
 }
 
-// promiseBinds reports whether a granted peer lease forbids this controller to claim the
+// mustHoldOff reports whether a granted peer lease forbids this controller to claim the
 // leadership. A process that has just started doesn't know what its predecessor granted, so it
 // waits for the duration of a peer lease, unless there has never been a leader. A leader key that
 // names this member doesn't shorten the wait: a claim of the earlier process may have been applied
 // after that process granted a peer lease.
-func (c *Core) promiseBinds() bool {
-	p := &c.promises
-	return c.now.Before(p.bound) || c.control.token > 0 && c.now.Before(p.started.Add(bindFor))
+func (c *Core) mustHoldOff() bool {
+	p := &c.peerLease
+	return c.now.Before(p.noClaimBefore) || c.control.token > 0 && c.now.Before(p.processStarted.Add(peerLeaseHoldOff))
 }
 
-// bindFor is how long a controller makes no claim after it granted a peer lease: the lease's
+// peerLeaseHoldOff is how long a controller makes no claim after it granted a peer lease: the lease's
 // duration by a clock that may run fast.
-const bindFor = promiseLife + promiseLife/500
+const peerLeaseHoldOff = peerLeaseDuration + peerLeaseDuration/500
 
-// askPromises requests a peer lease when the last successful renewal is older than a third of the
+// requestPeerLease requests a peer lease when the last successful renewal is older than a third of the
 // lease's lifetime, or the copy of the headers is older than half of the cancellation window.
-func (l *leader) askPromises() {
-	c, p := l.c, &l.c.promises
-	fine := c.now.Sub(l.renewed) < c.op.LeaderLifetime()/3 && c.now.Sub(l.headersKnownUntil()) < c.cancellationWindow()/2
-	if fine {
+func (l *leader) requestPeerLease() {
+	c, p := l.c, &l.c.peerLease
+	recent := c.now.Sub(l.renewed) < c.op.LeaderLifetime()/3 && c.now.Sub(l.headersKnownUntil()) < c.cancellationWindow()/2
+	if recent {
 		return
 	}
-	p.round++
-	r := &promiseRound{token: l.token, sent: c.now, granted: map[string]bool{}}
-	p.asks = map[uint64]*promiseRound{p.round: r, p.round - 1: p.asks[p.round-1]}
+	p.lastRound++
+	r := &peerLeaseRound{token: l.token, sent: c.now, granted: map[string]bool{}}
+	p.rounds = map[uint64]*peerLeaseRound{p.lastRound: r, p.lastRound - 1: p.rounds[p.lastRound-1]}
 	c.broadcast(&mesh.Envelope{Body: &mesh.Envelope_Ask{Ask: &mesh.PromiseAsk{
-		Token: l.token, Round: p.round, LifeMs: uint64(promiseLife.Milliseconds()), Revision: c.control.revision}}})
+		Token: l.token, Round: p.lastRound, LifeMs: uint64(peerLeaseDuration.Milliseconds()), Revision: c.control.revision}}})
 }
 
 // promiseAsked handles a peer lease request from a leader that can't reach the state service. It
@@ -79,7 +79,7 @@
 	answer := func(granted bool) {
 		p := &mesh.Promise{Token: ask.Token, Round: ask.Round, Granted: granted}
 		if granted {
-			p.UpMs = uint64(c.now.Sub(c.promises.started).Milliseconds())
+			p.UpMs = uint64(c.now.Sub(c.peerLease.processStarted).Milliseconds())
 			p.Cancelled = c.cancelledSince(ask.Revision)
 		}
 		c.sendMesh(from, &mesh.Envelope{Body: &mesh.Envelope_Promise{Promise: p}})
@@ -89,22 +89,22 @@
 	if c.lead != nil && !c.entitled() && ask.Token > c.lead.token {
 		c.stepDown("another one leads")
 	}
-	free := func() bool {
-		older := !c.control.loaded || c.control.token < ask.Token // the copy predates the election
+	mayGrant := func() bool {
+		predatesElection := !c.control.loaded || c.control.token < ask.Token // the copy predates the election
 		return c.lead == nil && !c.claiming && c.control.token <= ask.Token &&
-			(older || c.control.leader != nil && c.control.leader.Member == from) &&
-			ask.LifeMs <= uint64(promiseLife.Milliseconds())
+			(predatesElection || c.control.leader != nil && c.control.leader.Member == from) &&
+			ask.LifeMs <= uint64(peerLeaseDuration.Milliseconds())
 	}
-	if !free() {
+	if !mayGrant() {
 		answer(false)
 		return
 	}
-	c.syncAlways(func(reached bool) {
-		if reached || !free() {
+	c.forceSync(func(reached bool) {
+		if reached || !mayGrant() {
 			answer(false)
 			return
 		}
-		c.promises.bound = c.now.Add(bindFor)
+		c.peerLease.noClaimBefore = c.now.Add(peerLeaseHoldOff)
 		answer(true)
 	})
 }
@@ -130,42 +130,42 @@
 // running since the leader's last read and reports the cancellations that it knows: no other
 // process can have confirmed a cancellation to a user.
 func (c *Core) promiseAnswered(from string, a *mesh.Promise) {
-	p, l := &c.promises, c.lead
-	r := p.asks[a.Round]
+	p, l := &c.peerLease, c.lead
+	r := p.rounds[a.Round]
 	if l == nil || r == nil || r.token != a.Token || l.token != a.Token || !a.Granted {
 		return
 	}
 	for _, id := range a.Cancelled {
-		if !c.noteCancelled(id) && !l.recovered {
+		if !c.applyPeerCancellation(id) && !l.recovered {
 			r.unknownCancellation = true // a machine may run a task of this job, which recovery has not loaded yet
 		}
 	}
 	up := time.Duration(float64(a.UpMs) * (1 - clockDrift) * float64(time.Millisecond))
-	if started := c.now.Add(-up); started.After(r.lastProcessStart) {
-		r.lastProcessStart = started
+	if started := c.now.Add(-up); started.After(r.latestPeerStart) {
+		r.latestPeerStart = started
 	}
 	r.granted[from] = true
-	held := c.grantedUntil()
-	if len(r.granted) < len(c.cfg.Others) || !c.now.Before(held) && r.lastProcessStart.After(held) {
+	previousUntil := c.leasedUntil()
+	if len(r.granted) < len(c.cfg.Others) || !c.now.Before(previousUntil) && r.latestPeerStart.After(previousUntil) {
 		return
 	}
 	// If a peer process started after that time, its predecessor may have confirmed a cancellation.
-	if !r.unknownCancellation && !r.lastProcessStart.After(l.headersKnownUntil()) && r.sent.After(l.headersPromisedUntil) {
-		l.headersPromisedUntil = r.sent
+	if !r.unknownCancellation && !r.latestPeerStart.After(l.headersKnownUntil()) && r.sent.After(l.headersConfirmedUntil) {
+		l.headersConfirmedUntil = r.sent
 	}
-	if until := r.sent.Add(promiseLife - promiseLife/500 - authorityMargin); until.After(p.promisedUntil) {
-		p.promisedUntil = until
+	if until := r.sent.Add(peerLeaseDuration - peerLeaseDuration/500 - authorityMargin); until.After(p.until) {
+		p.until = until
 	}
-	if !p.onPromises {
-		p.onPromises = true
+	if !p.active {
+		p.active = true
 		c.log(slog.LevelInfo, "state service not reached by any controller: leading on promises", "token", l.token)
 	}
 }
 
-// noteCancelled applies a cancellation that another controller has read from the state service,
-// which is as durable as if this controller had read it. It reports whether this controller has
-// the job's header.
-func (c *Core) noteCancelled(id string) bool {
+// applyPeerCancellation applies a cancellation that another controller has read from the state
+// service, which is as durable as if this controller had read it. It reports whether this
+// controller has the job's header.
+func (c *Core) applyPeerCancellation(id string) bool {
 	h := c.control.headers[id]
 	if h == nil {
 		return false
@@ -178,11 +178,11 @@
 	return true
 }
 
-// stateServiceBack ends the operation under peer leases once a lease renewal has succeeded.
-func (l *leader) stateServiceBack() {
-	p := &l.c.promises
-	if p.onPromises {
-		p.onPromises = false
+// endPeerLease ends the operation under peer leases once a lease renewal has succeeded.
+func (l *leader) endPeerLease() {
+	p := &l.c.peerLease
+	if p.active {
+		p.active = false
 		l.c.log(slog.LevelInfo, "state service reached again", "token", l.token)
 		l.wantPlacement()
 	}
--- a/controller/rate_limits.go
+++ b/controller/rate_limits.go
@@ -12,31 +12,31 @@
 // Rate limits of the state service: the current ones, and lower upcoming ones that take effect at an
 // unannounced time.
 
-// refusalsToLower is the net number of rate limit refusals, with three accepted transactions
+// refusalsToLowerRate is the net number of rate limit refusals, with three accepted transactions
 // offsetting one refusal, after which the upcoming rate limit is assumed to be in effect. Some
 // refusals occur at any time, since the controllers' budgets add up to more than the limit.
-const refusalsToLower = 12
+const refusalsToLowerRate = 12
 
 // observeRateLimit detects from the statuses of transactions that the upcoming limits have taken
 // effect, which is not announced.
 func (c *Core) observeRateLimit(status int) {
 	switch {
-	case c.ratesLowered:
+	case c.rateLimitLowered:
 		return
 	case status == http.StatusTooManyRequests:
 		c.rateRefusals += 3
 	case status == http.StatusOK:
 		c.rateRefusals = max(c.rateRefusals-1, 0)
 	}
-	if c.rateRefusals >= 3*refusalsToLower && c.cfg.Facts.State.Coming() != c.cfg.Facts.State.Limits {
-		c.lowerRates()
+	if c.rateRefusals >= 3*refusalsToLowerRate && c.cfg.Facts.State.Coming() != c.cfg.Facts.State.Limits {
+		c.lowerRateLimit()
 	}
 }
 
-// lowerRates adapts the write budgets to the upcoming limits.
-func (c *Core) lowerRates() {
-	c.ratesLowered = true
-	c.writes.SetLimitAt(c.now, c.userRate())
+// lowerRateLimit adapts the write budgets to the upcoming limits.
+func (c *Core) lowerRateLimit() {
+	c.rateLimitLowered = true
+	c.writes.SetLimitAt(c.now, c.userWriteRate())
 	if c.lead != nil {
 		c.lead.budget.setRate(c.now, c.writeRate())
 	}
@@ -45,7 +45,7 @@
 
 // writeRate returns how many changes per second the state service accepts.
 func (c *Core) writeRate() float64 {
-	if c.ratesLowered {
+	if c.rateLimitLowered {
 		return c.cfg.Facts.State.Tightest().WriteRPS
 	}
 	return c.cfg.Facts.State.WriteRPS
@@ -66,7 +66,7 @@
 	return rate.NewLimiter(rate.Limit(requests*readShare), max(2, int(requests*readBurstShare)))
 }
 
-// userRate returns the rate of changes that each controller may make for users.
-func (c *Core) userRate() rate.Limit {
+// userWriteRate returns the rate of changes that each controller may make for users.
+func (c *Core) userWriteRate() rate.Limit {
 	return rate.Limit(c.writeRate() * userShare / float64(len(c.cfg.Others)+1))
 }
--- a/controller/rate_limits_test.go
+++ b/controller/rate_limits_test.go
@@ -13,7 +13,7 @@
 
 // The state service may lower its rate limits at an unannounced time. Reads for users observe the
 // upcoming limit from the start, and changes once refusals show that it is in effect.
-func TestComingRates(t *testing.T) {
+func TestUpcomingRateLimits(t *testing.T) {
 	template, _, _ := leading(t)
 	cfg := *template.cfg
 	requests, changes := 30.0, 12.0
@@ -26,7 +26,7 @@
 	if got := c.writes.Limit() * controllers; got != rate.Limit(cfg.Facts.State.WriteRPS*userShare) {
 		t.Errorf("%v changes per second before the upcoming limit is in effect", got)
 	}
-	for range refusalsToLower {
+	for range refusalsToLowerRate {
 		c.observeRateLimit(http.StatusTooManyRequests)
 	}
 	if got := c.writes.Limit() * controllers; got > rate.Limit(changes) {
--- a/controller/records.go
+++ b/controller/records.go
@@ -96,15 +96,15 @@
 	return fmt.Sprintf("%s%s/s%06d", taskPrefix, job, chunk)
 }
 
-// splitChunk parses the key of a task record. small is true for a divided record.
-func splitChunk(key string) (job string, chunk int, small, ok bool) {
+// parseChunkKey parses the key of a task record. divided is true for the key of a divided record.
+func parseChunkKey(key string) (job string, chunk int, divided, ok bool) {
 	job, num, found := strings.Cut(strings.TrimPrefix(key, taskPrefix), "/")
 	if !found {
 		return "", 0, false, false
 	}
-	num, small = strings.CutPrefix(num, "s")
+	num, divided = strings.CutPrefix(num, "s")
 	_, err := fmt.Sscanf(num, "%d", &chunk)
-	return job, chunk, small, err == nil
+	return job, chunk, divided, err == nil
 }
 
 // tasksPerRecord returns how many tasks fit into one task record within the value size limit: an
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -17,7 +17,7 @@
 // on. It starts over after a failure until all have been read.
 func (l *leader) readRecords() {
 	c := l.c
-	again := func() {
+	retry := func() {
 		c.after(retryPause, func() {
 			if c.lead == l {
 				l.readRecords()
@@ -29,7 +29,7 @@
 			switch {
 			case c.lead != l:
 			case !ok:
-				again()
+				retry()
 			default:
 				next(items)
 			}
@@ -39,11 +39,11 @@
 		switch {
 		case c.lead != l:
 		case !ok:
-			again()
+			retry()
 		default:
-			read(rentalPrefix, func(hires []wire.Item) {
+			read(rentalPrefix, func(rentals []wire.Item) {
 				read(taskPrefix, func(tasks []wire.Item) {
-					l.readOptional(read, func() { l.rebuild(tasks, hires) })
+					l.readOptional(read, func() { l.rebuild(tasks, rentals) })
 				})
 			})
 		}
@@ -106,19 +106,19 @@
 
 // rebuild builds the leader's state from the records. Tasks that were running are pending again,
 // but can't be placed until their recorded attempt is proved to have ended.
-func (l *leader) rebuild(tasks, hires []wire.Item) {
+func (l *leader) rebuild(tasks, rentals []wire.Item) {
 	c := l.c
 	for id, h := range c.control.headers {
 		l.addJob(id, h)
 	}
 	for _, it := range tasks {
-		id, n, small, ok := splitChunk(it.Key)
+		id, n, divided, ok := parseChunkKey(it.Key)
 		rec := decode[taskRecord](it.Value)
 		j := l.jobs[id]
-		if j != nil && small && !j.divided {
+		if j != nil && divided && !j.divided {
 			l.divide(j) // the undivided records sort before the divided ones, so they are restored by now
 		}
-		if !ok || rec == nil || j == nil || small != j.divided || n >= len(j.chunks) {
+		if !ok || rec == nil || j == nil || divided != j.divided || n >= len(j.chunks) {
 			l.obsoleteKeys = append(l.obsoleteKeys, it.Key)
 			continue
 		}
@@ -131,9 +131,9 @@
 		}
 		l.settle(j)
 	}
-	l.autoscaler.restore(hires)
+	l.autoscaler.restore(rentals)
 	l.recovered = true
-	l.fetchEnds()
+	l.fetchUnknownOutcomes()
 	c.log(slog.LevelInfo, "recovered", "token", l.token, "jobs", len(l.jobs), "machines", len(l.machines),
 		"after", c.now.Sub(l.elected))
 	for _, id := range slices.Sorted(maps.Keys(c.hints)) {
--- a/controller/snapshots.go
+++ b/controller/snapshots.go
@@ -15,8 +15,8 @@
 func (l *leader) usable(m *machine) bool {
 	// If commands to many machines get no response, the fault is likely on the leader's side, and the
 	// answers to reports carry the commands.
-	hears := m.unansweredSince.IsZero() || l.partitions.active[allZones]
-	return m.up && !m.releasing && !m.consolidating && !m.notice && !m.leaseOut && !l.failures.unresponsive(m) && hears
+	reachable := m.unansweredSince.IsZero() || l.partitions.active[allZones]
+	return m.up && !m.releasing && !m.consolidating && !m.notice && !m.leaseOut && !l.failures.unresponsive(m) && reachable
 }
 
 // view returns the scheduler's view of the usable machines and, with booting, of those that are not
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, a := range m.list {
-		l.occupy(s, a)
+		l.accountAttempt(s, a)
 	}
 	return s
 }
@@ -74,8 +74,8 @@
 	return l.c.now.Sub(m.since) > config.Seconds(t.BootS*1.6)+2*time.Second
 }
 
-// occupy accounts for an attempt in a machine's snapshot.
-func (l *leader) occupy(s *scheduler.Machine, a *attempt) {
+// accountAttempt accounts for an attempt in a machine's snapshot.
+func (l *leader) accountAttempt(s *scheduler.Machine, a *attempt) {
 	each := a.job.terms.Each
 	s.Free = s.Free.Add(each, -1)
 	if a.stopping {
--- a/controller/term.go
+++ b/controller/term.go
@@ -9,16 +9,16 @@
 // term is a leadership term, which starts with a won election and lasts as long as its lease is
 // renewed. Every command sent during the term carries its fencing token.
 type term struct {
-	token                uint64
-	electedToken         uint64 // the token allocated by this term's election
-	version              uint64 // version of the leader key: the condition of every write
-	lease                uint64
-	elected              time.Time
-	renewed              time.Time // when the last successful renewal was sent
-	authority            time.Time // until when the lease in the state service is certain to last
-	headersPromisedUntil time.Time // see headersKnownUntil
-	tokenRaisedAt        time.Time
-	raisingToken         bool
+	token                 uint64
+	electedToken          uint64 // the token allocated by this term's election
+	version               uint64 // version of the leader key: the condition of every write
+	lease                 uint64
+	elected               time.Time
+	renewed               time.Time // when the last successful renewal was sent
+	authority             time.Time // until when the lease in the state service is certain to last
+	headersConfirmedUntil time.Time // see headersKnownUntil
+	tokenRaisedAt         time.Time
+	raisingToken          bool
 }
 
 // newTerm returns the term of a claim that was applied with the given version of the leader key.
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -9,21 +9,21 @@
 // back by a late reply.
 func TestTermCountsFromBeforeTheRenewal(t *testing.T) {
 	now, life := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC), 2*time.Second
-	held := newTerm(now, 1, 7, 3)
-	held.extend(now, life)
-	if short := now.Add(life).Sub(held.authority); short < authorityMargin || short > 2*authorityMargin {
-		t.Errorf("authority ends %v before the lease, want between one and two margins", short)
+	leadership := newTerm(now, 1, 7, 3)
+	leadership.extend(now, life)
+	if margin := now.Add(life).Sub(leadership.authority); margin < authorityMargin || margin > 2*authorityMargin {
+		t.Errorf("authority ends %v before the lease, want between one and two margins", margin)
 	}
-	until := held.authority
-	held.extend(now.Add(-time.Second), life)
-	if held.authority != until || held.renewed != now {
-		t.Errorf("a late reply moved the end of authority from %v to %v", until, held.authority)
+	until := leadership.authority
+	leadership.extend(now.Add(-time.Second), life)
+	if leadership.authority != until || leadership.renewed != now {
+		t.Errorf("a late reply moved the end of authority from %v to %v", until, leadership.authority)
 	}
-	if held.mayRaiseToken(now.Add(raisePause-time.Millisecond)) || !held.mayRaiseToken(now.Add(raisePause)) {
+	if leadership.mayRaiseToken(now.Add(raisePause-time.Millisecond)) || !leadership.mayRaiseToken(now.Add(raisePause)) {
 		t.Error("the minimum time between two token raises is not observed")
 	}
-	held.raisingToken = true
-	if held.mayRaiseToken(now.Add(time.Hour)) {
+	leadership.raisingToken = true
+	if leadership.mayRaiseToken(now.Add(time.Hour)) {
 		t.Error("the token may be raised while a raise is in progress")
 	}
 }
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -29,8 +29,8 @@
 // The earlier versions whose data must stay readable. Each testdata/NAME.json was made by
 // testdata/NAME.go.txt, run as a test in package controller of the commit.
 const (
-	beforeChains = "before-chains" // commit 4401b8b, version 1
-	firstChains  = "chains"        // commit 982ebb7, version 2
+	version1Fixture = "before-chains" // commit 4401b8b, version 1
+	version2Fixture = "chains"        // commit 982ebb7, version 2
 )
 
 func readFixture(t *testing.T, name string) fixture {
@@ -46,9 +46,9 @@
 	return f
 }
 
-// continuing returns a leader that has recovered from the records of an earlier version, with
+// recoverFixture returns a leader that has recovered from the records of an earlier version, with
 // upcoming limits far below those under which the records were written.
-func continuing(t *testing.T, name string) (*Core, *leader, fixture) {
+func recoverFixture(t *testing.T, name string) (*Core, *leader, fixture) {
 	t.Helper()
 	c, _, _ := leading(t)
 	p := readFixture(t, name)
@@ -57,7 +57,7 @@
 	st.Limits = config.Limits{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 16}
 	st.Next.ValueKB, st.Next.TxnOps = &kb, &ops
 	version := uint64(10)
-	var tasks, hires []wire.Item
+	var tasks, rentals []wire.Item
 	for _, key := range slices.Sorted(maps.Keys(p.Records)) {
 		raw := p.Records[key]
 		version++
@@ -65,33 +65,33 @@
 		case strings.HasPrefix(key, taskPrefix):
 			tasks = append(tasks, wire.Item{Key: key, Value: raw, Version: version})
 		case strings.HasPrefix(key, rentalPrefix):
-			hires = append(hires, wire.Item{Key: key, Value: raw, Version: version})
+			rentals = append(rentals, wire.Item{Key: key, Value: raw, Version: version})
 		case strings.HasPrefix(key, controlPrefix) && key != leaderKey && key != tokenKey:
 			c.applyControl(wire.Event{Put: key, Value: raw, Version: version})
 		}
 	}
 	c.lead = nil
 	c.becomeLeader(c.now, 2, 8, version+1)
-	c.lead.rebuild(tasks, hires)
+	c.lead.rebuild(tasks, rentals)
 	return c, c.lead, p
 }
 
 // members sets the recorded version of every member.
 func members(c *Core, version int) {
 	for _, m := range c.members() {
-		c.control.members[m] = version
+		c.control.memberVersions[m] = version
 	}
 }
 
 // A leader recovers from the records of version 1, which has no dependencies between jobs.
-func TestContinuesFromBeforeChains(t *testing.T) {
-	c, l, p := continuing(t, beforeChains)
+func TestRecoversFromVersion1(t *testing.T) {
+	c, l, p := recoverFixture(t, version1Fixture)
 	j := l.jobs["req-000001"]
 	if j == nil || j.tasksPerRecord != 204 || len(j.attempts) != 185 || j.state.Count(reduction.Completed) != 11 || j.accepted.UnixMilli() != 1893456000000 {
 		t.Fatalf("%+v", j)
 	}
-	if off := l.jobs["req-000002"]; off == nil || !off.cancelled || !off.dirty {
-		t.Errorf("cancelled job: %+v", off)
+	if cancelled := l.jobs["req-000002"]; cancelled == nil || !cancelled.cancelled || !cancelled.dirty {
+		t.Errorf("cancelled job: %+v", cancelled)
 	}
 	if h := l.autoscaler.requests["r-6-1"]; h == nil || !h.answered || len(h.machines) != 2 || l.machines["i-000031"] == nil {
 		t.Errorf("rental: %+v", h)
@@ -107,7 +107,7 @@
 // Task records of version 1 that exceed the upcoming size limit keep their format while a member
 // may still run version 1, and are written as smaller divided records after that.
 func TestLargeRecordsAreDivided(t *testing.T) {
-	c, l, _ := continuing(t, beforeChains)
+	c, l, _ := recoverFixture(t, version1Fixture)
 	j := l.jobs["req-000001"]
 	end := func(task int) {
 		l.gone(j.attempts[task], reduction.Succeeded, proofFromHeartbeat(wire.WhyDone))
@@ -115,12 +115,12 @@
 	}
 	end(150)
 	members(c, thisVersion)
-	c.control.members["n2"] = 0 // not upgraded yet
+	c.control.memberVersions["n2"] = 0 // not upgraded yet
 	w := l.writes.compose(j)
 	if j.divided || len(w.txn.Then) != 1 || w.txn.Then[0].Put != chunkKey(j.id, 0) {
 		t.Fatalf("divided %v, writes %+v", j.divided, w.txn.Then)
 	}
-	j.undo(w)
+	j.markUnwritten(w)
 	members(c, thisVersion)
 	var changes []wire.Change
 	for w = l.writes.compose(j); w != nil; w = l.writes.compose(j) {
@@ -141,7 +141,7 @@
 	}
 	// The next leader reads both kinds of records; the divided ones take precedence.
 	items := map[string][]byte{}
-	for key, raw := range readFixture(t, beforeChains).Records {
+	for key, raw := range readFixture(t, version1Fixture).Records {
 		if strings.HasPrefix(key, taskPrefix) {
 			items[key] = raw
 		}
@@ -156,16 +156,16 @@
 	c.lead = nil
 	c.becomeLeader(c.now, 3, 9, 100)
 	c.lead.rebuild(tasks, nil)
-	again := c.lead.jobs[j.id]
-	if again.state.Status(150) != reduction.Completed || again.attempts[150] != nil || len(again.attempts) != 184 {
-		t.Errorf("task 150 is %v, %d attempts", again.state.Status(150), len(again.attempts))
+	recovered := c.lead.jobs[j.id]
+	if recovered.state.Status(150) != reduction.Completed || recovered.attempts[150] != nil || len(recovered.attempts) != 184 {
+		t.Errorf("task 150 is %v, %d attempts", recovered.state.Status(150), len(recovered.attempts))
 	}
-	for task, a := range again.attempts {
-		if next := again.chunks[task/again.tasksPerRecord].lastAttempt; a.number > next {
+	for task, a := range recovered.attempts {
+		if next := recovered.chunks[task/recovered.tasksPerRecord].lastAttempt; a.number > next {
 			t.Fatalf("task %d has attempt %d, but the last allocated number is %d", task, a.number, next)
 		}
 	}
-	if n := len(again.undividedKeys); n != 2 {
+	if n := len(recovered.undividedKeys); n != 2 {
 		t.Errorf("%d undivided records to delete when the job is finished, want 2", n)
 	}
 }
@@ -173,8 +173,8 @@
 // A leader recovers from the records of version 2, the first with dependencies between jobs: running
 // tasks continue, jobs that wait for others are blocked, and the dependents of a cancelled job stay
 // cancelled.
-func TestContinuesFromFirstChains(t *testing.T) {
-	c, l, p := continuing(t, firstChains)
+func TestRecoversFromVersion2(t *testing.T) {
+	c, l, p := recoverFixture(t, version2Fixture)
 	first := l.jobs["req-000010"]
 	if first == nil || first.state.Count(reduction.Completed) != 2 || len(first.attempts) != 1 || l.blocked(first) {
 		t.Fatalf("first job of the chain: %+v", first)
@@ -192,7 +192,7 @@
 			t.Errorf("%s is not cancelled: %+v", id, j)
 		}
 	}
-	c.jobEnded("req-000003", *decode[finalRecord](p.Records[finalKey("req-000003")]))
+	c.applyFinal("req-000003", *decode[finalRecord](p.Records[finalKey("req-000003")]))
 	if !l.blocked(l.jobs["req-000015"]) {
 		t.Error("req-000015 is not blocked although req-000010 is running")
 	}
@@ -212,8 +212,8 @@
 	return reflect.DeepEqual(was, is)
 }
 
-// rewritten decodes a record of an earlier version and encodes it again.
-func rewritten(t *testing.T, key string, raw []byte) []byte {
+// reencode decodes a record of an earlier version and encodes it again.
+func reencode(t *testing.T, key string, raw []byte) []byte {
 	t.Helper()
 	switch {
 	case strings.HasPrefix(key, headerPrefix):
@@ -239,10 +239,10 @@
 
 // Records that this version writes keep every field of an earlier version under the same key and
 // name, so that an earlier version loses no job, cancellation or placement.
-func TestEarlierVersionsReadOurRecords(t *testing.T) {
-	for _, name := range []string{beforeChains, firstChains} {
+func TestEarlierVersionsReadRecords(t *testing.T) {
+	for _, name := range []string{version1Fixture, version2Fixture} {
 		for key, raw := range readFixture(t, name).Records {
-			if !sameFields(t, raw, rewritten(t, key, raw)) {
+			if !sameFields(t, raw, reencode(t, key, raw)) {
 				t.Errorf("%s: %s differs after decoding and encoding", name, key)
 			}
 		}
@@ -274,7 +274,7 @@
 
 // Version 1 can decode records with the fields that were added later, and doesn't take the new keys
 // for keys of its own.
-func TestVersion1ReadsWhatWeAdd(t *testing.T) {
+func TestVersion1ReadsNewRecords(t *testing.T) {
 	job := wire.Job{ID: "req-000009", Class: "batch", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 30, CPUs: 1,
 		Image: "img-0", Needs: []string{"req-000001"}}
 	h := decode[oldHeader](wire.Marshal(headerRecord{Job: job, AcceptedMS: 5, PerChunk: 25}))
@@ -300,7 +300,7 @@
 // Mesh messages are compatible in both directions: messages of this version can be read with the
 // protobuf descriptor of an earlier version, and messages of the earlier version by this one.
 func TestMeshOfTwoVersions(t *testing.T) {
-	for _, name := range []string{beforeChains, firstChains} {
+	for _, name := range []string{version1Fixture, version2Fixture} {
 		t.Run(name, func(t *testing.T) { checkMessages(t, readFixture(t, name).Messages) })
 	}
 }
@@ -320,23 +320,23 @@
 		if name == "described" {
 			continue
 		}
-		theirs := dynamicpb.NewMessage(old)
-		ours := &mesh.Envelope{}
-		if err := proto.Unmarshal(raw, theirs); err != nil {
+		want := dynamicpb.NewMessage(old)
+		envelope := &mesh.Envelope{}
+		if err := proto.Unmarshal(raw, want); err != nil {
 			t.Fatal(name, err)
 		}
-		if err := proto.Unmarshal(raw, ours); err != nil || ours.Body == nil {
-			t.Fatalf("%s: %v, body %v", name, err, ours.Body)
+		if err := proto.Unmarshal(raw, envelope); err != nil || envelope.Body == nil {
+			t.Fatalf("%s: %v, body %v", name, err, envelope.Body)
 		}
-		back, err := proto.Marshal(ours)
+		back, err := proto.Marshal(envelope)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		again := dynamicpb.NewMessage(old)
-		if err := proto.Unmarshal(back, again); err != nil || !proto.Equal(theirs, again) {
-			t.Errorf("%s: the earlier version decodes %v, want %v (%v)", name, again, theirs, err)
+		decoded := dynamicpb.NewMessage(old)
+		if err := proto.Unmarshal(back, decoded); err != nil || !proto.Equal(want, decoded) {
+			t.Errorf("%s: the earlier version decodes %v, want %v (%v)", name, decoded, want, err)
 		}
-		again.Range(func(fd protoreflect.FieldDescriptor, v protoreflect.Value) bool {
+		decoded.Range(func(fd protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 			if fd.Message() != nil && len(v.Message().GetUnknown()) > 0 {
 				t.Errorf("%s: fields unknown to the earlier version: %s", name, fmt.Sprint(v))
 			}
--- a/controller/write_queue.go
+++ b/controller/write_queue.go
@@ -12,8 +12,8 @@
 
 // The leader's write queue. Dirty jobs are written oldest first, with one conditional transaction
 // per job and round, within a budget below the write rate limit of the state service. Urgent writes,
-// which tasks or users wait for, precede writes that only record completed tasks, and those precede
-// the deletion of obsolete records.
+// which tasks or users wait for, go first. At most one deletion of obsolete records follows per round,
+// and then the writes that only record completed tasks.
 
 // writeQueue writes the records of jobs to the state service and deletes the records of finished
 // jobs. The write budget and the list of obsolete keys are fields of the leader, since other
@@ -29,12 +29,12 @@
 	chunks   []int
 	attempts []*attempt
 	final    *finalRecord
-	doubt    bool
+	inDoubt  bool
 }
 
-// countsWait is how long a write that only records completed tasks is delayed, so that tasks that
-// complete one by one share a write, and urgent writes go first.
-const countsWait = 2 * time.Second
+// progressWriteDelay is how long a write that only records completed tasks is delayed, so that tasks
+// that complete one by one share a write, and urgent writes go first.
+const progressWriteDelay = 2 * time.Second
 
 // budgetPause is how long writes pause when the budget is exhausted.
 const budgetPause = 20 * time.Millisecond
@@ -71,8 +71,8 @@
 func (q *writeQueue) dueWrites() []*job {
 	var due []*job
 	for _, j := range q.order {
-		ripe := j.urgent || q.c.now.Sub(j.dirtyAt) >= countsWait
-		if j.dirty && ripe && j.write == nil && !q.c.now.Before(j.holdUntil) {
+		ready := j.urgent || q.c.now.Sub(j.dirtyAt) >= progressWriteDelay
+		if j.dirty && ready && j.write == nil && !q.c.now.Before(j.holdUntil) {
 			due = append(due, j)
 		}
 	}
@@ -99,7 +99,7 @@
 	}
 	changes := min(len(w.txn.Then), q.budget.burst())
 	if !q.budget.allows(q.c.now, changes, j.urgent) {
-		j.undo(w) // compose marked the chunks as clean; they must be written later
+		j.markUnwritten(w) // compose marked the chunks as clean; they must be written later
 		return false
 	}
 	q.budget.spend(q.c.now, changes, j.urgent)
@@ -118,14 +118,14 @@
 // compose returns the write that is due for a job and marks its chunks as clean, or returns nil if
 // none is due.
 func (q *writeQueue) compose(j *job) *write {
-	if !j.divided && j.tasksPerRecord > q.tasksPerRecord() && (q.c.allRun(firstVersionWithChains) || q.c.valuesLowered) {
+	if !j.divided && j.tasksPerRecord > q.tasksPerRecord() && (q.c.allRun(firstVersionWithChains) || q.c.valueLimitLowered) {
 		q.divide(j)
 	}
 	w := &write{id: q.c.rng.Uint64() >> 1} // random, so that no other leader's write has the same ID
 	w.txn.If = []wire.Cond{q.leadershipCondition(), {Key: headerKey(j.id), Version: q.c.control.versions[headerKey(j.id)]}}
-	settled, _ := reduction.Classify(j.graph, j.state)
+	verdict, _ := reduction.Classify(j.graph, j.state)
 	switch {
-	case settled == reduction.Settled && len(j.attempts) == 0 && (!j.cancelled || len(q.c.chains.Successors(j.id)) == 0):
+	case verdict == reduction.Settled && len(j.attempts) == 0 && (!j.cancelled || len(q.c.chains.Successors(j.id)) == 0):
 		q.composeFinal(j, w)
 		return w
 	case j.cancelled:
@@ -137,14 +137,14 @@
 		if !j.chunks[n].dirty || len(w.chunks) >= budget || size > 40<<10 {
 			continue
 		}
-		rec, as := q.chunkRecord(j, n, w.id)
+		rec, unrecorded := q.chunkRecord(j, n, w.id)
 		key := j.chunkKey(n)
 		w.txn.If = append(w.txn.If, wire.Cond{Key: key, Version: j.chunks[n].version})
 		change := put(key, rec)
 		size += 2 * len(change.Value)
 		w.txn.Then = append(w.txn.Then, change)
 		w.chunks = append(w.chunks, n)
-		w.attempts = append(w.attempts, as...)
+		w.attempts = append(w.attempts, unrecorded...)
 		j.chunks[n].dirty = false
 	}
 	if len(w.chunks) == 0 {
@@ -167,7 +167,7 @@
 // chunkRecord returns the record of chunk n and the active attempts that are not recorded yet.
 func (q *writeQueue) chunkRecord(j *job, n int, id uint64) (taskRecord, []*attempt) {
 	rec := taskRecord{Write: id, Next: j.chunks[n].lastAttempt}
-	var fresh []*attempt
+	var unrecorded []*attempt
 	for t := n * j.tasksPerRecord; t < min((n+1)*j.tasksPerRecord, j.spec.Tasks); t++ {
 		if j.state.Status(t) == reduction.Completed {
 			if k := len(rec.Done); k > 0 && rec.Done[k-1][1] == t-1 {
@@ -179,11 +179,11 @@
 		if a := j.attempts[t]; a != nil {
 			rec.Placed = append(rec.Placed, placedRecord{t, a.number, a.machine.id, a.session, a.machine.zone})
 			if a.phase < attemptRecorded {
-				fresh = append(fresh, a)
+				unrecorded = append(unrecorded, a)
 			}
 		}
 	}
-	return rec, fresh
+	return rec, unrecorded
 }
 
 // send sends a job's write. While the result is unknown, the write is retried unchanged: of two
@@ -204,10 +204,10 @@
 			// any more, and no copy of this write can be applied from now on. An earlier copy may
 			// have been applied, so the records are read.
 			c.log(slog.LevelInfo, "write refused for its size", "job", j.id, "error", r.Txn.Error)
-			c.valuesLowered = true
+			c.valueLimitLowered = true
 			q.reread(j)
-		case r.Status == 0 || w.doubt:
-			w.doubt = true
+		case r.Status == 0 || w.inDoubt:
+			w.inDoubt = true
 			c.after(retryPause, func() { q.resend(j, w) })
 		default: // the write was not executed
 			if r.Status == http.StatusTooManyRequests {
@@ -261,8 +261,8 @@
 	}
 }
 
-// undo marks the contents of a write that was not made as dirty again.
-func (j *job) undo(w *write) {
+// markUnwritten marks the contents of a write that was not made as dirty again.
+func (j *job) markUnwritten(w *write) {
 	for _, n := range w.chunks {
 		j.chunks[n].dirty = true
 	}
@@ -272,7 +272,7 @@
 
 // discard drops a write that was not executed and marks its contents as dirty again.
 func (q *writeQueue) discard(j *job) {
-	j.undo(j.write)
+	j.markUnwritten(j.write)
 	j.write = nil
 	j.holdUntil = q.c.now.Add(retryPause / 2)
 	q.c.after(retryPause/2, func() {})
@@ -288,7 +288,7 @@
 // an earlier copy of it was applied, or the records were changed by another write.
 func (q *writeQueue) reread(j *job) {
 	c, w := q.c, j.write
-	again := func() {
+	retry := func() {
 		if c.lead == q.leader && j.write == w {
 			q.reread(j)
 		}
@@ -298,7 +298,7 @@
 			return
 		}
 		if !ok {
-			c.after(retryPause, again)
+			c.after(retryPause, retry)
 			return
 		}
 		c.readAll(taskPrefix+j.id+"/", leadCallTimeout, func(items []wire.Item, _ uint64, ok bool) {
@@ -306,7 +306,7 @@
 				return
 			}
 			if !ok {
-				c.after(retryPause, again)
+				c.after(retryPause, retry)
 				return
 			}
 			q.resolve(j, items)
@@ -323,9 +323,9 @@
 		return
 	}
 	for _, it := range items {
-		_, n, small, ok := splitChunk(it.Key)
+		_, n, divided, ok := parseChunkKey(it.Key)
 		rec := decode[taskRecord](it.Value)
-		if !ok || rec == nil || small != j.divided || n >= len(j.chunks) {
+		if !ok || rec == nil || divided != j.divided || n >= len(j.chunks) {
 			continue
 		}
 		if rec.Write == w.id && slices.Contains(w.chunks, n) {
--- a/controller/write_queue_test.go
+++ b/controller/write_queue_test.go
@@ -51,7 +51,7 @@
 
 // After a full reload of the watched records, the first version of a job that the leader gets may
 // already be cancelled. Its final record must still be written.
-func TestJobThatIsSeenCancelledEnds(t *testing.T) {
+func TestJobFirstSeenCancelledGetsFinalRecord(t *testing.T) {
 	c, l, _ := leading(t)
 	spec := wire.Job{ID: "req-000002", Kind: wire.KindArray, Priority: "standard", Tasks: 1, CPUs: 1}
 	c.headerChanged(spec.ID, &headerRecord{Job: spec, Cancelled: true, PerChunk: 10})
