--- a/controller/authority.go
+++ b/controller/authority.go
@@ -64,6 +64,7 @@
 	})
 }
 
+// renewLease renews the leader's lease in the state service, and steps down if the lease has expired.
 func (l *leader) renewLease() {
 	c, sent := l.c, l.c.now
 	c.state(StateCall{Op: OpTouch, Lease: l.lease, Timeout: c.op.LeaderLifetime()}, func(r StateReply) {
--- a/controller/chains.go
+++ b/controller/chains.go
@@ -167,6 +167,8 @@
 	return ds
 }
 
+// neededJobsEndSoon reports whether all jobs that a job needs are done or should end before a machine
+// that is rented now is up.
 func (l *leader) neededJobsEndSoon(j *job) bool {
 	boot := l.c.soonestBoot(&j.spec)
 	for _, p := range j.spec.Needs {
--- a/controller/control.go
+++ b/controller/control.go
@@ -58,11 +58,11 @@
 		}
 		for key, v := range c.control.versions {
 			if !keep[key] && v <= revision {
-				c.applyControl(wire.Event{Delete: key, Version: revision})
+				c.applyEvent(wire.Event{Delete: key, Version: revision})
 			}
 		}
 		for _, it := range items {
-			c.applyControl(wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
+			c.applyEvent(wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 		}
 		c.control.revision = max(c.control.revision, revision)
 		c.control.loaded, c.control.loading, c.control.unreachable = true, false, false
@@ -180,7 +180,7 @@
 		// An event up to the copy's revision is skipped: replaying a creation whose deletion was
 		// already applied would restore the key for a moment.
 		if e.Version > c.control.revision {
-			c.applyControl(e)
+			c.applyEvent(e)
 		}
 	}
 	c.control.revision = max(c.control.revision, w.Revision)
@@ -198,13 +198,13 @@
 // that has been deleted since.
 func (c *Core) written(e wire.Event) {
 	if e.Version > c.control.revision {
-		c.applyControl(e)
+		c.applyEvent(e)
 	}
 }
 
-// applyControl applies one change, unless the copy already holds the same or a newer version of the
+// applyEvent applies one change, unless the copy already holds the same or a newer version of the
 // key: the long-polling watch and the reads of sync overlap.
-func (c *Core) applyControl(e wire.Event) {
+func (c *Core) applyEvent(e wire.Event) {
 	key := e.Put + e.Delete
 	if c.control.versions[key] >= e.Version {
 		return
@@ -255,6 +255,7 @@
 	return v
 }
 
+// headerChanged applies a created, changed or deleted (nil) job header to all that is derived from it.
 func (c *Core) headerChanged(job string, h *headerRecord) {
 	previous := c.control.headers[job]
 	c.control.cells.changed(job, previous, h)
--- a/controller/election.go
+++ b/controller/election.go
@@ -52,6 +52,7 @@
 	c.state(StateCall{Op: OpEnd, Lease: lease, Timeout: userCallTimeout}, func(StateReply) {})
 }
 
+// claimFailed delays the next claim by retryPause with random jitter.
 func (c *Core) claimFailed() {
 	c.claiming = false
 	c.claimAfter = c.now.Add(retryPause + time.Duration(c.rng.Int64N(int64(retryPause))))
@@ -81,6 +82,7 @@
 	})
 }
 
+// becomeLeader starts a term after a successful claim, and the recovery from earlier leaders' records.
 func (c *Core) becomeLeader(sent time.Time, lease, token, version uint64) {
 	l := &leader{
 		c: c, term: newTerm(c.now, lease, token, version),
@@ -102,6 +104,7 @@
 	l.readRecords()
 }
 
+// stepDown ends the term and discards the leader's state.
 func (c *Core) stepDown(why string) {
 	c.log(slog.LevelInfo, "no longer leading", "token", c.lead.token, "why", why)
 	c.lead.zones.handOver()
--- a/controller/job.go
+++ b/controller/job.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// addJob adds an unfinished job to the leader's state by its header.
 func (l *leader) addJob(id string, h *headerRecord) *job {
 	per := max(1, h.PerChunk)
 	g := reduction.Independent(h.Job.Tasks)
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -144,6 +144,7 @@
 	l.wantPlacement()
 }
 
+// restore applies the record of chunk n: its completed tasks, and its attempts as active ones.
 func (l *leader) restore(j *job, n int, rec *taskRecord, version uint64) {
 	if j.divided { // a divided record replaces what the undivided one contains for its tasks
 		for t := n * j.tasksPerRecord; t < min((n+1)*j.tasksPerRecord, j.spec.Tasks); t++ {
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -67,7 +67,7 @@
 		case strings.HasPrefix(key, rentalPrefix):
 			rentals = append(rentals, wire.Item{Key: key, Value: raw, Version: version})
 		case strings.HasPrefix(key, controlPrefix) && key != leaderKey && key != tokenKey:
-			c.applyControl(wire.Event{Put: key, Value: raw, Version: version})
+			c.applyEvent(wire.Event{Put: key, Value: raw, Version: version})
 		}
 	}
 	c.lead = nil
