--- a/controller/chains_test.go
+++ b/controller/chains_test.go
@@ -147,7 +147,7 @@
 		c.writes = rate.NewLimiter(rate.Inf, 0)
 	}
 	if refused < 100 {
-		t.Errorf("a submission with %d needed jobs is refused, want at least 100 accepted", refused)
+		t.Errorf("first refused with %d needed jobs (0: never refused), want at least 100", refused)
 	}
 	t.Logf("%d needed jobs fit", refused-1)
 }
--- a/controller/divided_records.go
+++ b/controller/divided_records.go
@@ -16,7 +16,7 @@
 // there how many tasks share a record, which may be more than can be written now. The undivided
 // records stay unchanged, and a divided record, once written, replaces them for its tasks. Earlier
 // versions can't read divided records, so callers divide a job only when no earlier version can
-// run any more.
+// run any more, or when recovery finds divided records of the job.
 func (l *leader) divide(j *job) {
 	per := l.tasksPerRecord()
 	chunks := make([]chunk, (j.spec.Tasks+per-1)/per)
--- a/controller/promises.go
+++ b/controller/promises.go
@@ -41,7 +41,7 @@
 	sent                time.Time
 	granted             map[string]bool
 	latestPeerStart     time.Time // latest possible start time of the most recently started peer process
-	unknownCancellation bool      // a peer reported a cancelled job that the leader can't match to a header
+	unknownCancellation bool      // during recovery, a peer reported a cancelled job without a header here
 }
 
 // mustHoldOff reports whether a granted peer lease forbids this controller to claim the
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -88,7 +88,7 @@
 	c, l, p := recoverFixture(t, version1Fixture)
 	j := l.jobs["req-000001"]
 	if j == nil || j.tasksPerRecord != 204 || len(j.attempts) != 185 || j.state.Count(reduction.Completed) != 11 || j.accepted.UnixMilli() != 1893456000000 {
-		t.Fatalf("%+v", j)
+		t.Fatalf("job req-000001: %+v", j)
 	}
 	if cancelled := l.jobs["req-000002"]; cancelled == nil || !cancelled.cancelled || !cancelled.dirty {
 		t.Errorf("cancelled job: %+v", cancelled)
--- a/controller/write_queue_test.go
+++ b/controller/write_queue_test.go
@@ -16,7 +16,7 @@
 	m := l.machine("i-1")
 	place(l, j, 0, m).phase = attemptPlanned
 	j.touch(0, c.now)
-	j.urgent = true // as a placement's write is
+	j.urgent = true // like a write after a placement
 	l.budget.all = rate.NewLimiter(1, 1)
 	l.budget.spend(c.now, 1, true)
 	l.writes.flush()
