--- a/controller/control.go
+++ b/controller/control.go
@@ -10,10 +10,10 @@
 	"pumicefront/wire"
 )
 
-// The watched records, of which every controller keeps a copy.
+// The watch cache: every controller's copy of the records under controlPrefix.
 
-// control is this controller's copy of the watched records. It is as old as its
-// revision; before anything is told to a user from it, sync brings it up to date.
+// control is this controller's copy of the watched records as of a revision of the state service.
+// Before a user request is answered from it, sync brings it up to date.
 type control struct {
 	loaded, loading bool
 	revision        uint64
@@ -22,28 +22,28 @@
 	token           uint64
 	headers         map[string]*headerRecord
 	cells           cellIndex
-	epoch           cells.Epoch // the last that was taken for a grant to another cell
+	epoch           cells.Epoch // the last one allocated for a grant to another cell
 	gone            map[cells.Cell]goneRecord
-	members         map[string]int // the version that each member has noted
+	memberVersions  map[string]int // the software version that each member has recorded
 
 	syncing     bool
-	unreachable bool      // the last sync failed; it is tried again until one succeeds
-	lastRead    time.Time // when the last read that the copy holds was sent
-	waiting     []func(ok bool)
+	unreachable bool      // the last sync failed; syncs are retried until one succeeds
+	lastRead    time.Time // when the last read applied to the copy was sent
+	syncWaiters []func(ok bool)
 }
 
 func (k *control) init() {
 	k.versions = map[string]uint64{}
 	k.headers = map[string]*headerRecord{}
 	k.cells.init()
-	k.members = map[string]int{}
+	k.memberVersions = map[string]int{}
 	k.gone = map[cells.Cell]goneRecord{}
 }
 
-// maxWaiting bounds the requests that wait for one sync.
-const maxWaiting = 512
+// maxSyncWaiters is the maximum number of requests that wait for one sync.
+const maxSyncWaiters = 512
 
-// load reads all watched records and then starts to watch them.
+// load reads all watched records and then watches them.
 func (c *Core) load() {
 	c.control.loading = true
 	sent := c.now
@@ -58,21 +58,21 @@
 		}
 		for key, v := range c.control.versions {
 			if !keep[key] && v <= revision {
-				c.applyControl(wire.Event{Delete: key, Version: revision})
+				c.applyEvent(wire.Event{Delete: key, Version: revision})
 			}
 		}
 		for _, it := range items {
-			c.applyControl(wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
+			c.applyEvent(wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 		}
 		c.control.revision = max(c.control.revision, revision)
 		c.control.loaded, c.control.loading, c.control.unreachable = true, false, false
 		c.noteRead(sent)
-		c.follow()
+		c.watchRecords()
 	})
 }
 
-// readAll reads every key with the prefix. The revision is that of the first
-// page: what changes later is seen again by a watch that starts there.
+// readAll reads every key with the prefix. It returns the revision of the first page, so that a
+// watch started there reports all later changes, including those that later pages contain already.
 func (c *Core) readAll(prefix string, timeout time.Duration, done func([]wire.Item, uint64, bool)) {
 	var items []wire.Item
 	revision := uint64(0)
@@ -97,8 +97,8 @@
 	page("")
 }
 
-// follow keeps one long watch open.
-func (c *Core) follow() {
+// watchRecords keeps one long-polling watch open.
+func (c *Core) watchRecords() {
 	call := StateCall{Op: OpWatch, Key: controlPrefix, Revision: c.control.revision, Wait: watchWait,
 		Timeout: watchWait + userCallTimeout}
 	sent := c.now
@@ -107,33 +107,33 @@
 		case http.StatusOK:
 			c.applyWatch(r.Watch)
 			c.noteRead(sent)
-			c.follow()
+			c.watchRecords()
 		case http.StatusGone:
 			c.load()
 		default:
-			c.after(retryPause, c.follow)
+			c.after(retryPause, c.watchRecords)
 		}
 	})
 }
 
-// sync calls fn once the copy holds everything that was written before sync was
-// called. Requests that arrive meanwhile share one read.
-// While the state service is not reached, the answer is known without waiting.
+// sync calls fn once the copy contains everything that was written before the call. Requests that
+// arrive while a read is in flight share the next read. While the state service is unreachable,
+// sync fails at once.
 func (c *Core) sync(fn func(ok bool)) {
 	if c.control.unreachable {
 		fn(false)
 		return
 	}
-	c.syncAlways(fn)
+	c.forceSync(fn)
 }
 
-// syncAlways is sync that always tries.
-func (c *Core) syncAlways(fn func(ok bool)) {
-	if !c.control.loaded || len(c.control.waiting) >= maxWaiting {
+// forceSync is like sync, but tries to read even while the state service is unreachable.
+func (c *Core) forceSync(fn func(ok bool)) {
+	if !c.control.loaded || len(c.control.syncWaiters) >= maxSyncWaiters {
 		fn(false)
 		return
 	}
-	c.control.waiting = append(c.control.waiting, fn)
+	c.control.syncWaiters = append(c.control.syncWaiters, fn)
 	if !c.control.syncing {
 		c.control.syncing = true
 		c.startSync()
@@ -145,8 +145,8 @@
 		c.after(10*time.Millisecond, c.startSync)
 		return
 	}
-	served := c.control.waiting
-	c.control.waiting = nil
+	waiters := c.control.syncWaiters
+	c.control.syncWaiters = nil
 	call := StateCall{Op: OpWatch, Key: controlPrefix, Revision: c.control.revision, Timeout: userCallTimeout}
 	sent := c.now
 	c.state(call, func(r StateReply) {
@@ -156,54 +156,55 @@
 			c.applyWatch(r.Watch)
 			c.noteRead(sent)
 		} else if r.Status == http.StatusGone && !c.control.loading {
-			// The long watch would find out too late: nothing can be told until then.
+			// The revision was compacted. The long-polling watch would detect this only when its
+			// wait ends, and until then no user request could be answered.
 			c.control.loaded = false
 			c.load()
 		}
-		for _, fn := range served {
+		for _, fn := range waiters {
 			fn(ok)
 		}
-		if len(c.control.waiting) > 0 {
+		if len(c.control.syncWaiters) > 0 {
 			c.startSync()
 			return
 		}
 		c.control.syncing = false
 		if c.control.unreachable {
-			c.after(retryPause, func() { c.syncAlways(func(bool) {}) })
+			c.after(retryPause, func() { c.forceSync(func(bool) {}) })
 		}
 	})
 }
 
 func (c *Core) applyWatch(w wire.Watch) {
 	for _, e := range w.Events {
-		// Replaying a creation whose removal was applied already would bring
-		// the key back for a moment.
+		// An event up to the copy's revision is skipped: replaying a creation whose deletion was
+		// already applied would restore the key for a moment.
 		if e.Version > c.control.revision {
-			c.applyControl(e)
+			c.applyEvent(e)
 		}
 	}
 	c.control.revision = max(c.control.revision, w.Revision)
 }
 
-// noteRead notes that the copy has all that was written before a read was sent.
+// noteRead records that the copy contains everything written before a read was sent.
 func (c *Core) noteRead(sent time.Time) {
 	if sent.After(c.control.lastRead) {
 		c.control.lastRead = sent
 	}
 }
 
-// written applies a change that this controller has made itself. The watch may
-// have told of it, and of what came after it, before the reply arrived: then it
-// is old, and applying it would bring back a key that is gone.
+// written applies a change made by this controller. If the watch has already reported this change
+// and later ones before the reply arrived, the change is skipped: applying it could restore a key
+// that has been deleted since.
 func (c *Core) written(e wire.Event) {
 	if e.Version > c.control.revision {
-		c.applyControl(e)
+		c.applyEvent(e)
 	}
 }
 
-// applyControl applies one change, unless the copy already holds a newer one:
-// the long watch and the reads of sync overlap.
-func (c *Core) applyControl(e wire.Event) {
+// applyEvent applies one change, unless the copy already holds the same or a newer version of the
+// key: the long-polling watch and the reads of sync overlap.
+func (c *Core) applyEvent(e wire.Event) {
 	key := e.Put + e.Delete
 	if c.control.versions[key] >= e.Version {
 		return
@@ -236,7 +237,7 @@
 		}
 	case strings.HasPrefix(key, versionPrefix):
 		if v := decode[versionRecord](e.Value); v != nil {
-			c.control.members[strings.TrimPrefix(key, versionPrefix)] = v.Version
+			c.control.memberVersions[strings.TrimPrefix(key, versionPrefix)] = v.Version
 		}
 	case strings.HasPrefix(key, headerPrefix):
 		c.headerChanged(strings.TrimPrefix(key, headerPrefix), decode[headerRecord](e.Value))
@@ -254,20 +255,21 @@
 	return v
 }
 
+// headerChanged applies a created, changed or deleted (nil) job header to all that is derived from it.
 func (c *Core) headerChanged(job string, h *headerRecord) {
-	was := c.control.headers[job]
-	c.control.cells.changed(job, was, h)
+	previous := c.control.headers[job]
+	c.control.cells.changed(job, previous, h)
 	switch {
 	case h != nil:
 		c.control.headers[job] = h
-		c.addToChains(job, h)
-	case was != nil:
+		c.addDependencies(job, h)
+	case previous != nil:
 		delete(c.control.headers, job)
 		delete(c.progress, job)
-		c.removeFromChains(job, was)
+		c.removeDependencies(job, previous)
 	}
 	if c.lead != nil && c.lead.recovered {
-		c.lead.header(job, h)
+		c.lead.applyHeader(job, h)
 	}
 }
 
--- a/controller/election.go
+++ b/controller/election.go
@@ -8,10 +8,11 @@
 	"pumicefront/wire"
 )
 
-// Leader election. The leader key is attached to a lease of the state service, and a claim takes
-// the next fencing token in the same transaction.
+// Leader election. The leader key is attached to a lease of the state service, and a claim
+// allocates the next fencing token in the same transaction.
 
-// leaderName returns who leads as far as known, or "".
+// leaderName returns the member that leads according to this controller's copy of the leader key,
+// or "" if there is none or it is this member.
 func (c *Core) leaderName() string {
 	if c.control.leader == nil || c.control.leader.Member == c.cfg.Member {
 		return ""
@@ -19,20 +20,21 @@
 	return c.control.leader.Member
 }
 
-// pursueLeadership claims the leadership when nobody holds it, and ends what an
-// earlier process of this member, or a claim in doubt, has left behind.
-func (c *Core) pursueLeadership() {
+// campaign claims the leadership when there is no leader key. If the key names this
+// member, it was written by an earlier process or by a claim whose result is unknown, and its
+// lease is revoked.
+func (c *Core) campaign() {
 	if !c.control.loaded || c.claiming || c.lead != nil {
 		return
 	}
 	if l := c.control.leader; l != nil {
-		if l.Member == c.cfg.Member && !c.now.Before(c.endAfter) {
-			c.endAfter = c.now.Add(2 * retryPause)
-			c.endLease(l.Lease)
+		if l.Member == c.cfg.Member && !c.now.Before(c.revokeAfter) {
+			c.revokeAfter = c.now.Add(2 * retryPause)
+			c.revokeLease(l.Lease)
 		}
 		return
 	}
-	if c.now.Before(c.claimAfter) || c.promiseBinds() {
+	if c.now.Before(c.claimAfter) || c.mustHoldOff() {
 		return
 	}
 	c.claiming = true
@@ -46,17 +48,18 @@
 	})
 }
 
-func (c *Core) endLease(lease uint64) {
+func (c *Core) revokeLease(lease uint64) {
 	c.state(StateCall{Op: OpEnd, Lease: lease, Timeout: userCallTimeout}, func(StateReply) {})
 }
 
+// claimFailed delays the next claim by retryPause with random jitter.
 func (c *Core) claimFailed() {
 	c.claiming = false
 	c.claimAfter = c.now.Add(retryPause + time.Duration(c.rng.Int64N(int64(retryPause))))
 }
 
-// claim tries to become leader with a lease granted at sent, and takes the next
-// token in the same transaction.
+// claim tries to become leader with a lease whose request was sent at sent, and allocates the next
+// fencing token in the same transaction.
 func (c *Core) claim(sent time.Time, lease uint64) {
 	token := c.control.token + 1
 	set := put(leaderKey, leaderRecord{c.cfg.Member, lease})
@@ -67,8 +70,8 @@
 	}
 	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(r StateReply) {
 		if r.Status != http.StatusOK {
-			// In doubt it may still be applied: without its lease it can't stay.
-			c.endLease(lease)
+			// The transaction may still be applied later. Revoking the lease removes the key then.
+			c.revokeLease(lease)
 			c.claimFailed()
 			return
 		}
@@ -79,12 +82,13 @@
 	})
 }
 
+// becomeLeader starts a term after a successful claim, and the recovery from earlier leaders' records.
 func (c *Core) becomeLeader(sent time.Time, lease, token, version uint64) {
 	l := &leader{
 		c: c, term: newTerm(c.now, lease, token, version),
 		jobs: map[string]*job{}, machines: map[string]*machine{}, released: map[string]time.Time{},
 		budget:   newWriteBudget(writeBurst(c.cfg.Facts.State)),
-		probedAt: map[string]time.Time{}, progressTold: map[string]jobCount{}, partitions: partitions{lastSeen: map[string]time.Time{}},
+		probedAt: map[string]time.Time{}, progressSent: map[string]jobCount{}, partitions: partitions{lastSeen: map[string]time.Time{}},
 	}
 	l.budget.setRate(c.now, c.writeRate())
 	l.autoscaler = newAutoscaler(l)
@@ -96,19 +100,21 @@
 	c.lead = l
 	l.extend(sent, c.op.LeaderLifetime())
 	c.log(slog.LevelInfo, "leading", "token", token)
-	l.renewLater()
+	l.scheduleRenewal()
 	l.readRecords()
 }
 
+// stepDown ends the term and discards the leader's state.
 func (c *Core) stepDown(why string) {
 	c.log(slog.LevelInfo, "no longer leading", "token", c.lead.token, "why", why)
 	c.lead.zones.handOver()
 	c.lead = nil
-	c.promises.promisedUntil, c.promises.onPromises, c.promises.asks = time.Time{}, false, nil
+	c.peerLease.until, c.peerLease.active, c.peerLease.rounds = time.Time{}, false, nil
 	c.claimAfter = c.now
 }
 
-// leaderChanged is called when the watched leader key has changed.
+// leaderChanged steps down if the changed leader key is no longer the one written by this term's
+// claim.
 func (c *Core) leaderChanged() {
 	if c.lead == nil {
 		return
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -10,14 +10,14 @@
 	"pumicefront/wire"
 )
 
-// A new leader continues from the records that earlier ones have left.
+// Recovery: a new leader rebuilds its state from the records of earlier leaders.
 
-// readRecords reads what the earlier leader left: first the headers, as new as our
-// election, then rentals and task records, which only we write now. It begins
-// again until all is read.
+// readRecords reads the records of earlier leaders: first the headers, at least as recent as this
+// leader's election, then the rentals and task records, which no other controller writes from now
+// on. It starts over after a failure until all have been read.
 func (l *leader) readRecords() {
 	c := l.c
-	again := func() {
+	retry := func() {
 		c.after(retryPause, func() {
 			if c.lead == l {
 				l.readRecords()
@@ -29,7 +29,7 @@
 			switch {
 			case c.lead != l:
 			case !ok:
-				again()
+				retry()
 			default:
 				next(items)
 			}
@@ -39,19 +39,20 @@
 		switch {
 		case c.lead != l:
 		case !ok:
-			again()
+			retry()
 		default:
-			read(rentalPrefix, func(hires []wire.Item) {
+			read(rentalPrefix, func(rentals []wire.Item) {
 				read(taskPrefix, func(tasks []wire.Item) {
-					l.readOptional(read, func() { l.rebuild(tasks, hires) })
+					l.readOptional(read, func() { l.rebuild(tasks, rentals) })
 				})
 			})
 		}
 	})
 }
 
-// findOut reads a key until it is known what is recorded there, as after a write without an answer;
-// fn gets nil where nothing is. It ends when this controller leads no more.
+// findOut reads a key, with retries until the state service responds, for example after a write
+// whose result is unknown. fn gets nil if the key doesn't exist. The retries end when this
+// controller no longer leads.
 func (l *leader) findOut(key string, fn func(*wire.Item)) {
 	l.c.state(StateCall{Op: OpGet, Key: key, Timeout: leadCallTimeout}, func(r StateReply) {
 		switch {
@@ -70,13 +71,14 @@
 	})
 }
 
-// optionalRecords are records of what operators have switched on.
+// optionalRecords is a kind of records that belongs to an optional feature.
 type optionalRecords struct {
 	prefix  string
 	restore func([]wire.Item)
 }
 
-// readOptional reads the records of what operators have switched on, one kind after the other.
+// readOptional reads the records of the optional features that are enabled, one kind after the
+// other.
 func (l *leader) readOptional(read func(prefix string, next func([]wire.Item)), done func()) {
 	var kinds []optionalRecords
 	if l.zones != nil {
@@ -102,21 +104,21 @@
 	next(0)
 }
 
-// rebuild makes the leader's state from the records: what was running is
-// pending again, but stays off the frontier until its attempt is proved gone.
-func (l *leader) rebuild(tasks, hires []wire.Item) {
+// rebuild builds the leader's state from the records. Tasks that were running are pending again,
+// but can't be placed until their recorded attempt is proved to have ended.
+func (l *leader) rebuild(tasks, rentals []wire.Item) {
 	c := l.c
 	for id, h := range c.control.headers {
 		l.addJob(id, h)
 	}
 	for _, it := range tasks {
-		id, n, small, ok := splitChunk(it.Key)
+		id, n, divided, ok := parseChunkKey(it.Key)
 		rec := decode[taskRecord](it.Value)
 		j := l.jobs[id]
-		if j != nil && small && !j.divided {
-			l.divide(j) // the larger records come first, by their names
+		if j != nil && divided && !j.divided {
+			l.divide(j) // the undivided records sort before the divided ones, so they are restored by now
 		}
-		if !ok || rec == nil || j == nil || small != j.divided || n >= len(j.chunks) {
+		if !ok || rec == nil || j == nil || divided != j.divided || n >= len(j.chunks) {
 			l.obsoleteKeys = append(l.obsoleteKeys, it.Key)
 			continue
 		}
@@ -129,9 +131,9 @@
 		}
 		l.settle(j)
 	}
-	l.autoscaler.restore(hires)
+	l.autoscaler.restore(rentals)
 	l.recovered = true
-	l.fetchEnds()
+	l.fetchUnknownOutcomes()
 	c.log(slog.LevelInfo, "recovered", "token", l.token, "jobs", len(l.jobs), "machines", len(l.machines),
 		"after", c.now.Sub(l.elected))
 	for _, id := range slices.Sorted(maps.Keys(c.hints)) {
@@ -142,8 +144,9 @@
 	l.wantPlacement()
 }
 
+// restore applies the record of chunk n: its completed tasks, and its attempts as active ones.
 func (l *leader) restore(j *job, n int, rec *taskRecord, version uint64) {
-	if j.divided { // it stands for its tasks instead of what a larger record says of them
+	if j.divided { // a divided record replaces what the undivided one contains for its tasks
 		for t := n * j.tasksPerRecord; t < min((n+1)*j.tasksPerRecord, j.spec.Tasks); t++ {
 			if a := j.attempts[t]; a != nil {
 				delete(j.attempts, t)
