--- a/controller/aims.go
+++ b/controller/aims.go
@@ -9,15 +9,15 @@
 	"pumicefront/wire"
 )
 
-// The deployment's objectives, as they bear on a job.
+// The deployment's service-level objectives, as they apply to a job.
 
-// fetchMatters reports whether fetching the image alone would miss the class's
-// tightest aim on starting: then its image had better be in many places.
-func (l *leader) fetchMatters(j *wire.Job) bool {
-	return l.slowestFetch(j) > l.startAim(j)
+// fetchMissesStartObjective reports whether fetching a job's image alone takes longer than its tightest start
+// objective. Such an image should be cached on many machines.
+func (l *leader) fetchMissesStartObjective(j *wire.Job) bool {
+	return l.slowestFetch(j) > l.startObjectiveS(j)
 }
 
-// slowestFetch is how many seconds a job's image takes where it takes longest.
+// slowestFetch is the time in seconds that a job's image takes to fetch on the slowest machine type for it.
 func (l *leader) slowestFetch(j *wire.Job) float64 {
 	longest := 0.0
 	for _, t := range l.c.typesFor(j) {
@@ -28,8 +28,8 @@
 	return longest
 }
 
-// guaranteeAim is how soon work within a guarantee should start.
-func (l *leader) guaranteeAim() float64 {
+// guaranteeObjectiveS is within how many seconds work within a guarantee should start; 0 without such an objective.
+func (l *leader) guaranteeObjectiveS() float64 {
 	for _, o := range l.c.cfg.Facts.Objectives {
 		if o.Kind == "guarantee" {
 			return o.WithinS
@@ -38,8 +38,8 @@
 	return 0
 }
 
-// startAim is the tightest aim on starting that holds for a job.
-func (l *leader) startAim(j *wire.Job) float64 {
+// startObjectiveS is the tightest start objective that applies to a job, in seconds; infinite if there is none.
+func (l *leader) startObjectiveS(j *wire.Job) float64 {
 	within := math.Inf(1)
 	for _, o := range l.c.cfg.Facts.Objectives {
 		if o.Kind == "wait" && o.Class == j.Class || o.Kind == "guarantee" {
@@ -49,7 +49,7 @@
 	return within
 }
 
-// otherClasses lists what a task of each other class of late takes.
+// otherClasses lists the resources that a task takes of each other class with recent demand.
 func (l *leader) otherClasses(class string) []scheduler.Resources {
 	var rs []scheduler.Resources
 	for _, name := range slices.Sorted(maps.Keys(l.autoscaler.peaks)) {
--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -9,41 +9,40 @@
 	"pumicefront/wire"
 )
 
-// Autoscaling: how many machines of which kind the waiting work needs, and when to scale out and in.
+// Autoscaling: when to scale out and in, and how many machines of which type the pending work needs.
 
 const (
-	autoscaleInterval   = time.Second
-	typesInterval       = time.Minute
-	releasedFor         = 10 * time.Minute // how long a released machine is remembered
-	noCapacity          = 15 * time.Second // how long a refusal is remembered
-	peakHalfLife        = 90.0             // seconds in which a class's past peak counts half
-	leastCharge         = 50 * time.Second // a minute is charged at least; a call takes its time
-	scaleInMost         = 4                // unneeded machines released in one round,
-	scaleInShare        = 16               // or this part of all if that is more
-	instancesPerRequest = 50               // machines that one request may ask for, as the cloud allows
-	requestsPerRound    = 8                // requests for machines made in one round
-	releaseNamesMost    = 100              // machines that one release call may name, as the cloud allows
-	cloudRateShare      = 0.9              // of the cloud's rate that calls use: above it the cloud answers 429
+	autoscaleInterval      = time.Second
+	typesInterval          = time.Minute
+	releasedRetention      = 10 * time.Minute // how long a released machine is remembered
+	refusalRetention       = 15 * time.Second // how long a refused offer is not requested again
+	peakHalfLife           = 90.0             // seconds after which a class's past peak counts half
+	minCharge              = 50 * time.Second // a minute is charged at least, and a release call takes its time
+	scaleInMax             = 4                // unneeded machines released in one round,
+	scaleInDivisor         = 16               // or one in so many of all machines if that is more
+	maxInstancesPerRequest = 50               // machines in one request, the cloud's limit
+	maxRequestsPerRound    = 8                // instance requests made in one round
+	maxMachinesPerRelease  = 100              // machines in one release call, the cloud's limit
+	cloudRateShare         = 0.9              // share of the cloud's rate limit that calls use: above the limit the cloud answers 429
 )
 
-// autoscaler is the leader's part that scales the fleet out and in: it keeps the ledger of what
-// it has asked of the cloud, requests instances for what waits and for headroom, and releases what
-// is idle.
+// autoscaler is the part of the leader that scales the fleet out and in. It keeps the ledger of instance requests,
+// requests instances for pending work and for headroom, and releases idle machines.
 type autoscaler struct {
 	*leader
-	calls           *rate.Limiter // calls of the cloud, within its rate
+	cloudLimiter    *rate.Limiter // keeps calls to the cloud within its rate limit
 	ranAt           time.Time     // last round of scale-out and scale-in, see run
-	lookedAt        time.Time     // last look for machines to release
+	lookedAt        time.Time     // last check for machines to release
 	listedAt        time.Time     // last read of the cloud's list
-	listInFlight    bool          // a page of the cloud's list is asked for
-	typesAt         time.Time     // last answer with the machine types
-	typesInFlight   bool          // the machine types are asked for
+	listInFlight    bool          // a page of the cloud's list is requested
+	typesAt         time.Time     // last successful read of the machine types
+	typesInFlight   bool          // the machine types are requested
 	requests        map[string]*instanceRequest
-	requestSeq      int // of the last request name of this leader
-	refused         map[offerKey]time.Time
+	requestSeq      int // number in the last request name of this leader
+	refusedAt       map[offerKey]time.Time
 	peaks           map[string]*peak
-	releaseInFlight bool      // a release call is under way
-	consolidatedAt  time.Time // see consolidate
+	releaseInFlight bool      // a release call is in flight
+	consolidatedAt  time.Time // last check for a machine to empty, see consolidate
 	demandHints     map[string]demandHint
 	arrivals        []arrival
 }
@@ -52,27 +51,26 @@
 	return &autoscaler{
 		leader:      l,
 		requests:    map[string]*instanceRequest{},
-		refused:     map[offerKey]time.Time{},
+		refusedAt:   map[offerKey]time.Time{},
 		peaks:       map[string]*peak{},
 		demandHints: map[string]demandHint{},
 	}
 }
 
-// restore takes up the instance requests that earlier leaders have begun. Those without an
-// answer on record are sent again: their names make them idempotent.
+// restore takes over the recorded instance requests of earlier leaders. Those without a recorded answer are sent again,
+// which is idempotent because requests are identified by their names.
 func (s *autoscaler) restore(items []wire.Item) {
-	s.calls = rate.NewLimiter(rate.Limit(s.c.cfg.Facts.Cloud.RPS*cloudRateShare), max(1, int(s.c.cfg.Facts.Cloud.RPS)))
+	s.cloudLimiter = rate.NewLimiter(rate.Limit(s.c.cfg.Facts.Cloud.RPS*cloudRateShare), max(1, int(s.c.cfg.Facts.Cloud.RPS)))
 	for _, it := range items {
 		if rec := decode[rentalRecord](it.Value); rec != nil {
-			req := &instanceRequest{spec: rec.Rent, version: it.Version, asked: true, answered: rec.Answered, machines: rec.Machines}
+			req := &instanceRequest{spec: rec.Rent, version: it.Version, sent: true, answered: rec.Answered, machines: rec.Machines}
 			s.requests[rec.Rent.Request] = req
-			s.addRequested(req)
+			s.addRequestedMachines(req)
 		}
 	}
 }
 
-// run looks after silent machines at every tick and after the rest once a
-// second.
+// run sends the releases of machines at every tick, and does all other scaling once a second.
 func (s *autoscaler) run() {
 	if s.c.now.Sub(s.lookedAt) >= tickEvery {
 		s.lookedAt = s.c.now
@@ -83,7 +81,7 @@
 	}
 	s.ranAt = s.c.now
 	for id, at := range s.released {
-		if s.c.now.Sub(at) > releasedFor {
+		if s.c.now.Sub(at) > releasedRetention {
 			delete(s.released, id)
 		}
 	}
@@ -98,75 +96,74 @@
 	}
 }
 
-// scaleOut requests instances for what has no room, and for the headroom that the service-level
-// objectives ask for.
+// scaleOut requests instances for pending work without room, and for the headroom that the service-level objectives
+// call for.
 func (s *autoscaler) scaleOut() {
 	for _, req := range s.requests {
 		if !req.answered {
-			return // not answered yet: its machines are not counted
+			return // its machines are not counted before it is answered
 		}
 	}
 	machines := s.view(true)
 	demands := append(s.backlog(), s.headroom()...)
 	s.zones.closeZones(demands)
-	wants := scheduler.Fleet(machines, demands, s.offers(), requestsPerRound)
+	wants := scheduler.Fleet(machines, demands, s.offers(), maxRequestsPerRound)
 	for _, w := range wants {
-		for left := s.zones.rentable(w.Offer.Zone, w.Count); left > 0; left -= instancesPerRequest {
-			s.requestInstances(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, instancesPerRequest)})
+		for left := s.zones.rentable(w.Offer.Zone, w.Count); left > 0; left -= maxInstancesPerRequest {
+			s.requestInstances(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, maxInstancesPerRequest)})
 		}
 	}
 }
 
-// backlog lists the demands that wait for room which needs a scale-out: batch work
-// does not wait for a machine to boot where running tasks end sooner than that, and
-// leave room for what comes meanwhile.
+// backlog lists the demands that need a scale-out. Batch tasks are left out where running tasks end, before a machine
+// requested now would be up, and free more room than newly arriving batch work will take in that time.
 func (s *autoscaler) backlog() []*scheduler.Demand {
 	used := s.teamUse()
 	ds := append(append(s.spreading.withoutHeld(s.demands()), s.hintedDemands()...), s.soonReady()...)
 	scheduler.Order(ds)
-	ending := s.expectedRelease() - s.expectedArrivals()
+	freed := s.expectedFreedSize() - s.expectedArrivalSize()
 	for _, d := range ds {
-		if size := d.Measure.Of(d.Each); d.Rank > 0 && !d.Service && size > 0 && ending > 0 {
-			n := min(int(ending/size), len(d.Tasks))
-			ending -= float64(n) * size
+		if size := d.Measure.Of(d.Each); d.Rank > 0 && !d.Service && size > 0 && freed > 0 {
+			n := min(int(freed/size), len(d.Tasks))
+			freed -= float64(n) * size
 			d.Tasks = d.Tasks[n:]
 		}
 		d.RoomInTeam = s.roomInTeam(d, used)
-		d.Gang = false // request only what is missing
+		d.Gang = false // request machines only for the missing tasks
 		used[d.Team] = used[d.Team].Add(d.Each, float64(min(len(d.Tasks), d.RoomInTeam)))
 	}
 	return append(ds, s.failures.replacements()...)
 }
 
-// expectedArrivals estimates the size of the batch work that comes before a machine requested
-// now would be up: it needs the room that comes free as much as what waits already.
-func (s *autoscaler) expectedArrivals() float64 {
+// expectedArrivalSize estimates the size of the batch work that arrives before a machine requested now would be up: it
+// needs the freed room as much as the pending work does.
+func (s *autoscaler) expectedArrivalSize() float64 {
 	size := 0.0
 	for _, a := range s.arrivals {
-		if p := s.peaks[a.class]; p != nil && p.spec.Kind != wire.KindService && s.c.now.Sub(a.at) < surgeWindow {
+		if p := s.peaks[a.class]; p != nil && p.spec.Kind != wire.KindService && s.c.now.Sub(a.at) < arrivalWindow {
 			size += float64(a.tasks) * s.c.measure.Of(jobEach(&p.spec))
 		}
 	}
-	return size * s.shortestBoot() / surgeWindow.Seconds()
+	return size * s.shortestBootS() / arrivalWindow.Seconds()
 }
 
-// shortestBoot is how many seconds any machine takes to boot at least.
-func (s *autoscaler) shortestBoot() float64 { return s.c.soonestBoot(&wire.Job{}) }
+// shortestBootS is the boot time of the machine type that boots fastest, in seconds.
+func (s *autoscaler) shortestBootS() float64 { return s.c.soonestBoot(&wire.Job{}) }
 
-// expectedRelease estimates the size of what running batch tasks give back before a
-// machine requested now would be up.
-func (s *autoscaler) expectedRelease() float64 {
-	boot := s.shortestBoot()
-	room := 0.0
+// expectedFreedSize estimates the size of the room that running batch tasks free before a machine requested now would
+// be up.
+func (s *autoscaler) expectedFreedSize() float64 {
+	boot := s.shortestBootS()
+	freed := 0.0
 	for _, j := range s.order {
 		if j.spec.Kind == wire.KindService {
 			continue
 		}
 		for _, a := range j.attempts {
 			if a.phase == attemptRunning && j.spec.EstimateS-s.c.now.Sub(a.since).Seconds() < boot {
-				room += s.c.measure.Of(jobEach(&j.spec))
+				freed += s.c.measure.Of(jobEach(&j.spec))
 			}
 		}
 	}
-	return room
+	return freed
 }
--- a/controller/cloud_listing.go
+++ b/controller/cloud_listing.go
@@ -10,9 +10,10 @@
 	"pumicefront/wire"
 )
 
-// What the cloud tells of machine types and machines.
+// Machine types and machines, as the cloud lists them.
 
-// refreshTypes learns the machine types and hands them to the other controllers.
+// refreshTypes reads the machine types. It writes them to the state service for the other controllers if they were
+// unknown to this controller or are not stored yet.
 func (s *autoscaler) refreshTypes() {
 	if s.typesInFlight || !s.typesAt.IsZero() && s.c.now.Sub(s.typesAt) < typesInterval {
 		return
@@ -33,19 +34,19 @@
 	})
 }
 
-// refreshList reads the cloud's list. It is late and may go back: it only adds
-// machines that we don't know and shows failed ones; it never proves one gone.
+// refreshList reads the cloud's list. The list lags and may go back in time: it is used only to add unknown machines
+// and to find failed ones; it never proves that a machine has ended.
 func (s *autoscaler) refreshList() {
 	every := config.Seconds(math.Max(3, s.c.cfg.Facts.Cloud.ListLagS/2))
 	if s.listInFlight || s.c.now.Sub(s.listedAt) < every {
 		return
 	}
 	s.listedAt = s.c.now
-	s.listPage("")
+	s.requestListPage("")
 }
 
-func (s *autoscaler) listPage(after string) {
-	asked := s.c.now
+func (s *autoscaler) requestListPage(after string) {
+	requestedAt := s.c.now
 	s.listInFlight = s.callCloud(CloudCall{Op: CloudList, After: after}, func(r CloudReply) {
 		s.listInFlight = false
 		if r.Status != http.StatusOK {
@@ -54,27 +55,26 @@
 		for _, m := range r.Page.Machines {
 			s.listed(m)
 		}
-		s.unlisted(after, r.Page, asked)
+		s.handleUnlisted(after, r.Page, requestedAt)
 		if n := len(r.Page.Machines); r.Page.More && n > 0 {
-			s.listPage(r.Page.Machines[n-1].ID)
+			s.requestListPage(r.Page.Machines[n-1].ID)
 		}
 	})
 }
 
-// unlisted handles the machines that a page leaves out. The list is late by up to
-// twice its lag, and a machine stays listed until it is gone: one that was listed or
-// requested longer ago than that, and is not listed, is gone. Its silence would tell that
-// only after a report's time; and a new leader, who finds it in the record of an instance request
-// of long ago, would take it for one that boots. It is no proof: it is released.
-func (s *autoscaler) unlisted(after string, page wire.MachinePage, asked time.Time) {
-	there := map[string]bool{}
+// handleUnlisted handles the machines that a page of the list leaves out. The list is late by up to twice its lag, and a
+// machine stays listed until it has ended: one that was listed or requested longer ago than that, and is not listed, has
+// ended. Its silence would show that only after a report interval; and a new leader that finds it in the record of an
+// old instance request would take it for a booting machine. The list is no proof, so the machine is released.
+func (s *autoscaler) handleUnlisted(after string, page wire.MachinePage, requestedAt time.Time) {
+	present := map[string]bool{}
 	last := after
 	for _, it := range page.Machines {
-		there[it.ID], last = true, it.ID
+		present[it.ID], last = true, it.ID
 	}
-	known := asked.Add(-config.Seconds(2*s.c.cfg.Facts.Cloud.ListLagS) - time.Second)
+	cutoff := requestedAt.Add(-config.Seconds(2*s.c.cfg.Facts.Cloud.ListLagS) - time.Second)
 	for _, m := range s.fleetOrder {
-		if m.id > after && (m.id <= last || !page.More) && !there[m.id] && !m.listed.IsZero() && m.listed.Before(known) {
+		if m.id > after && (m.id <= last || !page.More) && !present[m.id] && !m.listed.IsZero() && m.listed.Before(cutoff) {
 			s.release(m, releaseUnlisted)
 		}
 	}
@@ -98,7 +98,7 @@
 		m.listed = s.c.now
 	}
 	if !m.up && it.State == wire.MachineRunning && it.Addr != "" && m.addr != it.Addr {
-		s.probe(it.ID, it.Addr) // once; what has died does not answer
+		s.probe(it.ID, it.Addr) // once; a machine that has failed does not answer
 	}
 	if !m.up {
 		m.typ, m.zone, m.spot, m.addr = it.Type, it.Zone, it.Spot, it.Addr
--- a/controller/consolidation.go
+++ b/controller/consolidation.go
@@ -9,21 +9,21 @@
 	"pumicefront/wire"
 )
 
-// Consolidation: few replicas on a dear machine move to others, and it is released.
+// Consolidation: the few replicas on an expensive machine are moved to other machines, and it is released.
 
-// consolidateEvery is how often a machine is looked for whose replicas have room elsewhere.
-const consolidateEvery = 2 * time.Second
+// consolidationInterval is the interval between checks for a machine whose replicas have room elsewhere.
+const consolidationInterval = 2 * time.Second
 
-// settledFor is how long a replica must have run before it may be moved: a start
-// that is stopped sooner was none.
-const settledFor = 60 * time.Second
+// minReplicaRuntime is how long a replica must have run before it may be moved: a start that is stopped sooner does not
+// count as one.
+const minReplicaRuntime = 60 * time.Second
 
-// consolidate empties the machine whose money is spent on fewest replicas, when all of
-// them have room on machines that are in use anyway and have their images, and
-// nothing else has use for the machine. A move costs its user a fraction of a second.
+// consolidate empties the machine with the highest cost per replica, if all its replicas have room on machines that are
+// in use anyway and have their images, and nothing else needs the machine. A move interrupts a replica for a fraction
+// of a second.
 func (s *autoscaler) consolidate() {
-	troubled := s.zones.recovering() || s.partitions.any() || s.spreading.moving()
-	if s.spreading.keepsIdle() || s.c.now.Sub(s.consolidatedAt) < consolidateEvery || troubled || !s.c.now.Before(s.authority) {
+	suspended := s.zones.recovering() || s.partitions.any() || s.spreading.moving()
+	if s.spreading.keepsIdleMachines() || s.c.now.Sub(s.consolidatedAt) < consolidationInterval || suspended || !s.c.now.Before(s.authority) {
 		return
 	}
 	s.consolidatedAt = s.c.now
@@ -31,7 +31,7 @@
 	if slices.ContainsFunc(waiting, func(d *scheduler.Demand) bool { return len(d.Tasks) > 0 }) {
 		return
 	}
-	best := s.dearestMovable()
+	best := s.costliestConsolidatable()
 	if best == nil {
 		return
 	}
@@ -47,30 +47,30 @@
 	s.wantPlacement()
 }
 
-// dearestMovable is the movable machine whose money is spent on fewest replicas, the first by name
-// of those alike; nil if none is movable.
-func (s *autoscaler) dearestMovable() *machine {
+// costliestConsolidatable is the consolidatable machine with the highest cost per replica, the first by name of equal
+// ones; nil if there is none.
+func (s *autoscaler) costliestConsolidatable() *machine {
 	var best *machine
-	worth := func(m *machine) float64 { return s.price(m) / float64(len(m.list)) }
+	costPerReplica := func(m *machine) float64 { return s.price(m) / float64(len(m.list)) }
 	for _, m := range s.fleetOrder {
-		if s.movable(m) && (best == nil || worth(m) > worth(best)) {
+		if s.consolidatable(m) && (best == nil || costPerReplica(m) > costPerReplica(best)) {
 			best = m
 		}
 	}
 	return best
 }
 
-// movable reports whether all that a machine runs is replicas that have settled, on
-// no more than half of it, and that a cheaper type would have done for. Where there is
-// none, what is free beside them is room for the next, and moving them only costs it,
-// unless a machine boots in time for the next.
-func (s *autoscaler) movable(m *machine) bool {
-	if !s.usable(m) || len(m.list) == 0 || len(m.unknownAttempts) > 0 || s.c.now.Sub(m.immovableAt) < settledFor {
+// consolidatable reports whether a machine runs nothing but replicas that have run for minReplicaRuntime, that take no
+// more than half of it, and that a cheaper type would suffice for. Where no cheaper type exists, the free room beside a
+// replica is room for the next one, and moving the replica only costs that room, unless a machine boots in time for
+// the next replica.
+func (s *autoscaler) consolidatable(m *machine) bool {
+	if !s.usable(m) || len(m.list) == 0 || len(m.unknownAttempts) > 0 || s.c.now.Sub(m.immovableAt) < minReplicaRuntime {
 		return false
 	}
 	used := 0.0
 	for _, a := range m.list {
-		if a.job.spec.Kind != wire.KindService || a.phase < attemptRunning || a.stopping || s.c.now.Sub(a.since) < settledFor ||
+		if a.job.spec.Kind != wire.KindService || a.phase < attemptRunning || a.stopping || s.c.now.Sub(a.since) < minReplicaRuntime ||
 			!s.fitsCheaper(&a.job.spec, m) && s.headroomShare(&a.job.spec) > 0 {
 			return false
 		}
@@ -79,15 +79,15 @@
 	return 2*used <= s.c.measure.Of(capOf(s.c.types[m.typ]))
 }
 
-// fitsCheaper reports whether a task could run on a type that costs less than a machine.
+// fitsCheaper reports whether a task of a job could run on a machine type that costs less than that of a machine.
 func (s *autoscaler) fitsCheaper(j *wire.Job, m *machine) bool {
 	return slices.ContainsFunc(s.c.typesFor(j), func(t wire.MachineType) bool {
 		return t.Price < s.c.types[m.typ].Price && capOf(t).Fits(jobEach(j)) > 0
 	})
 }
 
-// fitsElsewhere reports whether the others have room for what a machine runs, where its
-// images are, and for all that room is kept for.
+// fitsElsewhere reports whether the other machines in use that have the images have room for all that a machine runs,
+// and whether all headroom still has room without the machine.
 func (s *autoscaler) fitsElsewhere(m *machine) bool {
 	machines := slices.DeleteFunc(s.view(true), func(o *scheduler.Machine) bool { return o.ID == m.id })
 	moved := map[*job][]*attempt{}
@@ -98,20 +98,20 @@
 		return o.Virtual || len(s.machines[o.ID].list) == 0
 	})
 	for _, j := range s.order {
-		as := moved[j]
-		if len(as) == 0 {
+		movedAttempts := moved[j]
+		if len(movedAttempts) == 0 {
 			continue
 		}
 		d := s.c.demandOf(&j.spec)
 		for _, a := range j.attempts {
 			d.InZone[a.machine.zone]++
 		}
-		for _, a := range as {
+		for _, a := range movedAttempts {
 			d.InZone[m.zone]--
 			d.Tasks = append(d.Tasks, a.task)
 		}
-		d.RoomInTeam, d.CachedOnly = len(as), true
-		if len(scheduler.Place(inUse, d)) < len(as) {
+		d.RoomInTeam, d.CachedOnly = len(movedAttempts), true
+		if len(scheduler.Place(inUse, d)) < len(movedAttempts) {
 			return false
 		}
 	}
--- a/controller/consolidation_test.go
+++ b/controller/consolidation_test.go
@@ -9,24 +9,24 @@
 	"pumicefront/wire"
 )
 
-// Replicas that are left over on many dear machines move together, one machine at a
-// time, when they have settled and have room where their image is; never otherwise.
+// Few replicas left over on each of several expensive machines are moved together, one machine at a time, once they
+// have run long enough and have room where their image is; never otherwise.
 func TestConsolidationEmptiesOneMachine(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		ran     time.Duration
 		cached  bool
 		batch   bool
-		cheaper float64 // what another type costs
-		within  float64 // the objective on starting, where a machine boots in 10 s
+		cheaper float64 // price of the other machine type
+		within  float64 // the start objective, where a machine boots in 10 s
 		emptied int
 	}{
 		{"room elsewhere", 2 * time.Minute, true, false, 0.5, 2, 1},
-		{"just started", time.Second, true, false, 0.5, 2, 0},
+		{"started recently", time.Second, true, false, 0.5, 2, 0},
 		{"image elsewhere missing", 2 * time.Minute, false, false, 0.5, 2, 0},
-		{"batch work beside it", 2 * time.Minute, true, true, 0.5, 2, 0},
+		{"batch work on it", 2 * time.Minute, true, true, 0.5, 2, 0},
 		{"no type is cheaper", 2 * time.Minute, true, false, 1.5, 2, 0},
-		{"none is, and one boots in time", 2 * time.Minute, true, false, 1.5, 20, 1},
+		{"no type is cheaper, but one boots in time", 2 * time.Minute, true, false, 1.5, 20, 1},
 	} {
 		core, l, _ := leading(t)
 		core.types["t"] = wire.MachineType{Name: "t", CPUs: 8, Price: 1, BootS: 10}
--- a/controller/demand_hints.go
+++ b/controller/demand_hints.go
@@ -10,29 +10,29 @@
 	"pumicefront/wire"
 )
 
-// A submission that is rejected for now, since the state service takes no more changes for the
-// moment, comes again in a second or two. When many come at once this goes on for
-// long, and a machine takes longer to boot: so the leader is told of such jobs and
-// scales out for them before they are accepted. Nothing else follows from it.
+// Demand hints. While the state service can take no more changes, submissions are rejected, and each is retried after
+// a second or two. When many arrive at once this goes on for long, and a machine takes longer to boot than one retry
+// takes. So rejected jobs are reported to the leader, which scales out for them, and keeps room for services among
+// them, before they are accepted. A hint has no other effect.
 
 const (
 	demandHintInterval = 200 * time.Millisecond
-	demandHintLifetime = 5 * time.Second // one that doesn't come again is forgotten
-	demandHintBytes    = 256 << 10       // bytes told at once; what is left out comes again
+	demandHintLifetime = 5 * time.Second // a hint that is not repeated expires
+	maxDemandHintBytes = 256 << 10       // size of one message; jobs left out are sent when they are submitted again
 )
 
-// demandHint is a rejected submission, and when it came last.
+// demandHint is a rejected submission, and when it was last seen.
 type demandHint struct {
 	spec *wire.Job
 	at   time.Time
 }
 
-// rejectSubmission refuses a submission for now and has the leader told of it.
+// rejectSubmission rejects a submission for now, and schedules a demand hint to the leader.
 func (c *Core) rejectSubmission(r UserRequest, job *wire.Job) {
 	if len(c.rejected) == 0 {
 		c.after(demandHintInterval, c.sendDemandHints)
 	}
-	if len(job.Needs) == 0 { // what waits for others wants no room yet
+	if len(job.Needs) == 0 { // a job that depends on others needs no room yet
 		c.rejected[job.ID] = job
 	}
 	c.retryLater(r.Req, "too many submissions")
@@ -47,7 +47,7 @@
 			continue
 		}
 		raw := wire.Marshal(c.rejected[id])
-		if size += len(raw); size > demandHintBytes {
+		if size += len(raw); size > maxDemandHintBytes {
 			break
 		}
 		jobs = append(jobs, raw)
@@ -58,14 +58,14 @@
 	}
 }
 
-// noteDemandHint notes, as leader, that a submission was rejected.
+// noteDemandHint records on the leader that a submission was rejected.
 func (c *Core) noteDemandHint(j *wire.Job) {
 	if c.lead != nil {
 		c.lead.autoscaler.demandHints[j.ID] = demandHint{j, c.now}
 	}
 }
 
-// hintedDemands lists what rejected submissions will want.
+// hintedDemands lists the demands of rejected submissions, and drops hints that are accepted or expired.
 func (s *autoscaler) hintedDemands() []*scheduler.Demand {
 	var ds []*scheduler.Demand
 	for _, id := range slices.Sorted(maps.Keys(s.demandHints)) {
@@ -81,9 +81,9 @@
 	return ds
 }
 
-// reserveForHinted takes the room that rejected services will want off the view of
-// the machines: lower work that is placed there would be stopped for them at once.
-func (s *autoscaler) reserveForHinted(machines []*scheduler.Machine) {
+// reserveForHintedServices takes the room that rejected services will need off the view of the machines: lower-priority
+// work placed there would be preempted for them at once.
+func (s *autoscaler) reserveForHintedServices(machines []*scheduler.Machine) {
 	for _, d := range s.hintedDemands() {
 		if d.Service {
 			d.RoomInTeam = len(d.Tasks)
--- a/controller/demands.go
+++ b/controller/demands.go
@@ -9,9 +9,9 @@
 	"pumicefront/wire"
 )
 
-// Demands: what the ready tasks of each job want, and how much they press.
+// Demands: what the ready tasks of each job need, and how urgent they are.
 
-// demands lists the frontiers of all jobs.
+// demands lists the ready tasks of all jobs, one demand for each job.
 func (l *leader) demands() []*scheduler.Demand {
 	var ds []*scheduler.Demand
 	l.assignGuarantees()
@@ -33,14 +33,14 @@
 		if len(d.Tasks) == 0 {
 			continue
 		}
-		if d.SpreadImages = l.fetchMatters(&j.spec); d.SpreadImages || d.Service {
+		if d.SpreadImages = l.fetchMissesStartObjective(&j.spec); d.SpreadImages || d.Service {
 			d.OtherClasses = l.otherClasses(d.Class)
 		}
-		d.WaitForBooting = d.Service && !j.begun && l.c.now.Sub(j.ready).Seconds() > l.startAim(&j.spec)
+		d.WaitForBooting = d.Service && !j.begun && l.c.now.Sub(j.ready).Seconds() > l.startObjectiveS(&j.spec)
 		d.WithinGuarantee, d.AgeS, d.Avoid = !j.terms.Borrowed, l.c.now.Sub(j.ready).Seconds(), j.avoid
-		d.Late, d.WorkS = j.missed(l.c.cfg.Facts.Objectives, l.c.now), j.workLeft(l.c.measure)
+		d.Late, d.WorkS = j.missedObjectives(l.c.cfg.Facts.Objectives, l.c.now), j.workLeft(l.c.measure)
 		d.KeepOffSpot = d.Spot && j.delaysChain(l.c.chains)
-		d.Begun, d.Aged = j.begun, j.waited(l.c.now) && j.origin == nil
+		d.Begun, d.Aged = j.begun, j.hasAged(l.c.now) && j.origin == nil
 		for _, a := range j.attempts {
 			d.InZone[a.machine.zone]++
 		}
@@ -49,47 +49,46 @@
 	return ds
 }
 
-// delaysChain reports whether a lost task of a job delays others with a deadline, or uses up
-// what earlier ones have left of it.
+// delaysChain reports whether a lost task of a job delays other jobs of a chain with a deadline, or takes from the time
+// that earlier jobs of the chain have left.
 func (j *job) delaysChain(chains *reduction.DynamicGraph) bool {
 	return j.due.last != nil && (len(j.spec.Needs) > 0 || len(chains.Successors(j.id)) > 0)
 }
 
-// Waiting wins over every other order after these ages. The largest jobs must
-// begin within four minutes, and smaller ones never stop coming.
+// Ages beyond which a waiting job is placed before all others. Even the largest jobs must begin within four minutes,
+// although smaller ones never stop arriving.
 const (
-	beginAfter = 80 * time.Second  // nothing of the job has run
-	serveAfter = 120 * time.Second // not all of it has
+	unstartedAgingAfter  = 80 * time.Second  // no task of the job has run
+	unfinishedAgingAfter = 120 * time.Second // not all of its tasks have run
 )
 
-// reserveShare is the part of all machines that may be taken by what has waited.
-const reserveShare = 1.0 / 8
+// agingReserveShare is the share of all machines that aged jobs may take.
+const agingReserveShare = 1.0 / 8
 
-// waited reports whether a job has waited long enough to come before every other order.
-func (j *job) waited(now time.Time) bool {
+// hasAged reports whether a job has waited long enough to be placed before all others.
+func (j *job) hasAged(now time.Time) bool {
 	age := now.Sub(j.ready)
-	return !j.begun && age > beginAfter || age > serveAfter
+	return !j.begun && age > unstartedAgingAfter || age > unfinishedAgingAfter
 }
 
-// reserve is the size of what is left of that.
-func (l *leader) reserve(machines []*scheduler.Machine) float64 {
+// agingReserve is the size of the agingReserveShare that is not taken yet by running tasks of old batch jobs.
+func (l *leader) agingReserve(machines []*scheduler.Machine) float64 {
 	left := 0.0
 	for _, m := range machines {
-		left += l.c.measure.Of(m.Cap) * reserveShare
+		left += l.c.measure.Of(m.Cap) * agingReserveShare
 	}
 	for _, j := range l.order {
-		if l.c.now.Sub(j.ready) > serveAfter && j.spec.Kind != wire.KindService {
+		if l.c.now.Sub(j.ready) > unfinishedAgingAfter && j.spec.Kind != wire.KindService {
 			left -= float64(len(j.attempts)) * l.c.measure.Of(jobEach(&j.spec))
 		}
 	}
 	return max(left, 0)
 }
 
-// missed counts the service-level objectives on finishing that a job can't meet any more. One
-// that has waited out several times the last of them, or has lost work to a failure, is not
-// passed over.
-func (j *job) missed(objectives []config.Objective, now time.Time) int {
-	n, over := 0, 0.0 // by how many times the age exceeds the last of them
+// missedObjectives counts the objectives on finishing that a job can't meet any more. It is 0 for a job that has lost
+// work to a failure, or whose age exceeds each of these objectives more than fourfold, so that it is not passed over.
+func (j *job) missedObjectives(objectives []config.Objective, now time.Time) int {
+	n, overrun := 0, 0.0 // smallest ratio of the age to an objective
 	for _, o := range objectives {
 		within, age, applies := j.finishObjective(o, now)
 		if !applies {
@@ -98,18 +97,18 @@
 		if age+j.spec.EstimateS > within {
 			n++
 		}
-		if within > 0 && (over == 0 || age/within < over) {
-			over = age / within
+		if within > 0 && (overrun == 0 || age/within < overrun) {
+			overrun = age / within
 		}
 	}
-	if j.disrupted || over > 4 {
+	if j.disrupted || overrun > 4 {
 		return 0
 	}
 	return n
 }
 
-// finishObjective returns within how many seconds an objective wants a job finished, how much of
-// that has passed by now, and whether it is about the job's finishing at all.
+// finishObjective returns within how many seconds an objective wants a job finished, how many of them have passed by
+// now, and whether the objective is about the job's finishing at all.
 func (j *job) finishObjective(o config.Objective, now time.Time) (within, age float64, applies bool) {
 	switch {
 	case o.Kind == "deadline" && j.due.last != nil && o.Class == j.due.last.Class:
@@ -120,13 +119,13 @@
 	return 0, 0, false
 }
 
-// workLeft estimates what is left of a job: the sizes of its tasks times seconds.
+// workLeft estimates the work left of a job: the size of its unfinished tasks times the estimated seconds.
 func (j *job) workLeft(m scheduler.Measure) float64 { return j.sizeLeft(m) * j.spec.EstimateS }
 
-// sizeLeft is the size of the tasks that a job has left.
+// sizeLeft is the total size of a job's unfinished tasks.
 func (j *job) sizeLeft(m scheduler.Measure) float64 {
 	return float64(j.tasksLeft()) * m.Of(jobEach(&j.spec))
 }
 
-// tasksLeft is how many tasks are not done.
+// tasksLeft is the number of a job's unfinished tasks.
 func (j *job) tasksLeft() int { return j.spec.Tasks - j.state.Count(reduction.Completed) }
--- a/controller/draining.go
+++ b/controller/draining.go
@@ -2,23 +2,22 @@
 
 import "pumicefront/wire"
 
-// Machines that the cloud will take away.
+// Draining: machines that the cloud will take away.
 
-// drain moves off a machine that will be taken all that loses nothing, can save, or
-// can't be expected to end in the seconds that are left: it begins again elsewhere
-// that much sooner.
-func (l *leader) drain(m *machine, left float64) {
+// drain stops those tasks on a machine that will be taken that lose nothing by it (services), can save a checkpoint, or
+// can't be expected to end within the seconds left: they start again elsewhere that much sooner.
+func (l *leader) drain(m *machine, leftS float64) {
 	for _, a := range m.list {
 		j := &a.job.spec
-		if j.Kind == wire.KindService || j.CheckpointS > 0 || l.remaining(a) > left {
+		if j.Kind == wire.KindService || j.CheckpointS > 0 || l.remaining(a) > leftS {
 			l.stop(a, graceOf(j))
 		}
 	}
 	l.wantPlacement()
 }
 
-// remaining estimates for how many seconds an attempt will go on. One that runs for
-// longer than its owner thought may do so for a while.
+// remaining estimates for how many more seconds an attempt will run. It is at least a quarter of the time run so far: a
+// task that exceeds its owner's estimate may do so for a while.
 func (l *leader) remaining(a *attempt) float64 {
 	if a.phase < attemptRunning {
 		return a.job.spec.EstimateS
@@ -27,7 +26,7 @@
 	return max(a.job.spec.EstimateS-ran, ran/4)
 }
 
-// graceOf is the time that a stopped task gets to save.
+// graceOf is the time in seconds that a stopped task gets to save.
 func graceOf(j *wire.Job) float64 {
 	if j.CheckpointS == 0 {
 		return 0
--- a/controller/headroom.go
+++ b/controller/headroom.go
@@ -11,20 +11,20 @@
 	"pumicefront/wire"
 )
 
-// Headroom: machines kept ready beyond what runs, from what came lately.
+// Headroom: machines kept ready beyond the current use, sized by recent demand.
 
-// peak is how much of a class was wanted lately.
+// peak is the recent peak demand of a class, in tasks; it decays with peakHalfLife.
 type peak struct {
 	spec  wire.Job
 	tasks float64
 	at    time.Time
 }
 
-// headroom asks for room beyond what runs, class by class: the more, the longer
-// a machine takes to boot against what the class's service-level objectives allow, but no more
-// than may be missing before a machine that is requested now is up.
+// headroom lists demands for room beyond the current use, one for each class. The longer a machine takes to boot
+// compared to the class's service-level objectives, the more headroom; but no more than may be missing before a machine
+// requested now would be up.
 func (s *autoscaler) headroom() []*scheduler.Demand {
-	s.trackPeaks()
+	s.updatePeaks()
 	var ds []*scheduler.Demand
 	for _, class := range slices.Sorted(maps.Keys(s.peaks)) {
 		p := s.peaks[class]
@@ -41,62 +41,61 @@
 	return ds
 }
 
-func (s *autoscaler) trackPeaks() {
-	now := map[string]float64{}
+func (s *autoscaler) updatePeaks() {
+	current := map[string]float64{}
 	for _, j := range s.order {
 		if j.cancelled || s.blocked(j) || j.grant != nil || j.origin != nil {
 			continue
 		}
 		class := j.spec.Class
-		now[class] += float64(j.state.Count(reduction.Pending) + j.state.Count(reduction.Running))
+		current[class] += float64(j.state.Count(reduction.Pending) + j.state.Count(reduction.Running))
 		if s.peaks[class] == nil {
 			s.peaks[class] = &peak{spec: j.spec, at: s.c.now}
 		}
 	}
 	for class, p := range s.peaks {
 		p.tasks *= math.Exp2(-s.c.now.Sub(p.at).Seconds() / peakHalfLife)
-		p.tasks, p.at = math.Max(p.tasks, now[class]), s.c.now
+		p.tasks, p.at = math.Max(p.tasks, current[class]), s.c.now
 		if p.tasks < 0.5 {
 			delete(s.peaks, class)
 		}
 	}
 }
 
-// surgeWindow is over how long arrivals are counted.
-const surgeWindow = 90 * time.Second
+// arrivalWindow is the period over which arrivals are counted.
+const arrivalWindow = 90 * time.Second
 
-// arrival is a job that came lately.
+// arrival is a recently arrived job.
 type arrival struct {
 	class string
 	tasks int
 	at    time.Time
 }
 
-// arrived notes a job that is ready.
+// arrived records that a job has become ready.
 func (s *autoscaler) arrived(j *job) {
 	s.arrivals = append(s.arrivals, arrival{j.spec.Class, j.spec.Tasks, j.ready})
 }
 
-// surge is by how many tasks the arrivals of a class may exceed their mean while
-// a machine boots. Jobs come one by one and bring all their tasks at once, so the
-// variance is that of the sum of their sizes: many small jobs need far less room
-// in proportion than few large ones.
+// surge estimates by how many tasks the arrivals of a class may exceed their mean while a machine boots. Jobs arrive
+// one by one, each with all its tasks, so the variance is that of the sum of their sizes: many small jobs need far less
+// room in proportion than a few large ones.
 func (s *autoscaler) surge(j *wire.Job) float64 {
-	s.arrivals = slices.DeleteFunc(s.arrivals, func(a arrival) bool { return s.c.now.Sub(a.at) > surgeWindow })
-	boot, squares := 0.0, 0.0
+	s.arrivals = slices.DeleteFunc(s.arrivals, func(a arrival) bool { return s.c.now.Sub(a.at) > arrivalWindow })
+	boot, sumOfSquares := 0.0, 0.0
 	for _, t := range s.c.types {
 		boot = math.Max(boot, t.BootS)
 	}
 	for _, a := range s.arrivals {
 		if a.class == j.Class {
-			squares += float64(a.tasks) * float64(a.tasks)
+			sumOfSquares += float64(a.tasks) * float64(a.tasks)
 		}
 	}
 	deviations := s.c.op.Surge
 	if j.Kind != wire.KindService {
 		deviations = s.c.op.SurgeBatch
 	}
-	return deviations * math.Sqrt(squares*boot/surgeWindow.Seconds())
+	return deviations * math.Sqrt(sumOfSquares*boot/arrivalWindow.Seconds())
 }
 
 // typesFor lists the machine types that a job may use.
@@ -110,7 +109,7 @@
 	return ts
 }
 
-// soonestBoot is how many seconds a machine that a job may use takes to boot at least.
+// soonestBoot is the shortest boot time of the machine types that a job may use, in seconds; infinite if there is none.
 func (c *Core) soonestBoot(j *wire.Job) float64 {
 	boot := math.Inf(1)
 	for _, t := range c.typesFor(j) {
@@ -119,11 +118,11 @@
 	return boot
 }
 
-// headroomShare weighs boot time against the tightest service-level objective on starting: where
-// a machine can be requested in time, no room need be kept.
+// headroomShare is the share of a class's peak to keep as headroom. It grows with the boot time relative to the
+// tightest start objective; where a machine that is requested on demand boots in time, it is 0.
 func (s *autoscaler) headroomShare(j *wire.Job) float64 {
 	boot := s.c.soonestBoot(j)
-	within := s.startAim(j)
+	within := s.startObjectiveS(j)
 	if math.IsInf(boot, 1) || math.IsInf(within, 1) {
 		return 0
 	}
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -8,25 +8,25 @@
 	"pumicefront/config"
 )
 
-// Faults of the network as the failure detector sees them: many machines that fall silent at once
-// speak for a fault on the way to them, not on the machines.
+// Network partitions as the failure detector sees them: many machines that fall silent at once indicate a fault on the
+// network path to them, not on the machines.
 
-// allZones stands for all machines where something is kept by zone.
+// allZones is the key that stands for all machines in maps by zone.
 const allZones = ""
 
-// partitions are the faults of the network that a leader sees, by zone.
+// partitions are the network partitions that a leader suspects, by zone.
 type partitions struct {
-	active   map[string]bool      // now
-	lastSeen map[string]time.Time // when each was seen last
+	active   map[string]bool      // suspected now
+	lastSeen map[string]time.Time // when each was last suspected
 }
 
-// any reports whether there is one.
+// any reports whether any partition is suspected now.
 func (p *partitions) any() bool { return slices.Contains(slices.Collect(maps.Values(p.active)), true) }
 
-// silentMachines counts machines by zone, and all of them under allZones.
+// silentMachines counts all machines and the silent ones by zone, and in total under allZones.
 type silentMachines struct{ all, silent map[string]int }
 
-// countSilent counts the machines that are overdue or don't answer.
+// countSilent counts the machines whose heartbeat is overdue or that don't answer.
 func (f *failureDetector) countSilent() silentMachines {
 	count := silentMachines{map[string]int{}, map[string]int{}}
 	for _, m := range f.machines {
@@ -43,9 +43,9 @@
 	return count
 }
 
-// observe finds the zones of which most machines are silent, and allZones where a
-// quarter of all is: that speaks for a fault on the way to us, not on the
-// machines. They are left their leases, and come back with what they ran.
+// observe finds the zones in which most machines are silent, and allZones where more than a quarter of all machines is:
+// that indicates a fault on the network path to the leader, not on the machines. Such machines keep their leases, and
+// return with the tasks that they ran.
 func (p *partitions) observe(now time.Time, count silentMachines) {
 	all, silent := count.all, count.silent
 	p.active = map[string]bool{allZones: silent[allZones] > max(1, all[allZones]/4)}
@@ -54,25 +54,25 @@
 			p.active[zone] = n > 1 && 2*n > all[zone]
 		}
 	}
-	for zone, is := range p.active {
-		// A quarter of all may well have died or hang: they are waited for only where
-		// their zone is cut, or most do not answer.
-		if is && (zone != allZones || 2*silent[allZones] > all[allZones]) {
+	for zone, active := range p.active {
+		// A quarter of all machines may well have failed or hang: they are waited for only where
+		// their zone is cut off, or where most of all machines are silent.
+		if active && (zone != allZones || 2*silent[allZones] > all[allZones]) {
 			p.lastSeen[zone] = now
 		}
 	}
 }
 
-// unheardZones lists the zones, and allZones for all machines, of which far too few have been
-// heard in the last moments. Where all fall silent at once, those that were due
-// first are suspected before a quarter of all is late: a leader that has just lost
-// its way to the workers would release them.
+// unheardZones lists the zones, and allZones for all machines, from which far too few heartbeats have arrived in the
+// latest part of a heartbeat interval. Where all machines fall silent at once, those that were due first are suspected
+// before a quarter of all is overdue: without this check, a leader that has just lost its connection to the workers
+// would release those machines.
 func (f *failureDetector) unheardZones() map[string]bool {
 	const (
-		part  = 4 // of the time between two heartbeats
-		least = 2 // heartbeats that must have been due
+		windowsPerInterval = 4 // the window is one heartbeat interval divided by this
+		minDue             = 2 // heartbeats that must have been due in the window
 	)
-	window := config.Seconds(f.c.cfg.Facts.Workers.ReportS / part)
+	window := config.Seconds(f.c.cfg.Facts.Workers.ReportS / windowsPerInterval)
 	all, heard := map[string]int{}, map[string]int{}
 	for _, m := range f.machines {
 		if !m.up {
@@ -87,7 +87,7 @@
 	}
 	unheard := map[string]bool{}
 	for zone, n := range all {
-		unheard[zone] = n >= least*part && 3*heard[zone] < n/part
+		unheard[zone] = n >= minDue*windowsPerInterval && 3*heard[zone] < n/windowsPerInterval
 	}
 	return unheard
 }
--- a/controller/placement.go
+++ b/controller/placement.go
@@ -8,27 +8,27 @@
 	"pumicefront/scheduler"
 )
 
-// Rounds of placement: what is ready is ordered, placed class by class, and makes room by
-// preemption where it may.
+// Placement rounds: the ready tasks are ordered and placed demand by demand. Where the rules allow it, running tasks
+// are preempted to make room.
 
-// roundPause gathers what happens close together into one round of placement.
-const roundPause = 5 * time.Millisecond
+// placementDelay is how long a round is delayed after it is wanted, so that events close together share one round.
+const placementDelay = 5 * time.Millisecond
 
-// roundPerMachine is added to that: a round's cost grows with the machines, and
-// the processor is also there for the reports of all of them.
-const roundPerMachine = 40 * time.Microsecond
+// placementDelayPerMachine is added to placementDelay for each machine: the cost of a round grows with the fleet, and
+// the same processor also handles the reports of all machines.
+const placementDelayPerMachine = 40 * time.Microsecond
 
-// wantPlacement asks for a round soon.
+// wantPlacement schedules a placement round, unless one is scheduled already.
 func (l *leader) wantPlacement() {
 	if l.placeAt.IsZero() {
-		pause := roundPause + time.Duration(len(l.machines))*roundPerMachine
+		pause := placementDelay + time.Duration(len(l.machines))*placementDelayPerMachine
 		l.placeAt = l.c.now.Add(pause)
 		l.c.after(pause, func() {})
 	}
 }
 
-// place runs a round: it classifies every job, orders what is on the frontiers,
-// and places it class by class.
+// place runs a placement round if one is due and the leader has authority: it lists the demands of all jobs, orders
+// them, and places them one by one.
 func (l *leader) place() {
 	if l.placeAt.IsZero() || l.c.now.Before(l.placeAt) || len(l.c.types) == 0 || !l.c.now.Before(l.authority) {
 		return
@@ -41,40 +41,40 @@
 	limits := l.zones.limitStarts(demands)
 	all := l.view(true)
 	machines := slices.DeleteFunc(slices.Clone(all), func(m *scheduler.Machine) bool { return m.Virtual })
-	demands = scheduler.OrderWithAging(demands, l.reserve(machines))
-	l.spreading.prepare(demands, machines)
+	demands = scheduler.OrderWithAging(demands, l.agingReserve(machines))
+	l.spreading.setBalance(demands, machines)
 	used := l.teamUse()
-	l.spreading.reserve(used)
+	l.spreading.reserveTeamQuota(used)
 	excess := l.excess()
-	full := map[classKey]bool{}
-	kept := false
+	unplaceable := map[demandKey]bool{}
+	hintedReserved := false
 	for _, d := range demands {
-		if d.Rank > 0 && !d.Service && !kept {
-			l.autoscaler.reserveForHinted(machines)
-			kept = true
+		if d.Rank > 0 && !d.Service && !hintedReserved {
+			l.autoscaler.reserveForHintedServices(machines)
+			hintedReserved = true
 		}
 		l.spreading.placeHeld(machines, d, used)
 		d.RoomInTeam = l.roomInTeam(d, used)
-		key := keyOf(d)
-		if d.RoomInTeam == 0 || full[key] {
+		key := demandKeyOf(d)
+		if d.RoomInTeam == 0 || unplaceable[key] {
 			continue
 		}
 		want := min(len(d.Tasks), d.RoomInTeam)
 		placed := 0
 		if d.WaitForBooting {
-			placed = l.placeSome(all, d) // it had better wait for a machine that suits
+			placed = l.placeTasks(all, d) // late for its start objective: may wait for a booting machine that suits it
 		}
 		if d.SpreadImages && d.Service && d.Rank == 0 {
 			placed += l.placeCached(machines, d, want-placed, excess)
 		}
-		placed += l.placeSome(machines, d)
-		if placed < want && l.spreading.yieldRoom(machines, d, want-placed) {
-			placed += l.placeSome(machines, d)
+		placed += l.placeTasks(machines, d)
+		if placed < want && l.spreading.preemptHeld(machines, d, want-placed) {
+			placed += l.placeTasks(machines, d)
 		}
 		used[d.Team] = used[d.Team].Add(d.Each, float64(placed))
 		if placed < want {
-			// No machine takes one more of these: that is decided for the class.
-			full[key] = len(d.Avoid) == 0 && !d.OneZone && !d.Spread
+			// No machine has room for one more of these tasks, so demands with the same key need not be tried.
+			unplaceable[key] = len(d.Avoid) == 0 && !d.OneZone && !d.Spread
 			l.preempt(machines, d, want-placed, excess)
 			if d.Aged && placed == 0 {
 				scheduler.ReserveFor(machines, d)
@@ -84,9 +84,9 @@
 	l.zones.noteHeldBack(limits)
 }
 
-// placeSome places what has room, takes it off the demand, and counts it. What is
-// meant for a machine that still boots waits for it.
-func (l *leader) placeSome(machines []*scheduler.Machine, d *scheduler.Demand) int {
+// placeTasks places as many tasks of a demand as fit, removes them from the demand, and returns their number. Tasks
+// assigned to a machine that is still booting get no attempt: they wait for the machine.
+func (l *leader) placeTasks(machines []*scheduler.Machine, d *scheduler.Demand) int {
 	placed := scheduler.Place(machines, d)
 	n := len(placed)
 	l.assign(d, slices.DeleteFunc(placed, func(p scheduler.Assignment) bool { return p.Machine.Virtual }))
@@ -94,30 +94,30 @@
 	return n
 }
 
-// placeCached places a service, whose image takes longer to fetch than its aim
-// allows, where the image is, and makes room there before it goes elsewhere. It
-// counts what is placed or has room on its way.
+// placeCached places a service on machines that have its image, since fetching the image takes longer than the start
+// objective allows. It preempts tasks on such machines before the service is placed elsewhere, and returns how many
+// tasks are placed or will get room by preemption.
 func (l *leader) placeCached(machines []*scheduler.Machine, d *scheduler.Demand, want int, excess scheduler.Excess) int {
 	d.CachedOnly = true
-	placed := l.placeSome(machines, d)
-	if placed < want && l.spreading.yieldRoom(machines, d, want-placed) {
-		placed += l.placeSome(machines, d)
+	placed := l.placeTasks(machines, d)
+	if placed < want && l.spreading.preemptHeld(machines, d, want-placed) {
+		placed += l.placeTasks(machines, d)
 	}
-	coming := 0
-	if placed < want && l.cachedSomewhere(machines, d) {
-		coming = l.preempt(machines, d, want-placed, excess)
+	freeing := 0
+	if placed < want && l.imageCachedAnywhere(machines, d) {
+		freeing = l.preempt(machines, d, want-placed, excess)
 	}
 	d.CachedOnly = false
-	d.Tasks, d.RoomInTeam = d.Tasks[coming:], d.RoomInTeam-coming
-	return placed + coming
+	d.Tasks, d.RoomInTeam = d.Tasks[freeing:], d.RoomInTeam-freeing
+	return placed + freeing
 }
 
-func (l *leader) cachedSomewhere(machines []*scheduler.Machine, d *scheduler.Demand) bool {
+func (l *leader) imageCachedAnywhere(machines []*scheduler.Machine, d *scheduler.Demand) bool {
 	return slices.ContainsFunc(machines, func(m *scheduler.Machine) bool { return m.Images[d.Image] })
 }
 
-// classKey tells like demands: one that finds no room speaks for all.
-type classKey struct {
+// demandKey identifies demands that are alike: if no machine has room for one of them, none has room for the others.
+type demandKey struct {
 	class, team, zone, types string
 	each                     scheduler.Resources
 	spot                     bool
@@ -125,25 +125,25 @@
 	within                   bool
 }
 
-func keyOf(d *scheduler.Demand) classKey {
+func demandKeyOf(d *scheduler.Demand) demandKey {
 	types := ""
 	for _, t := range d.Types {
 		types += t + " "
 	}
-	return classKey{d.Class, d.Team, d.Zone, types, d.Each, d.Spot, d.Rank, d.WithinGuarantee}
+	return demandKey{d.Class, d.Team, d.Zone, types, d.Each, d.Spot, d.Rank, d.WithinGuarantee}
 }
 
-// assign plans attempts. The tasks of a gang carry the same attempt number:
-// workers take only those for peers.
+// assign creates the attempts of placed tasks. All tasks of a gang get the same attempt number: workers accept only
+// attempts with the same number as peers.
 func (l *leader) assign(d *scheduler.Demand, placed []scheduler.Assignment) {
 	j := l.jobs[d.Job]
 	if d.Gang {
-		top := uint64(0)
+		highest := uint64(0)
 		for _, ch := range j.chunks {
-			top = max(top, ch.lastAttempt)
+			highest = max(highest, ch.lastAttempt)
 		}
 		for _, p := range placed {
-			j.chunks[p.Task/j.tasksPerRecord].lastAttempt = top + 1
+			j.chunks[p.Task/j.tasksPerRecord].lastAttempt = highest + 1
 		}
 	}
 	for _, p := range placed {
@@ -151,12 +151,12 @@
 		if !d.Gang {
 			ch.lastAttempt++
 		}
-		l.plan(j, p, ch.lastAttempt).placedByAge = d.Aged
+		l.startAttempt(j, p, ch.lastAttempt).placedByAge = d.Aged
 	}
 }
 
-// plan puts an attempt in force; its run is sent once the record is written.
-func (l *leader) plan(j *job, p scheduler.Assignment, number uint64) *attempt {
+// startAttempt puts an attempt in force; its run command is sent once the job's record is written.
+func (l *leader) startAttempt(j *job, p scheduler.Assignment, number uint64) *attempt {
 	m := l.machines[p.Machine.ID]
 	a := &attempt{job: j, task: p.Task, number: number, machine: m, session: m.session, placed: l.c.now, fetches: !m.images[j.spec.Image]}
 	j.attempts[p.Task] = a
@@ -169,11 +169,11 @@
 	return a
 }
 
-// preempt stops what has to give way for a demand and counts the tasks that get
-// room by it; a later round places them, once what was stopped is proved gone.
+// preempt stops running tasks in favor of a demand, and returns how many of the demand's tasks get room by it. A later
+// round places them, once the stopped attempts are proved to have ended.
 func (l *leader) preempt(machines []*scheduler.Machine, d *scheduler.Demand, missing int, excess scheduler.Excess) int {
-	if d.Rank > 0 && !d.WithinGuarantee || d.AgeS < l.canWait(d) {
-		return 0 // what is running may make room in time, and loses nothing
+	if d.Rank > 0 && !d.WithinGuarantee || d.AgeS < l.preemptionDelayS(d) {
+		return 0 // running tasks may end in time, and then no work is lost
 	}
 	if l.zones.recovering() {
 		machines = slices.DeleteFunc(slices.Clone(machines), func(m *scheduler.Machine) bool { return l.zones.limitedZone(m.Zone) })
@@ -187,16 +187,17 @@
 	return room
 }
 
-// canWait is for how many seconds a demand may wait for running tasks to end by
-// themselves before any is stopped for it: of a service's aim on starting a quarter
-// of what the fetch of its image leaves. What has run before is missed already.
-func (l *leader) canWait(d *scheduler.Demand) float64 {
+// preemptionDelayS returns for how many seconds a demand waits for running tasks to end by themselves before any is
+// stopped for it. Below the highest rank it is half of the guarantee objective. At the highest rank it is a quarter of
+// what the fetch of the image leaves of the start objective; work that has run before does not wait, since its users
+// miss it already.
+func (l *leader) preemptionDelayS(d *scheduler.Demand) float64 {
 	switch {
 	case d.Rank > 0:
-		return l.guaranteeAim() / 2
+		return l.guaranteeObjectiveS() / 2
 	case d.Begun:
 		return 0
 	}
 	spec := &l.jobs[d.Job].spec
-	return (l.startAim(spec) - l.slowestFetch(spec)) / 4
+	return (l.startObjectiveS(spec) - l.slowestFetch(spec)) / 4
 }
--- a/controller/quota_test.go
+++ b/controller/quota_test.go
@@ -8,15 +8,14 @@
 	"pumicefront/wire"
 )
 
-// A deployment that shares GPUs alone says nothing of cores: its settings name them
-// with 0. Taken for a limit, every job was refused with 422 and nothing ever ran;
-// taken for a guarantee, no job was ever within it.
-func TestZeroInATeamsSettingsSaysNothing(t *testing.T) {
+// A deployment that shares GPUs alone has 0 for cores in its settings, which means unspecified. When the zero was taken
+// for a limit, every job was rejected with 422 and nothing ever ran; taken for a guarantee, no job was ever within it.
+func TestZeroInTeamSettingsIsUnspecified(t *testing.T) {
 	gpu, cores := scheduler.Resources{CPUs: 5, GPUs: 1, MemoryGB: 8}, scheduler.Resources{CPUs: 5, MemoryGB: 8}
 	for name, c := range map[string]struct {
 		team          config.Team
 		each          scheduler.Resources
-		limit, within int // such tasks that the limit and the guarantee hold
+		limit, within int // number of such tasks that fit the limit and the guarantee
 	}{
 		"GPUs alone":              {config.Team{GPUs: 3, GPUsMax: 7}, gpu, 7, 3},
 		"cores alone":             {config.Team{CPUs: 15, CPUsMax: 35}, cores, 7, 3},
@@ -24,7 +23,7 @@
 		"GPUs limited only":       {config.Team{CPUs: 20, CPUsMax: 100, GPUsMax: 7}, gpu, 7, 0},
 		"guaranteed, no limit":    {config.Team{GPUs: 3}, gpu, 1 << 20, 3},
 		"limited, no guarantee":   {config.Team{GPUsMax: 7}, gpu, 7, 0},
-		"nothing said":            {config.Team{}, cores, 1 << 20, 0},
+		"unspecified":             {config.Team{}, cores, 1 << 20, 0},
 		"cores alone, a GPU task": {config.Team{CPUs: 15, CPUsMax: 35}, gpu, 7, 3},
 	} {
 		q := quotaOf(c.team)
@@ -34,33 +33,33 @@
 	}
 }
 
-// One rule holds for acceptance, a team's room, its guarantee and its excess.
+// Admission, the room of a team, its guarantee and its excess must treat unspecified resources alike.
 func TestGPUTeamIsAcceptedPlacedAndGuaranteed(t *testing.T) {
 	c, l, _ := leading(t)
 	c.quotas["red"] = quotaOf(config.Team{GPUs: 3, GPUsMax: 7})
 	c.setTypes([]wire.MachineType{{Name: "g", CPUs: 12, GPUs: 2, MemoryGB: 72, Zones: []string{"a"}}})
 	spec := wire.Job{ID: "req-000002", Class: "train", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 4, CPUs: 5, GPUs: 1, MemoryGB: 27}
 	if !c.canRun(&spec) {
-		t.Error("a job of a team with GPUs alone is refused")
+		t.Error("a job of a team with settings for GPUs alone is rejected")
 	}
 	service := spec
 	if service.Kind, service.Tasks = wire.KindService, 8; c.canRun(&service) {
-		t.Error("a service of 8 GPUs is accepted for a limit of 7")
+		t.Error("a service of 8 GPUs is accepted with a limit of 7")
 	}
 	if room := l.roomInTeam(l.c.demandOf(&spec), map[string]scheduler.Resources{"red": {CPUs: 500, GPUs: 5}}); room != 2 {
-		t.Errorf("room for %d tasks with 5 of 7 GPUs used", room)
+		t.Errorf("room for %d tasks with 5 of 7 GPUs used, want 2", room)
 	}
 	earlier := map[string]scheduler.Resources{}
 	first, second := l.addJob("req-000002", &headerRecord{Job: spec, PerChunk: 10}), l.addJob("req-000003", &headerRecord{Job: spec, PerChunk: 10})
 	first.spec.Tasks = 3
-	if !l.within(first, earlier) || l.within(second, earlier) {
-		t.Error("3 guaranteed GPUs hold a job of 3 tasks and no other")
+	if !l.fitsGuarantee(first, earlier) || l.fitsGuarantee(second, earlier) {
+		t.Error("a guarantee of 3 GPUs must fit a job of 3 tasks and no other")
 	}
 	for n := range 4 {
 		a := place(l, second, n, l.machine("i-1"))
 		a.phase = attemptSeen
 	}
 	if e := l.excess()["red"]; e.GPUs != 1 {
-		t.Errorf("excess of %v with 4 GPUs used and 3 guaranteed", e)
+		t.Errorf("excess of %v with 4 GPUs used and 3 guaranteed, want 1 GPU", e)
 	}
 }
--- a/controller/scale_in.go
+++ b/controller/scale_in.go
@@ -12,22 +12,22 @@
 	"pumicefront/wire"
 )
 
-// Scale-in: machines that go back to the cloud.
+// Scale-in: machines that are released to the cloud.
 
-// scaleIn gives back machines that are not needed, the dearest first.
+// scaleIn releases machines that are not needed, the most expensive first.
 func (s *autoscaler) scaleIn() {
-	if s.spreading.keepsIdle() {
+	if s.spreading.keepsIdleMachines() {
 		return
 	}
-	spare := s.spare()
-	slices.SortStableFunc(spare, func(a, b *machine) int { return cmp.Compare(s.price(b), s.price(a)) })
-	for _, m := range spare[:min(len(spare), max(scaleInMost, len(s.machines)/scaleInShare))] {
+	unneeded := s.unneededMachines()
+	slices.SortStableFunc(unneeded, func(a, b *machine) int { return cmp.Compare(s.price(b), s.price(a)) })
+	for _, m := range unneeded[:min(len(unneeded), max(scaleInMax, len(s.machines)/scaleInDivisor))] {
 		s.release(m, releaseIdle)
 	}
 }
 
-// sendReleases gives back what never came up, what has gone silent and what
-// was found not to be needed.
+// sendReleases sends one release call for the machines that never came up, that have failed, and that were found not to
+// be needed.
 func (s *autoscaler) sendReleases() {
 	if s.releaseInFlight {
 		return
@@ -35,7 +35,7 @@
 	s.failures.releaseFailed()
 	var names []string
 	for _, m := range s.fleetOrder {
-		if m.releasing && len(names) < releaseNamesMost {
+		if m.releasing && len(names) < maxMachinesPerRelease {
 			names = append(names, m.id)
 		}
 	}
@@ -53,7 +53,7 @@
 	})
 }
 
-// A releaseReason is why a machine goes back to the cloud, as the log tells it.
+// A releaseReason is why a machine is released, as the log shows it.
 type releaseReason string
 
 // The reasons for a release; docs/operations.md explains them.
@@ -69,17 +69,17 @@
 	releaseRestarted           releaseReason = "has begun again"
 )
 
-// release asks the cloud to take a machine back; what it runs is gone once that is confirmed.
-func (l *leader) release(m *machine, why releaseReason) {
+// release marks a machine for release; its attempts have ended once the cloud confirms the release.
+func (l *leader) release(m *machine, reason releaseReason) {
 	if m.releasing {
 		return
 	}
 	m.releasing = true
-	l.zones.noteReleased(m, why)
-	l.c.log(slog.LevelInfo, "releasing machine", "machine", m.id, "why", why, "tasks", len(m.attempts))
+	l.zones.noteReleased(m, reason)
+	l.c.log(slog.LevelInfo, "releasing machine", "machine", m.id, "why", reason, "tasks", len(m.attempts))
 }
 
-// forgetMachine removes a machine; everything on it is gone.
+// forgetMachine removes a machine whose release is confirmed, and ends all attempts on it.
 func (s *autoscaler) forgetMachine(id string) {
 	m := s.machines[id]
 	if m == nil {
@@ -93,13 +93,13 @@
 	s.fleetOrder = slices.DeleteFunc(s.fleetOrder, func(o *machine) bool { return o == m })
 }
 
-// spare lists idle machines that neither what waits nor the headroom has use for:
-// those that stay empty when all of it is placed, the fullest machines first.
-func (s *autoscaler) spare() []*machine {
+// unneededMachines lists idle machines that neither pending work nor the headroom needs: those that stay empty when all
+// of it is placed on the fullest machines first.
+func (s *autoscaler) unneededMachines() []*machine {
 	var idle []*machine
 	for _, m := range s.fleetOrder {
-		// A machine is charged for a minute at least: before that nothing is saved.
-		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || s.c.now.Sub(m.rented) >= leastCharge &&
+		// A machine is charged for a minute at least: releasing it sooner saves nothing.
+		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || s.c.now.Sub(m.rented) >= minCharge &&
 			s.c.now.Sub(m.idle) >= config.Seconds(s.c.op.IdleS)) && !s.failures.unresponsive(m) {
 			idle = append(idle, m)
 		}
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -13,16 +13,16 @@
 	"pumicefront/wire"
 )
 
-// Instance requests: scale-out. A request is recorded under a name of its own before it is made,
-// so that a retry never gets a machine twice.
+// Scale-out: requests for instances. A request is recorded under a unique name before it is sent, so that a retry never
+// rents a machine twice.
 
-// instanceRequest is a request for instances whose machines are not all accounted for.
+// instanceRequest is a request for instances that are not all known to be up or released.
 type instanceRequest struct {
 	spec     wire.Rent
 	since    time.Time
 	version  uint64 // of its record; 0: not written yet
-	asking   bool
-	asked    bool // by us or an earlier leader: it may have started instances
+	inFlight bool
+	sent     bool // by this or an earlier leader: it may have started instances
 	answered bool
 	machines []string
 }
@@ -32,9 +32,9 @@
 	spot      bool
 }
 
-// callCloud makes a call of the cloud if authority and the rate allow.
+// callCloud calls the cloud if the leader has authority and the rate limit allows it, and reports whether it did.
 func (s *autoscaler) callCloud(call CloudCall, fn func(CloudReply)) bool {
-	if !s.c.entitled() || !s.calls.AllowN(s.c.now, 1) {
+	if !s.c.entitled() || !s.cloudLimiter.AllowN(s.c.now, 1) {
 		return false
 	}
 	s.c.cloud(call, func(r CloudReply) {
@@ -45,29 +45,29 @@
 	return true
 }
 
-// sendInstanceRequests sends instance requests that are recorded and not answered. One that was
-// never asked for is dropped when its like has been refused meanwhile: the calls are
-// few, and others need them.
+// sendInstanceRequests sends the recorded instance requests that have no answer, and drops those whose machines are all
+// accounted for. A request that was never sent is dropped if the cloud has refused the same offer since: calls are
+// limited, and other requests need them.
 func (s *autoscaler) sendInstanceRequests() {
 	for _, name := range s.requestOrder() {
 		req := s.requests[name]
 		switch {
-		case req.version == 0 || req.asking:
+		case req.version == 0 || req.inFlight:
 		case req.answered:
-			if s.accounted(req) {
+			if s.allAccountedFor(req) {
 				s.dropRequest(req)
 			}
-		case !req.asked && s.refused[req.offer()].After(req.since):
+		case !req.sent && s.refusedAt[req.offer()].After(req.since):
 			s.dropRequest(req)
 		default:
-			req.asking = s.callCloud(CloudCall{Op: CloudRent, Rent: req.spec}, func(r CloudReply) { s.requestAnswered(req, r) })
-			req.asked = req.asked || req.asking
+			req.inFlight = s.callCloud(CloudCall{Op: CloudRent, Rent: req.spec}, func(r CloudReply) { s.handleRequestReply(req, r) })
+			req.sent = req.sent || req.inFlight
 		}
 	}
 }
 
-// requestOrder lists the names of the instance requests; while zones recover, in the order in which they were
-// decided, so that what restarts first is asked for first.
+// requestOrder lists the names of the instance requests in the order of sending. While zones recover it is the order in
+// which the requests were decided, so that machines for what restarts first are requested first.
 func (s *autoscaler) requestOrder() []string {
 	names := slices.Sorted(maps.Keys(s.requests))
 	if s.zones.recovering() {
@@ -78,41 +78,41 @@
 	return names
 }
 
-// offer is the kind of instance that a request asks for.
+// offer is the offer that a request asks for.
 func (req *instanceRequest) offer() offerKey {
 	return offerKey{req.spec.Type, req.spec.Zone, req.spec.Spot}
 }
 
-// requestAnswered takes in the cloud's answer to an instance request.
-func (s *autoscaler) requestAnswered(req *instanceRequest, r CloudReply) {
-	req.asking = false
+// handleRequestReply handles the cloud's reply to an instance request.
+func (s *autoscaler) handleRequestReply(req *instanceRequest, r CloudReply) {
+	req.inFlight = false
 	k := req.offer()
 	switch r.Status {
 	case http.StatusOK:
 		req.answered, req.machines = true, r.Names.Machines
 		if len(req.machines) < req.spec.Count {
-			s.refused[k] = s.c.now
+			s.refusedAt[k] = s.c.now
 		}
-		s.addRequested(req)
+		s.addRequestedMachines(req)
 		s.recordRequest(req, func(StateReply) {})
 		s.c.log(slog.LevelInfo, "rented", "request", req.spec.Request, "type", k.typ, "zone", k.zone, "spot", k.spot, "machines", len(req.machines))
 	case http.StatusServiceUnavailable, http.StatusBadRequest:
-		s.refused[k] = s.c.now
-		s.ranAt = time.Time{} // another offer may do
+		s.refusedAt[k] = s.c.now
+		s.ranAt = time.Time{} // run again at once: another offer may succeed
 		s.c.log(slog.LevelInfo, "rental refused", "request", req.spec.Request, "type", k.typ, "zone", k.zone, "spot", k.spot, "status", r.Status)
 		s.dropRequest(req)
 	}
 }
 
-// addRequested takes the machines of a request into the ledger.
-func (s *autoscaler) addRequested(req *instanceRequest) {
+// addRequestedMachines adds the machines of an answered request to the fleet.
+func (s *autoscaler) addRequestedMachines(req *instanceRequest) {
 	for _, id := range req.machines {
-		if _, gone := s.released[id]; gone {
+		if _, released := s.released[id]; released {
 			continue
 		}
 		m := s.machine(id)
 		if m.listed.IsZero() {
-			m.listed = s.c.now // it exists by now: a list of a later time shows it
+			m.listed = s.c.now // it exists by now: a list made later shows it
 		}
 		if !m.up {
 			m.typ, m.zone, m.spot, m.rented = req.spec.Type, req.spec.Zone, req.spec.Spot, req.since
@@ -120,7 +120,7 @@
 	}
 }
 
-// recordRequest writes what is known of a request, over the record that we know of.
+// recordRequest writes the state of a request, conditional on leadership and on the record's known version.
 func (s *autoscaler) recordRequest(req *instanceRequest, done func(StateReply)) {
 	key := rentalPrefix + req.spec.Request
 	txn := wire.Txn{
@@ -134,8 +134,8 @@
 	})
 }
 
-// accounted reports whether every machine of a request is up or released.
-func (s *autoscaler) accounted(req *instanceRequest) bool {
+// allAccountedFor reports whether every machine of a request is up or released.
+func (s *autoscaler) allAccountedFor(req *instanceRequest) bool {
 	for _, id := range req.machines {
 		if m := s.machines[id]; m != nil && !m.up {
 			return false
@@ -149,7 +149,7 @@
 	s.obsoleteKeys = append(s.obsoleteKeys, rentalPrefix+req.spec.Request)
 }
 
-// requestInstances records a request under a name that is never used again, then makes it.
+// requestInstances records a request under a name that is never used again, then sends it.
 func (s *autoscaler) requestInstances(r wire.Rent) {
 	s.requestSeq++
 	r.Request = fmt.Sprintf("r-%d-%d", s.token, s.requestSeq)
@@ -157,7 +157,7 @@
 	s.requests[r.Request] = req
 	s.recordRequest(req, func(reply StateReply) {
 		if reply.Status != http.StatusOK {
-			delete(s.requests, r.Request) // never asked for; a late record is asked for by the next leader
+			delete(s.requests, r.Request) // never sent; if the write takes effect late, the next leader sends it
 			return
 		}
 		req.version = reply.Txn.Revision
@@ -165,15 +165,15 @@
 	})
 }
 
-// offers lists what can be requested, less what was refused lately.
+// offers lists the offers that can be requested, without those refused recently.
 func (s *autoscaler) offers() []scheduler.Offer {
 	var out []scheduler.Offer
 	for _, name := range slices.Sorted(maps.Keys(s.c.types)) {
 		t := s.c.types[name]
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				at, refused := s.refused[offerKey{name, zone, spot}]
-				if refused && s.c.now.Sub(at) < noCapacity || s.zones.rentable(zone, 1) == 0 {
+				at, refused := s.refusedAt[offerKey{name, zone, spot}]
+				if refused && s.c.now.Sub(at) < refusalRetention || s.zones.rentable(zone, 1) == 0 {
 					continue
 				}
 				out = append(out, scheduler.Offer{Type: name, Zone: zone, Spot: spot, Cap: capOf(t), Price: priceOf(t, spot)})
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -11,22 +11,21 @@
 	"pumicefront/wire"
 )
 
-// Load spreading: the leader's part of package balance. A move is an ordinary stop and an ordinary
-// placement: nothing here proves an attempt gone, and room that is held is only room that others
-// don't get.
+// Load spreading: the leader's part of package balance. A move is an ordinary stop followed by an ordinary placement:
+// nothing here proves that an attempt has ended, and held room is only room that other tasks don't get.
 
-// spreading is the leader's side of load spreading; nil where operators have not switched it on.
+// spreading is the leader's part of load spreading; nil unless operators have enabled it.
 type spreading struct {
 	*leader
 	ledger      *balance.Ledger
-	record      movesRecordCopy
+	record      movesRecordState
 	plannedAt   time.Time
 	sweptAt     time.Time
-	pausedUntil time.Time // no plan before: the last one would have cost headroom
+	pausedUntil time.Time // no plan before then: the last one would have taken headroom
 	block       balance.Block
 }
 
-// MoveChanged tells of a step of a move.
+// MoveChanged reports a step of a move.
 type MoveChanged struct {
 	balance.Change
 	Term uint64 // of the leader: its token when it was elected
@@ -42,32 +41,32 @@
 
 func (s *spreading) settings() *balance.Settings { return &s.c.op.Spreading.Settings }
 
-// keepsIdle reports whether operators keep idle machines for load to be spread over.
-func (s *spreading) keepsIdle() bool { return s != nil && s.settings().KeepIdle }
+// keepsIdleMachines reports whether operators keep idle machines for load to be spread over.
+func (s *spreading) keepsIdleMachines() bool { return s != nil && s.settings().KeepIdle }
 
-// run follows the moves under way and begins new ones.
+// run observes the moves in progress and begins new ones.
 func (s *spreading) run() {
 	if s == nil {
 		return
 	}
-	s.follow()
+	s.observeMoves()
 	s.plan()
 }
 
-// follow looks what has become of the moves under way.
-func (s *spreading) follow() {
+// observeMoves updates the moves in progress from what is known of their tasks.
+func (s *spreading) observeMoves() {
 	if s.ledger.Len() == 0 {
 		return
 	}
 	for _, e := range s.ledger.Entries() {
-		if change, any := s.ledger.Observe(s.c.now, e.TaskID, s.seen(e)); any {
-			s.changed(change)
+		if change, changed := s.ledger.Observe(s.c.now, e.TaskID, s.taskState(e)); changed {
+			s.handleChange(change)
 		}
 	}
 }
 
-// seen is what this leader knows of a task that is being moved.
-func (s *spreading) seen(e balance.Entry) balance.Seen {
+// taskState is what this leader knows of a task that is being moved.
+func (s *spreading) taskState(e balance.Entry) balance.Seen {
 	j := s.jobs[e.Job]
 	if j == nil {
 		return balance.Seen{Completed: true}
@@ -83,10 +82,10 @@
 	return seen
 }
 
-// changed handles a step of a move.
-func (s *spreading) changed(change balance.Change) {
+// handleChange logs and emits a step of a move, and schedules a placement round.
+func (s *spreading) handleChange(change balance.Change) {
 	if to := s.machines[change.To]; to != nil {
-		to.snapshot = nil // what is held there may have changed
+		to.snapshot = nil // the room held there may have changed
 	}
 	level := slog.LevelDebug
 	if change.Outcome != "" || change.Loss != "" && change.Loss != balance.LossOver {
@@ -98,12 +97,12 @@
 	s.wantPlacement()
 }
 
-// begin stops the attempt that moves, and holds room for its task.
-func (s *spreading) begin(m balance.Move) {
+// beginMove holds room for a task at its destination, and stops the attempt that is moved.
+func (s *spreading) beginMove(m balance.Move) {
 	a := s.jobs[m.Job].attempts[m.Index]
 	s.ledger.Begin(s.c.now, m, a.number)
 	entry, _ := s.ledger.Entry(m.TaskID)
-	s.changed(balance.Change{Entry: entry})
+	s.handleChange(balance.Change{Entry: entry})
 	s.stop(a, graceOf(&a.job.spec))
 }
 
@@ -115,7 +114,7 @@
 	return s.ledger.HeldOn(machine)
 }
 
-// fetching lists the images that a machine fetches for attempts in force.
+// fetching lists the images that a machine is fetching for attempts in force.
 func (s *spreading) fetching(m *machine) map[string]bool {
 	if s == nil {
 		return nil
@@ -132,8 +131,8 @@
 	return images
 }
 
-// prepare has the demands of a round placed evenly.
-func (s *spreading) prepare(demands []*scheduler.Demand, machines []*scheduler.Machine) {
+// setBalance makes the demands of a round be placed evenly.
+func (s *spreading) setBalance(demands []*scheduler.Demand, machines []*scheduler.Machine) {
 	if s == nil {
 		return
 	}
@@ -146,7 +145,7 @@
 	}
 }
 
-// expectedShare is the mean share of the machines once all that waits is placed, as far as it fits.
+// expectedShare is the mean load share of the machines once all pending tasks are placed, at most 1.
 func (s *spreading) expectedShare(demands []*scheduler.Demand, machines []*scheduler.Machine) float64 {
 	all, used := 0.0, 0.0
 	for _, m := range machines {
@@ -165,9 +164,9 @@
 	return min(used/all, 1)
 }
 
-// reserve counts, for their teams, tasks whose old attempt is gone and that are not placed yet: others
-// of their team must not take their place in its limit.
-func (s *spreading) reserve(used map[string]scheduler.Resources) {
+// reserveTeamQuota adds to their teams' use the tasks that have held room, whose old attempt has ended, and that are not
+// placed yet: other tasks of their team must not take their place within its limit.
+func (s *spreading) reserveTeamQuota(used map[string]scheduler.Resources) {
 	if s == nil {
 		return
 	}
@@ -178,7 +177,7 @@
 	}
 }
 
-// placeHeld places those of a demand's tasks for which room is held.
+// placeHeld places the tasks of a demand for which room is held.
 func (s *spreading) placeHeld(machines []*scheduler.Machine, d *scheduler.Demand, used map[string]scheduler.Resources) {
 	if s == nil || s.ledger.Len() == 0 {
 		return
@@ -191,17 +190,17 @@
 		used[e.Team] = used[e.Team].Add(e.Each, -1)
 		p, placed := s.placeInHeld(machines, d, e, s.roomInTeam(d, used))
 		if !placed {
-			s.giveUp(e.TaskID, balance.LossDestination)
+			s.releaseHeld(e.TaskID, balance.LossDestination)
 			continue
 		}
 		s.assign(d, []scheduler.Assignment{p})
 		used[e.Team] = used[e.Team].Add(e.Each, 1)
 		d.Tasks = slices.DeleteFunc(slices.Clone(d.Tasks), func(t int) bool { return t == task })
 	}
-	s.follow()
+	s.observeMoves()
 }
 
-// placeInHeld places a task in the room that is held for it. Either way that room is held no more.
+// placeInHeld places a task in the room held for it. In either case that room counts as free again on its machine.
 func (s *spreading) placeInHeld(machines []*scheduler.Machine, d *scheduler.Demand, e balance.Entry, roomInTeam int) (scheduler.Assignment, bool) {
 	i := slices.IndexFunc(machines, func(m *scheduler.Machine) bool { return m.ID == e.To })
 	if i < 0 {
@@ -214,16 +213,16 @@
 	return scheduler.PlaceOn(machines[i], d, e.Index)
 }
 
-// giveUp gives up the room that is held for a task.
-func (s *spreading) giveUp(id balance.TaskID, why balance.Loss) {
-	if change, any := s.ledger.GiveUp(id, why); any {
-		s.changed(change)
+// releaseHeld releases the room that is held for a task.
+func (s *spreading) releaseHeld(id balance.TaskID, reason balance.Loss) {
+	if change, changed := s.ledger.GiveUp(id, reason); changed {
+		s.handleChange(change)
 	}
 }
 
-// yieldRoom gives up held room where that lets tasks of an urgent demand fit, for as many as are missing,
-// and reports whether it did.
-func (s *spreading) yieldRoom(machines []*scheduler.Machine, d *scheduler.Demand, missing int) bool {
+// preemptHeld releases held room where that lets tasks of an urgent demand fit, until the missing tasks have room, and
+// reports whether any got room.
+func (s *spreading) preemptHeld(machines []*scheduler.Machine, d *scheduler.Demand, missing int) bool {
 	if s == nil || s.ledger.Len() == 0 || !d.Service && d.Rank > 0 && !d.WithinGuarantee {
 		return false
 	}
@@ -240,7 +239,7 @@
 		}
 		for _, e := range s.ledger.Entries() {
 			if e.Held && e.To == m.ID {
-				s.giveUp(e.TaskID, balance.LossUrgent)
+				s.releaseHeld(e.TaskID, balance.LossUrgent)
 			}
 		}
 		room += m.Free.Fits(d.Each)
@@ -248,7 +247,7 @@
 	return room > 0
 }
 
-// withoutHeld leaves out the tasks for which room is held: nothing need be rented for them.
+// withoutHeld removes the tasks for which room is held: no machines need to be requested for them.
 func (s *spreading) withoutHeld(demands []*scheduler.Demand) []*scheduler.Demand {
 	if s == nil || s.ledger.Len() == 0 {
 		return demands
@@ -262,10 +261,10 @@
 	return demands
 }
 
-// moving reports whether any move is under way.
+// moving reports whether any move is in progress.
 func (s *spreading) moving() bool { return s != nil && s.ledger.Len() > 0 }
 
-// sweep forgets what is over, now and then.
+// sweep removes outdated entries from the ledger, at most once a minute.
 func (s *spreading) sweep() {
 	if s.c.now.Sub(s.sweptAt) >= time.Minute {
 		s.sweptAt = s.c.now
@@ -273,12 +272,12 @@
 	}
 }
 
-// stoppedBefore reports whether an attempt was shown saving that nobody has stopped here: an earlier
+// stoppedByEarlierLeader reports whether an attempt was reported as saving that this leader has not stopped: an earlier
 // leader has.
-func (a *attempt) stoppedBefore() bool { return a.saving && !a.stopping }
+func (a *attempt) stoppedByEarlierLeader() bool { return a.saving && !a.stopping }
 
-// replicasUp reports whether all tasks of a service run, and none of them is being stopped.
-func (j *job) replicasUp() bool {
+// allReplicasRunning reports whether all tasks of a service run, and none of them is being stopped.
+func (j *job) allReplicasRunning() bool {
 	if j.spec.Kind != wire.KindService || len(j.attempts) < j.spec.Tasks {
 		return false
 	}
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -9,53 +9,53 @@
 	"pumicefront/wire"
 )
 
-// When moves may be begun, and the picture that they are planned from.
+// When moves may begin, and the state of the fleet that they are planned from.
 
-// Intervals of planning.
+// Intervals and thresholds of planning.
 const (
-	planInterval       = time.Second
-	emptyPlanPause     = 4 * time.Second  // after a plan without moves, beside the interval
-	planPause          = 10 * time.Second // after a plan that would have cost headroom
-	lateRenewals       = 2                // of the leader's lifetime, one part is the longest time between renewals that are in time
-	freeBackgroundPart = 2                // of the burst of background writes, one part must be free
+	planInterval          = time.Second
+	emptyPlanPause        = 4 * time.Second  // added to the interval after a plan without moves
+	headroomPause         = 10 * time.Second // after a plan whose moves would have taken headroom
+	lateRenewalDivisor    = 2                // a renewal is late after the leader's lifetime divided by this
+	freeBackgroundDivisor = 2                // the burst of background writes divided by this must be free
 )
 
-// plan begins the moves that are worth it, where nothing speaks against moves now.
+// plan begins the moves that are worth their cost, unless moves are blocked.
 func (s *spreading) plan() {
 	if s.c.now.Sub(s.plannedAt) < planInterval {
 		return
 	}
 	s.plannedAt = s.c.now
 	s.sweep()
-	if s.block = s.blocked(); s.block != balance.NotBlocked {
+	if s.block = s.moveBlock(); s.block != balance.NotBlocked {
 		return
 	}
 	machines := s.view(false)
-	picture := s.picture(machines)
-	others, listed := s.stoppedByOthers(), len(picture.Machines)
-	allowed := s.ledger.Allowance(s.c.now, listed, others)
-	if allowed.Moves == 0 || !s.skewed(&picture) {
+	fleet := s.fleetState(machines)
+	others, listed := s.stoppedByEarlierLeaders(), len(fleet.Machines)
+	allowance := s.ledger.Allowance(s.c.now, listed, others)
+	if allowance.Moves == 0 || !s.anyHot(&fleet) {
 		return
 	}
-	s.listTasks(&picture)
-	moves := balance.Plan(picture, *s.settings(), allowed)
+	s.listMovableTasks(&fleet)
+	moves := balance.Plan(fleet, *s.settings(), allowance)
 	if len(moves) == 0 {
 		s.plannedAt = s.c.now.Add(emptyPlanPause)
 		return
 	}
-	if !s.recordMoves() {
+	if !s.ensureMovesRecord() {
 		return
 	}
-	moves = s.keepingHeadroom(machines, moves)
+	moves = s.preserveHeadroom(machines, moves)
 	for _, m := range moves {
-		s.begin(m)
+		s.beginMove(m)
 	}
 }
 
-// blocked tells what speaks against any move now.
-func (s *spreading) blocked() balance.Block {
+// moveBlock is why no move may begin now.
+func (s *spreading) moveBlock() balance.Block {
 	switch {
-	case !s.c.now.Before(s.authority) || s.c.now.Sub(s.renewed) > s.c.op.LeaderLifetime()/lateRenewals:
+	case !s.c.now.Before(s.authority) || s.c.now.Sub(s.renewed) > s.c.op.LeaderLifetime()/lateRenewalDivisor:
 		return balance.NoLease
 	case !s.allReported():
 		return balance.Unheard
@@ -65,16 +65,16 @@
 		return balance.Recovering
 	case s.c.now.Before(s.pausedUntil):
 		return balance.HeadroomShort
-	case s.workWaits():
+	case s.workWaiting():
 		return balance.WorkWaits
-	case s.budget.left(s.c.now)*freeBackgroundPart < s.budget.burst():
+	case s.budget.left(s.c.now)*freeBackgroundDivisor < s.budget.burst():
 		return balance.WritesShort
 	}
 	return balance.NotBlocked
 }
 
-// allReported reports whether this leader has listened for as long as workers take to find it, and every
-// machine that runs something has reported to it.
+// allReported reports whether this leader has listened for as long as workers take to find it, and every machine with
+// attempts has reported to it.
 func (s *spreading) allReported() bool {
 	now := s.c.now
 	if now.Sub(s.elected) <= s.findsLeaderWithin() || now.Sub(s.failures.listening.began) <= s.failures.heartbeatDue(time.Second) {
@@ -83,9 +83,9 @@
 	return !slices.ContainsFunc(s.fleetOrder, func(m *machine) bool { return len(m.attempts) > 0 && !m.up })
 }
 
-// workWaits reports whether tasks wait to be placed, those apart that are being moved or that their
-// own team's limit holds back.
-func (s *spreading) workWaits() bool {
+// workWaiting reports whether tasks wait to be placed, apart from those that are being moved and those that their own
+// team's limit holds back.
+func (s *spreading) workWaiting() bool {
 	used := s.teamUse()
 	return slices.ContainsFunc(s.demands(), func(d *scheduler.Demand) bool {
 		waits := slices.ContainsFunc(d.Tasks, func(task int) bool {
@@ -96,12 +96,12 @@
 	})
 }
 
-// stoppedByOthers counts the tasks that an earlier leader has stopped: they may be moves of its.
-func (s *spreading) stoppedByOthers() int {
+// stoppedByEarlierLeaders counts the tasks that an earlier leader has stopped: it may have been moving them.
+func (s *spreading) stoppedByEarlierLeaders() int {
 	count := 0
 	for _, m := range s.fleetOrder {
 		for _, a := range m.list {
-			if a.stoppedBefore() {
+			if a.stoppedByEarlierLeader() {
 				count++
 			}
 		}
@@ -109,16 +109,16 @@
 	return count
 }
 
-// pictured is a machine as it was when the picture was drawn.
-type pictured struct {
+// fleetMachine is a machine as it was when the state of the fleet was taken.
+type fleetMachine struct {
 	*scheduler.Machine
 	used scheduler.Resources
 }
 
-// picture draws the machines that count, without their tasks. What is being stopped is on its way off;
-// what is held is on its way here.
-func (s *spreading) picture(machines []*scheduler.Machine) balance.Picture {
-	byID := make(map[string]pictured, len(machines))
+// fleetState is the machines that count, without their tasks. Tasks that are being stopped do not count as load; held
+// room does.
+func (s *spreading) fleetState(machines []*scheduler.Machine) balance.Picture {
+	byID := make(map[string]fleetMachine, len(machines))
 	p := balance.Picture{Machines: make([]balance.Machine, 0, len(machines))}
 	for _, m := range machines {
 		empty := m.Free == m.Cap
@@ -126,7 +126,7 @@
 			continue
 		}
 		used := m.Cap.Add(m.Free, -1).Add(m.Soon, -1)
-		byID[m.ID] = pictured{m, used}
+		byID[m.ID] = fleetMachine{m, used}
 		p.Machines = append(p.Machines, balance.Machine{ID: m.ID, Size: s.c.measure.Of(m.Cap), Cap: m.Cap, Used: used})
 	}
 	p.HasImage = func(m *balance.Machine, image string) bool { return byID[m.ID].Images[image] }
@@ -144,7 +144,7 @@
 	return p
 }
 
-// demandOfMove is what a running task asks of another machine.
+// demandOfMove is what a running task requires of another machine.
 func (s *spreading) demandOfMove(id balance.TaskID) *scheduler.Demand {
 	j := s.jobs[id.Job]
 	d := s.c.demandOf(&j.spec)
@@ -157,30 +157,30 @@
 	return d
 }
 
-// skewed reports whether any machine is hot.
-func (s *spreading) skewed(p *balance.Picture) bool {
+// anyHot reports whether any machine is hot.
+func (s *spreading) anyHot(p *balance.Picture) bool {
 	hot := s.settings().HotShare(balance.Distribute(p.Machines).Mean)
 	return slices.ContainsFunc(p.Machines, func(m balance.Machine) bool { return m.Share() > hot })
 }
 
-// listTasks lists the tasks of hot machines that may be moved.
-func (s *spreading) listTasks(p *balance.Picture) {
+// listMovableTasks lists the tasks of hot machines that may be moved.
+func (s *spreading) listMovableTasks(p *balance.Picture) {
 	hot := s.settings().HotShare(balance.Distribute(p.Machines).Mean)
-	tolerances := newTolerances(s)
+	tolerances := newMoveTolerances(s)
 	for i := range p.Machines {
 		m := &p.Machines[i]
 		if m.Share() <= hot {
 			continue
 		}
 		for _, a := range s.machines[m.ID].list {
-			if why, cost := tolerances.of(a); why == balance.Movable {
+			if reason, cost := tolerances.check(a); reason == balance.Movable {
 				m.Tasks = append(m.Tasks, a.movableTask(cost))
 			}
 		}
 	}
 }
 
-// movableTask describes an attempt's task, whose move costs so many seconds.
+// movableTask describes an attempt's task, whose move costs the given seconds of its time.
 func (a *attempt) movableTask(cost float64) balance.Task {
 	t := balance.Task{TaskID: a.moveID(), Team: a.job.spec.Team, Each: a.job.terms.Each, Cost: cost}
 	if a.job.spec.Kind == wire.KindService {
@@ -189,23 +189,23 @@
 	return t
 }
 
-// moveID names an attempt's task.
+// moveID identifies an attempt's task.
 func (a *attempt) moveID() balance.TaskID { return balance.TaskID{Job: a.job.id, Index: a.task} }
 
-// keepingHeadroom returns as many of the moves as leave all headroom its room: all, the best one, or none.
-func (s *spreading) keepingHeadroom(machines []*scheduler.Machine, moves []balance.Move) []balance.Move {
+// preserveHeadroom returns as many of the moves as leave all headroom its room: all, the best one, or none.
+func (s *spreading) preserveHeadroom(machines []*scheduler.Machine, moves []balance.Move) []balance.Move {
 	before := s.headroomPlaced(machines, nil)
 	for _, some := range [][]balance.Move{moves, moves[:1]} {
 		if s.headroomPlaced(machines, some) >= before {
 			return some
 		}
 	}
-	s.pausedUntil = s.c.now.Add(planPause)
+	s.pausedUntil = s.c.now.Add(headroomPause)
 	return nil
 }
 
-// headroomPlaced counts the headroom that has room when moves are under way: their destinations are
-// taken, and their sources not free yet.
+// headroomPlaced counts the headroom that has room while moves are in progress: room at their destinations is taken, and
+// room at their sources is not free yet.
 func (s *spreading) headroomPlaced(machines []*scheduler.Machine, moves []balance.Move) int {
 	taken := map[string]scheduler.Resources{}
 	for _, m := range moves {
--- a/controller/spreading_record.go
+++ b/controller/spreading_record.go
@@ -8,32 +8,32 @@
 	"pumicefront/wire"
 )
 
-// The record of moves, which outlives its leader: until when moves may have been made.
+// The record of moves, which outlives its leader: it says until when moves may have been begun.
 
-// movesKey is where it is kept: no version without load spreading reads or writes there.
+// movesKey is the key of the record. Versions without load spreading neither read nor write it.
 const movesKey = "b/moves"
 
-// movesRecord is the record.
+// movesRecord is the record of moves as it is stored.
 type movesRecord struct {
 	UntilMS int64 `cbor:"u"`
 }
 
-// movesRecordCopy is the record as it is in the state service.
-type movesRecordCopy struct {
-	until     time.Time // moves may be begun until then
-	version   uint64
-	writing   bool
-	keepUntil time.Time // what an earlier leader has placed may have moved lately until then
+// movesRecordState is what this leader knows of the record in the state service.
+type movesRecordState struct {
+	until             time.Time // moves may begin until then
+	version           uint64
+	writing           bool
+	restoredStayUntil time.Time // until then, attempts placed by an earlier leader stay: they may have moved recently
 }
 
-// How far ahead the record is written, and when it is written again.
+// How far ahead the record is written, and how long before that time it is written again.
 const (
-	movesAhead = time.Minute
-	movesRenew = 20 * time.Second
+	movesRecordHorizon     = time.Minute
+	movesRecordRenewMargin = 20 * time.Second
 )
 
-// restoreMoves takes up the record of earlier leaders. What they have placed may have moved until then,
-// and stays for as long as what has moved.
+// restoreMoves restores the record of earlier leaders. The tasks that they placed may have moved until the recorded
+// time, and stay for as long as tasks that have moved.
 func (s *spreading) restoreMoves(items []wire.Item) {
 	for _, it := range items {
 		if it.Key != movesKey {
@@ -42,19 +42,19 @@
 		s.record.version = it.Version
 		if rec := decode[movesRecord](it.Value); rec != nil {
 			until := time.UnixMilli(rec.UntilMS)
-			if most := s.c.now.Add(movesAhead); until.After(most) {
-				until = most // the clock of the leader that wrote it may have been ahead
+			if latest := s.c.now.Add(movesRecordHorizon); until.After(latest) {
+				until = latest // the clock of the leader that wrote it may have been ahead
 			}
-			s.record.keepUntil = until.Add(s.settings().Stay)
+			s.record.restoredStayUntil = until.Add(s.settings().Stay)
 		}
 	}
 }
 
-// recordMoves reports whether moves may be begun by the record, and has it written where it is due.
-func (s *spreading) recordMoves() bool {
+// ensureMovesRecord reports whether the record allows moves to begin, and writes it where it is due.
+func (s *spreading) ensureMovesRecord() bool {
 	left := s.record.until.Sub(s.c.now)
-	if left < movesRenew {
-		s.writeMoves()
+	if left < movesRecordRenewMargin {
+		s.writeMovesRecord()
 	}
 	if left <= 0 {
 		s.block = balance.RecordUnwritten
@@ -62,14 +62,14 @@
 	return left > 0
 }
 
-// writeMoves writes the record anew.
-func (s *spreading) writeMoves() {
+// writeMovesRecord extends the record if the write budget allows it.
+func (s *spreading) writeMovesRecord() {
 	if s.record.writing || !s.budget.allows(s.c.now, 1, false) {
 		return
 	}
 	s.budget.spend(s.c.now, 1, false)
 	s.record.writing = true
-	until := s.c.now.Add(movesAhead)
+	until := s.c.now.Add(movesRecordHorizon)
 	txn := wire.Txn{
 		If:   []wire.Cond{s.leadershipCondition(), {Key: movesKey, Version: s.record.version}},
 		Then: []wire.Change{put(movesKey, movesRecord{until.UnixMilli()})},
@@ -80,13 +80,13 @@
 		case r.Status == http.StatusOK:
 			s.record.writing, s.record.until, s.record.version = false, until, r.Txn.Revision
 		default:
-			s.c.after(retryPause, s.rereadMoves)
+			s.c.after(retryPause, s.rereadMovesRecord)
 		}
 	})
 }
 
-// rereadMoves finds out what became of a write that was not confirmed; it is written again when it is due.
-func (s *spreading) rereadMoves() {
+// rereadMovesRecord finds out whether an unconfirmed write took effect; the record is written again when it is due.
+func (s *spreading) rereadMovesRecord() {
 	if s.c.lead != s.leader {
 		return
 	}
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -13,7 +13,7 @@
 	"pumicefront/zones"
 )
 
-// spreadingLeader is a leader that spreads load, with so many machines of eight cores that are all up.
+// spreadingLeader returns a leader that spreads load over the given number of eight-core machines, which are all up.
 func spreadingLeader(t testing.TB, machines int) (*Core, *leader) {
 	t.Helper()
 	c, l, j := leading(t)
@@ -30,12 +30,12 @@
 	}
 	l.authority = c.now.Add(time.Hour)
 	l.c.control.lastRead = c.now.Add(time.Hour)
-	pass(l, time.Minute)
+	advance(l, time.Minute)
 	return c, l
 }
 
-// pass has time pass in which all machines report and the lease is renewed.
-func pass(l *leader, d time.Duration) {
+// advance lets time pass in which all machines report and the lease is renewed.
+func advance(l *leader, d time.Duration) {
 	l.c.now = l.c.now.Add(d)
 	for _, m := range l.machines {
 		m.reported, m.answered = l.c.now, l.c.now
@@ -43,8 +43,8 @@
 	l.renewed, l.failures.listening.lastLook = l.c.now, l.c.now
 }
 
-// runs adds a job whose tasks run on the given machines.
-func runs(l *leader, spec wire.Job, machines ...string) *job {
+// addRunningJob adds a job whose tasks run on the given machines.
+func addRunningJob(l *leader, spec wire.Job, machines ...string) *job {
 	spec.Team, spec.Priority, spec.Image, spec.CPUs, spec.MemoryGB = "red", "standard", "image", 2, 0.1
 	spec.Tasks = max(spec.Tasks, len(machines))
 	l.c.control.versions[headerKey(spec.ID)] = 3
@@ -57,52 +57,52 @@
 	return j
 }
 
-// skewed is a leader with four machines, of which the first is full with a task each of four services.
-func skewed(t *testing.T) (*Core, *leader, []*job) {
+// skewedLeader returns a leader with four machines, of which the first is full with one task of each of four services.
+func skewedLeader(t *testing.T) (*Core, *leader, []*job) {
 	c, l := spreadingLeader(t, 4)
 	var jobs []*job
 	for i := range 4 {
-		jobs = append(jobs, runs(l, wire.Job{ID: fmt.Sprintf("req-00000%d", i), Kind: wire.KindService}, "m0000"))
+		jobs = append(jobs, addRunningJob(l, wire.Job{ID: fmt.Sprintf("req-00000%d", i), Kind: wire.KindService}, "m0000"))
 	}
-	pass(l, 2*time.Minute)
+	advance(l, 2*time.Minute)
 	l.spreading.record.until = c.now.Add(time.Minute)
 	c.out = nil
 	return c, l, jobs
 }
 
-// planned has time pass and returns the moves that are under way then.
-func planned(l *leader) []balance.Entry {
+// runUntilPlanned lets time pass, runs load spreading, and returns the moves that are in progress then.
+func runUntilPlanned(l *leader) []balance.Entry {
 	for range 3 {
-		pass(l, 4*time.Second)
+		advance(l, 4*time.Second)
 		l.spreading.record.until = l.c.now.Add(time.Minute)
 		l.spreading.run()
 	}
 	return l.spreading.ledger.Entries()
 }
 
-// Whatever speaks against moves prevents them, and is told; without it there are moves.
-func TestWhatSpeaksAgainstMoves(t *testing.T) {
-	waiting := func(l *leader) { runs(l, wire.Job{ID: "req-000009", Kind: wire.KindArray, Tasks: 1}) }
+// Each condition that blocks moves prevents them and is reported; without one, moves begin.
+func TestMoveBlocks(t *testing.T) {
+	waiting := func(l *leader) { addRunningJob(l, wire.Job{ID: "req-000009", Kind: wire.KindArray, Tasks: 1}) }
 	for name, c := range map[string]struct {
 		change func(l *leader)
 		want   balance.Block
 	}{
-		"nothing":                  {func(*leader) {}, balance.NotBlocked},
-		"no lease":                 {func(l *leader) { l.authority = l.c.now }, balance.NoLease},
-		"late renewals":            {func(l *leader) { l.renewed = l.c.now.Add(-time.Second) }, balance.NoLease},
-		"a new leader":             {func(l *leader) { l.elected = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
-		"a pause of the leader":    {func(l *leader) { l.failures.listening.began = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
-		"a machine not heard":      {func(l *leader) { l.machines["m0000"].up = false }, balance.Unheard},
-		"a partition":              {func(l *leader) { l.partitions.active = map[string]bool{"a": true} }, balance.NetworkFault},
-		"a zone recovery":          {recoverZone, balance.Recovering},
-		"work that waits":          {waiting, balance.WorkWaits},
-		"few writes left":          {func(l *leader) { l.budget.background.AllowN(l.c.now, l.budget.burst()*2/3) }, balance.WritesShort},
-		"headroom that was short":  {func(l *leader) { l.spreading.pausedUntil = l.c.now.Add(time.Second) }, balance.HeadroomShort},
-		"work at its team's limit": {func(l *leader) { waiting(l); l.c.quotas["red"] = quotaOf(config.Team{CPUsMax: 8}) }, balance.NotBlocked},
+		"nothing":                         {func(*leader) {}, balance.NotBlocked},
+		"no lease":                        {func(l *leader) { l.authority = l.c.now }, balance.NoLease},
+		"late renewals":                   {func(l *leader) { l.renewed = l.c.now.Add(-time.Second) }, balance.NoLease},
+		"a new leader":                    {func(l *leader) { l.elected = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
+		"a pause of the leader":           {func(l *leader) { l.failures.listening.began = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
+		"a machine that has not reported": {func(l *leader) { l.machines["m0000"].up = false }, balance.Unheard},
+		"a partition":                     {func(l *leader) { l.partitions.active = map[string]bool{"a": true} }, balance.NetworkFault},
+		"a zone recovery":                 {recoverZone, balance.Recovering},
+		"work that waits":                 {waiting, balance.WorkWaits},
+		"few writes left":                 {func(l *leader) { l.budget.background.AllowN(l.c.now, l.budget.burst()*2/3) }, balance.WritesShort},
+		"headroom that is short":          {func(l *leader) { l.spreading.pausedUntil = l.c.now.Add(time.Second) }, balance.HeadroomShort},
+		"work at its team's limit":        {func(l *leader) { waiting(l); l.c.quotas["red"] = quotaOf(config.Team{CPUsMax: 8}) }, balance.NotBlocked},
 	} {
-		_, l, _ := skewed(t)
+		_, l, _ := skewedLeader(t)
 		c.change(l)
-		if got := l.spreading.blocked(); got != c.want {
+		if got := l.spreading.moveBlock(); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 		l.spreading.plannedAt = time.Time{}
@@ -120,8 +120,8 @@
 	l.zones.tracker.Observe(l.c.now, []zones.Health{{Zone: "a", Silent: 9}, {Zone: "b", Responsive: 9}})
 }
 
-// What work tolerates: each kind of it, and why the rest stays.
-func TestWhatTolerates(t *testing.T) {
+// Which work tolerates a move, and why other work stays.
+func TestMoveTolerances(t *testing.T) {
 	saves := wire.Job{ID: "req-000009", Kind: wire.KindArray, EstimateS: 4000, CheckpointS: 20, SaveS: 1}
 	with := func(change func(*wire.Job)) wire.Job {
 		spec := saves
@@ -135,39 +135,39 @@
 		change func(l *leader, j *job)
 		want   balance.Reason
 	}{
-		"a service":                     {spec: service},
-		"an array that saves":           {spec: saves},
-		"a deadline that holds":         {spec: with(func(s *wire.Job) { s.DeadlineS = &soon })},
-		"a deadline that would not":     {spec: with(func(s *wire.Job) { s.DeadlineS = &late }), want: balance.WouldBeLate},
-		"an aim that would not":         {spec: with(func(s *wire.Job) { s.Class = "timely" }), want: balance.WouldBeLate},
-		"in a chain":                    {spec: with(func(s *wire.Job) { s.DeadlineS, s.Needs = &soon, []string{"req-1"} }), want: balance.BoundChain},
-		"about to end":                  {spec: with(func(s *wire.Job) { s.EstimateS = 130 }), want: balance.TooDear},
-		"can't save":                    {spec: with(func(s *wire.Job) { s.CheckpointS = 0 }), want: balance.NoCheckpoints},
-		"no estimate":                   {spec: with(func(s *wire.Job) { s.EstimateS = 0 }), want: balance.NoEstimate},
-		"a gang":                        {spec: with(func(s *wire.Job) { s.Kind = wire.KindGang }), want: balance.Gang},
-		"another cell's":                {spec: saves, change: func(_ *leader, j *job) { j.origin = &originRecord{} }, want: balance.OtherCells},
-		"being stopped":                 {spec: service, change: func(_ *leader, j *job) { j.attempts[0].stopping = true }, want: balance.BeingStopped},
-		"stopped by an earlier leader":  {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].saving = true }, want: balance.BeingStopped},
-		"cancelled":                     {spec: saves, change: func(_ *leader, j *job) { j.cancelled = true }, want: balance.BeingStopped},
-		"not seen running":              {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].phase = attemptSeen }, want: balance.NotRunning},
-		"not settled":                   {spec: service, change: func(l *leader, j *job) { j.attempts[0].since = l.c.now.Add(-59 * time.Second) }, want: balance.Settling},
-		"another replica starts":        {spec: service, change: func(_ *leader, j *job) { j.attempts[1].phase = attemptSeen }, want: balance.ReplicaAway},
-		"another replica stops":         {spec: service, change: func(_ *leader, j *job) { j.attempts[1].stopping = true }, want: balance.ReplicaAway},
-		"another replica is missing":    {spec: service, change: func(_ *leader, j *job) { delete(j.attempts, 1) }, want: balance.ReplicaAway},
-		"has moved":                     {spec: service, change: hasMoved, want: balance.MovedBefore},
-		"may have moved":                {spec: service, change: mayHaveMoved, want: balance.MovedBefore},
-		"placed since the last moves":   {spec: service, change: func(l *leader, _ *job) { l.spreading.record.keepUntil = l.c.now.Add(time.Minute) }},
-		"lost work before, time is up":  {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: readyLongAgo, want: balance.TooDear},
-		"an earlier leader's, time too": {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: restoredLongAgo, want: balance.TooDear},
+		"a service":                         {spec: service},
+		"an array that saves":               {spec: saves},
+		"a deadline that is met":            {spec: with(func(s *wire.Job) { s.DeadlineS = &soon })},
+		"a deadline that would be missed":   {spec: with(func(s *wire.Job) { s.DeadlineS = &late }), want: balance.WouldBeLate},
+		"an objective that would be missed": {spec: with(func(s *wire.Job) { s.Class = "timely" }), want: balance.WouldBeLate},
+		"in a chain":                        {spec: with(func(s *wire.Job) { s.DeadlineS, s.Needs = &soon, []string{"req-1"} }), want: balance.BoundChain},
+		"about to end":                      {spec: with(func(s *wire.Job) { s.EstimateS = 130 }), want: balance.TooDear},
+		"can't save a checkpoint":           {spec: with(func(s *wire.Job) { s.CheckpointS = 0 }), want: balance.NoCheckpoints},
+		"no estimate":                       {spec: with(func(s *wire.Job) { s.EstimateS = 0 }), want: balance.NoEstimate},
+		"a gang":                            {spec: with(func(s *wire.Job) { s.Kind = wire.KindGang }), want: balance.Gang},
+		"another cell's":                    {spec: saves, change: func(_ *leader, j *job) { j.origin = &originRecord{} }, want: balance.OtherCells},
+		"being stopped":                     {spec: service, change: func(_ *leader, j *job) { j.attempts[0].stopping = true }, want: balance.BeingStopped},
+		"stopped by an earlier leader":      {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].saving = true }, want: balance.BeingStopped},
+		"cancelled":                         {spec: saves, change: func(_ *leader, j *job) { j.cancelled = true }, want: balance.BeingStopped},
+		"not seen running":                  {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].phase = attemptSeen }, want: balance.NotRunning},
+		"started recently":                  {spec: service, change: func(l *leader, j *job) { j.attempts[0].since = l.c.now.Add(-59 * time.Second) }, want: balance.Settling},
+		"another replica starts":            {spec: service, change: func(_ *leader, j *job) { j.attempts[1].phase = attemptSeen }, want: balance.ReplicaAway},
+		"another replica stops":             {spec: service, change: func(_ *leader, j *job) { j.attempts[1].stopping = true }, want: balance.ReplicaAway},
+		"another replica is missing":        {spec: service, change: func(_ *leader, j *job) { delete(j.attempts, 1) }, want: balance.ReplicaAway},
+		"has moved":                         {spec: service, change: hasMoved, want: balance.MovedBefore},
+		"may have moved":                    {spec: service, change: mayHaveMoved, want: balance.MovedBefore},
+		"placed since the last moves":       {spec: service, change: func(l *leader, _ *job) { l.spreading.record.restoredStayUntil = l.c.now.Add(time.Minute) }},
+		"lost work before, time is up":      {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: readyLongAgo, want: balance.TooDear},
+		"an earlier leader's, time is up":   {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: restoredLongAgo, want: balance.TooDear},
 	} {
 		core, l := spreadingLeader(t, 4)
 		core.cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "timely", WithinS: 4000}}
-		j := runs(l, c.spec, "m0000", "m0001")
-		pass(l, 2*time.Minute)
+		j := addRunningJob(l, c.spec, "m0000", "m0001")
+		advance(l, 2*time.Minute)
 		if c.change != nil {
 			c.change(l, j)
 		}
-		if got, _ := newTolerances(l.spreading).of(j.attempts[0]); got != c.want {
+		if got, _ := newMoveTolerances(l.spreading).check(j.attempts[0]); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 func mayHaveMoved(l *leader, j *job) {
-	j.attempts[0].restored, l.spreading.record.keepUntil = true, l.c.now.Add(time.Second)
+	j.attempts[0].restored, l.spreading.record.restoredStayUntil = true, l.c.now.Add(time.Second)
 }
 
 func readyLongAgo(l *leader, j *job) {
@@ -189,12 +189,12 @@
 	j.attempts[0].restored, j.ready = true, l.c.now.Add(-500*time.Second)
 }
 
-// A move stops its attempt, which stays in force and counts until it is proved gone; room is held
-// meanwhile and is the task's alone.
+// A move stops its attempt, which stays in force and counts for its team until it is proved to have ended. Room is held
+// meanwhile, for this task alone.
 func TestMoveHoldsRoom(t *testing.T) {
-	c, l, _ := skewed(t)
-	moves := planned(l)
-	if len(moves) != 1 { // in flight at most in so small a fleet
+	c, l, _ := skewedLeader(t)
+	moves := runUntilPlanned(l)
+	if len(moves) != 1 { // the most in flight for so small a fleet
 		t.Fatalf("%d moves", len(moves))
 	}
 	e := moves[0]
@@ -211,25 +211,25 @@
 		return -1
 	}
 	if free(e.To) != 6 || free("m0000") != 0 {
-		t.Errorf("%v cores are free at the destination, %v at the source", free(e.To), free("m0000"))
+		t.Errorf("%v cores are free at the destination, %v at the source, want 6 and 0", free(e.To), free("m0000"))
 	}
 	if l.spreading.withoutHeld(l.demands()); len(l.demands()) != 0 {
-		t.Error("a task in force is wanted elsewhere")
+		t.Error("a task with an attempt in force is demanded again")
 	}
-	var others []wire.Task
+	var tasks []wire.Task
 	for _, a := range from.list {
 		state, why := wire.TaskRunning, ""
 		if a.job == j {
 			state, why = wire.TaskExited, wire.WhyStopped
 		}
-		others = append(others, wire.Task{ID: a.taskID(), Attempt: a.number, State: state, Why: why})
+		tasks = append(tasks, wire.Task{ID: a.taskID(), Attempt: a.number, State: state, Why: why})
 	}
-	rep := report(from, l.token, others...)
+	rep := report(from, l.token, tasks...)
 	rep.Addr, rep.Type, rep.Zone = from.addr, from.typ, from.zone
 	l.failures.applyHeartbeat(from, rep)
 	l.spreading.run()
 	if ds := l.spreading.withoutHeld(l.demands()); len(ds) != 1 || len(ds[0].Tasks) != 0 {
-		t.Errorf("room would be rented for a task that has some held: %+v", ds)
+		t.Errorf("machines would be requested for a task with held room: %+v", ds)
 	}
 	c.now = c.now.Add(time.Second)
 	l.place()
@@ -238,11 +238,11 @@
 	}
 }
 
-// No move is begun before the record says that there may be some; the record is conditional on
-// leadership, and what an earlier leader's says binds the next one.
-func TestRecordOfMoves(t *testing.T) {
-	c, l, _ := skewed(t)
-	l.spreading.record = movesRecordCopy{version: 8}
+// No move begins before the record that allows it is written. The write is conditional on leadership, and the next
+// leader obeys the record of an earlier one.
+func TestMovesRecord(t *testing.T) {
+	c, l, _ := skewedLeader(t)
+	l.spreading.record = movesRecordState{version: 8}
 	l.spreading.ledger.Allowance(c.now.Add(-time.Minute), 4, 0)
 	l.spreading.run()
 	if l.spreading.ledger.Len() > 0 || l.spreading.block != balance.RecordUnwritten {
@@ -259,34 +259,34 @@
 		t.Fatalf("%+v", call.Txn)
 	}
 	resume(c.stateCalls, call.ID, StateReply{ID: call.ID, Status: http.StatusOK, Txn: wire.TxnAnswer{Revision: 9}})
-	if len(planned(l)) == 0 {
-		t.Error("no move once it is written")
+	if len(runUntilPlanned(l)) == 0 {
+		t.Error("no moves after the record is written")
 	}
 	next := newSpreading(l)
 	next.restoreMoves([]wire.Item{{Key: movesKey, Value: call.Txn.Then[0].Value, Version: 9}})
-	until := next.record.keepUntil.Sub(c.now)
-	if stay := l.spreading.settings().Stay; until < stay || until > stay+movesAhead || next.record.version != 9 || !next.record.until.IsZero() {
-		t.Errorf("a new leader lets what it finds stay for %v: %+v", until, next.record)
+	until := next.record.restoredStayUntil.Sub(c.now)
+	if stay := l.spreading.settings().Stay; until < stay || until > stay+movesRecordHorizon || next.record.version != 9 || !next.record.until.IsZero() {
+		t.Errorf("a new leader does not move restored tasks for %v: %+v", until, next.record)
 	}
 	ahead := wire.Marshal(movesRecord{c.now.Add(24 * time.Hour).UnixMilli()})
 	next.restoreMoves([]wire.Item{{Key: movesKey, Value: ahead, Version: 9}})
-	if until := next.record.keepUntil.Sub(c.now); until > l.spreading.settings().Stay+movesAhead {
-		t.Errorf("a clock that was ahead holds moves back for %v", until)
+	if until := next.record.restoredStayUntil.Sub(c.now); until > l.spreading.settings().Stay+movesRecordHorizon {
+		t.Errorf("a clock that was ahead delays moves for %v", until)
 	}
 }
 
-// Moves that an earlier leader has begun count as under way.
+// Moves that an earlier leader has begun count as in progress.
 func TestMovesOfAnEarlierLeaderCount(t *testing.T) {
-	_, l, jobs := skewed(t)
+	_, l, jobs := skewedLeader(t)
 	jobs[0].attempts[0].saving = true
-	if moves := planned(l); len(moves) > 0 {
-		t.Errorf("%+v beside one that an earlier leader has begun", moves)
+	if moves := runUntilPlanned(l); len(moves) > 0 {
+		t.Errorf("moves %+v begin in addition to one of an earlier leader", moves)
 	}
 }
 
-// Headroom that fits only beside the moves holds them back: nothing is rented for their sake.
-func TestMovesKeepHeadroom(t *testing.T) {
-	c, l, _ := skewed(t)
+// Moves are held back if headroom fits only without them: no machines are requested for the sake of moves.
+func TestMovesPreserveHeadroom(t *testing.T) {
+	c, l, _ := skewedLeader(t)
 	c.op.HeadroomMost, c.op.Headroom = 10, 10
 	c.setTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 8, BootS: 60, Zones: []string{"a"}}})
 	c.cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 1}}
@@ -295,27 +295,27 @@
 		l.autoscaler.arrivals = append(l.autoscaler.arrivals, arrival{"web", 3, c.now.Add(30 * time.Second)})
 	}
 	if before := l.spreading.headroomPlaced(l.view(false), nil); before != 3 {
-		t.Fatalf("%d places of headroom", before)
+		t.Fatalf("room for %d tasks of headroom, want 3", before)
 	}
-	if moves := planned(l); len(moves) > 0 || l.spreading.block != balance.HeadroomShort {
+	if moves := runUntilPlanned(l); len(moves) > 0 || l.spreading.block != balance.HeadroomShort {
 		t.Errorf("%d moves, blocked by %q", len(moves), l.spreading.block)
 	}
 }
 
-// Without the operators' block nothing of it exists.
+// Without the operators' settings for it, load spreading does nothing.
 func TestSpreadingOff(t *testing.T) {
 	_, l, _ := leading(t)
 	read := false
 	l.readOptional(func(string, func([]wire.Item)) { read = true }, func() {})
-	if l.spreading != nil || read || l.spreading.keepsIdle() || l.spreading.moving() {
-		t.Error("something of load spreading is there")
+	if l.spreading != nil || read || l.spreading.keepsIdleMachines() || l.spreading.moving() {
+		t.Error("load spreading is active without its settings")
 	}
 	l.spreading.run()
-	l.spreading.prepare(nil, nil)
+	l.spreading.setBalance(nil, nil)
 }
 
-// A task in held room is still placed only as its team's limit and its job's constraints allow.
-func TestHeldRoomIsNoRight(t *testing.T) {
+// A task with held room is still placed only as its team's limit and its job's constraints allow.
+func TestHeldRoomObeysLimitsAndConstraints(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(l *leader, e balance.Entry)
 		placed bool
@@ -325,8 +325,8 @@
 		"its job avoids it now":     {func(l *leader, e balance.Entry) { l.jobs[e.Job].avoid[e.To] = true }, false},
 		"the destination is silent": {func(l *leader, e balance.Entry) { l.machines[e.To].reported = l.c.now.Add(-time.Minute) }, false},
 	} {
-		_, l, _ := skewed(t)
-		e := planned(l)[0]
+		_, l, _ := skewedLeader(t)
+		e := runUntilPlanned(l)[0]
 		l.gone(l.jobs[e.Job].attempts[0], reduction.Reset, proofAbsent)
 		c.change(l, e)
 		l.spreading.run()
@@ -334,32 +334,32 @@
 		l.place()
 		a := l.jobs[e.Job].attempts[0]
 		if placed := a != nil && a.machine.id == e.To; placed != c.placed {
-			t.Errorf("%s: placed in its room %v", name, placed)
+			t.Errorf("%s: placed in held room is %v", name, placed)
 		}
 		if entry, moving := l.spreading.ledger.Entry(e.TaskID); moving && entry.Held {
-			t.Errorf("%s: room is held still", name)
+			t.Errorf("%s: room is still held", name)
 		}
 	}
 }
 
-// What is urgent takes as much held room as it needs, and no more; other work takes none.
+// Urgent work takes as much held room as it needs and no more; other work takes none.
 func TestUrgentWorkTakesHeldRoom(t *testing.T) {
 	for name, c := range map[string]struct {
 		spec wire.Job
-		left int // rooms that are held still
+		left int // tasks whose room is still held
 	}{
 		"a service of two tasks": {wire.Job{ID: "req-000009", Kind: wire.KindService, Priority: "standard", Tasks: 2}, 1},
 		"an array":               {wire.Job{ID: "req-000009", Kind: wire.KindArray, Priority: "standard", Tasks: 2}, 3},
 	} {
 		_, l := spreadingLeader(t, 4)
-		for i := range 3 { // three machines are full but for one task each, whose room is held
+		for i := range 3 { // three machines have room for one task each, and it is held
 			m := fmt.Sprintf("m000%d", i+1)
-			runs(l, wire.Job{ID: fmt.Sprintf("req-00010%d", i), Kind: wire.KindService}, m, m, m)
-			j := runs(l, wire.Job{ID: fmt.Sprintf("req-00000%d", i), Kind: wire.KindService}, "m0000")
+			addRunningJob(l, wire.Job{ID: fmt.Sprintf("req-00010%d", i), Kind: wire.KindService}, m, m, m)
+			j := addRunningJob(l, wire.Job{ID: fmt.Sprintf("req-00000%d", i), Kind: wire.KindService}, "m0000")
 			l.spreading.ledger.Begin(l.c.now, balance.Move{Task: j.attempts[0].movableTask(1), From: "m0000", To: m}, j.attempts[0].number)
 		}
-		runs(l, wire.Job{ID: "req-000200", Kind: wire.KindService}, "m0000")
-		j := runs(l, c.spec)
+		addRunningJob(l, wire.Job{ID: "req-000200", Kind: wire.KindService}, "m0000")
+		j := addRunningJob(l, c.spec)
 		j.terms.Borrowed = true
 		l.guaranteesAt = l.c.now
 		l.placeAt = l.c.now
@@ -371,13 +371,13 @@
 			}
 		}
 		if left != c.left || len(j.attempts) != 3-c.left {
-			t.Errorf("%s: %d rooms are held still, %d tasks are placed", name, left, len(j.attempts))
+			t.Errorf("%s: room is still held for %d tasks, %d tasks are placed", name, left, len(j.attempts))
 		}
 	}
 }
 
-// What a destination must be: with room beside the other moves of a plan, of the same kind as the source,
-// and none that the job avoids or its constraints rule out, the attempt itself not counted.
+// A destination must have room beside the other moves of a plan, be of the same kind as the source (spot or not), and
+// be neither avoided by the job nor ruled out by its constraints; the moved attempt itself is not counted.
 func TestDestinations(t *testing.T) {
 	service := wire.Job{ID: "req-000000", Kind: wire.KindService}
 	with := func(change func(*wire.Job)) wire.Job {
@@ -390,37 +390,37 @@
 		change func(l *leader, j *job, to *balance.Machine)
 		fits   bool
 	}{
-		"as it is":                         {spec: service, fits: true},
-		"other moves fill it":              {spec: service, change: func(_ *leader, _ *job, to *balance.Machine) { to.Used.CPUs += 7 }},
-		"a spot machine":                   {spec: with(func(s *wire.Job) { s.Spot = true }), change: onSpot},
-		"one that the job avoids":          {spec: service, change: func(l *leader, j *job, _ *balance.Machine) { j.avoid["m0003"] = true }},
-		"one without the image":            {spec: service, change: func(l *leader, _ *job, _ *balance.Machine) { delete(l.machines["m0003"].images, "image") }},
-		"an array needs no image":          {spec: with(func(s *wire.Job) { s.Kind = wire.KindArray }), change: func(l *leader, _ *job, _ *balance.Machine) { delete(l.machines["m0003"].images, "image") }, fits: true},
-		"scattered, the last of its zone":  {spec: with(func(s *wire.Job) { s.Spread, s.Tasks = true, 2 }), fits: true},
-		"scattered, another one there too": {spec: with(func(s *wire.Job) { s.Spread, s.Tasks = true, 2 }), change: func(l *leader, j *job, _ *balance.Machine) { place(l, j, 1, l.machines["m0001"]) }},
-		"one zone, and it is another":      {spec: with(func(s *wire.Job) { s.OneZone, s.Tasks = true, 2 }), change: otherZone},
-		"bound to a zone":                  {spec: with(func(s *wire.Job) { s.Zone = "b" })},
-		"another type":                     {spec: with(func(s *wire.Job) { s.Types = []string{"big"} })},
+		"as it is":                      {spec: service, fits: true},
+		"other moves fill it":           {spec: service, change: func(_ *leader, _ *job, to *balance.Machine) { to.Used.CPUs += 7 }},
+		"a spot machine":                {spec: with(func(s *wire.Job) { s.Spot = true }), change: onSpot},
+		"one that the job avoids":       {spec: service, change: func(l *leader, j *job, _ *balance.Machine) { j.avoid["m0003"] = true }},
+		"one without the image":         {spec: service, change: func(l *leader, _ *job, _ *balance.Machine) { delete(l.machines["m0003"].images, "image") }},
+		"an array needs no image":       {spec: with(func(s *wire.Job) { s.Kind = wire.KindArray }), change: func(l *leader, _ *job, _ *balance.Machine) { delete(l.machines["m0003"].images, "image") }, fits: true},
+		"spread, the last of its zone":  {spec: with(func(s *wire.Job) { s.Spread, s.Tasks = true, 2 }), fits: true},
+		"spread, another one there too": {spec: with(func(s *wire.Job) { s.Spread, s.Tasks = true, 2 }), change: func(l *leader, j *job, _ *balance.Machine) { place(l, j, 1, l.machines["m0001"]) }},
+		"one zone, and it is another":   {spec: with(func(s *wire.Job) { s.OneZone, s.Tasks = true, 2 }), change: otherZone},
+		"restricted to another zone":    {spec: with(func(s *wire.Job) { s.Zone = "b" })},
+		"another type":                  {spec: with(func(s *wire.Job) { s.Types = []string{"big"} })},
 	} {
 		_, l := spreadingLeader(t, 4)
-		j := runs(l, c.spec, "m0000")
+		j := addRunningJob(l, c.spec, "m0000")
 		l.machines["m0003"].snapshot = nil
 		var to *balance.Machine
 		prepare := func() balance.Picture {
-			picture := l.spreading.picture(l.view(false))
-			to = &picture.Machines[3]
-			return picture
+			fleet := l.spreading.fleetState(l.view(false))
+			to = &fleet.Machines[3]
+			return fleet
 		}
-		picture := prepare()
+		fleet := prepare()
 		if c.change != nil {
 			c.change(l, j, to)
 			if name != "other moves fill it" {
 				l.machines["m0003"].snapshot = nil
-				picture = prepare()
+				fleet = prepare()
 			}
 		}
 		task := j.attempts[0].movableTask(1)
-		if fits := picture.Fits(&task, to) && (task.OnlyImage == "" || picture.HasImage(to, task.OnlyImage)); fits != c.fits {
+		if fits := fleet.Fits(&task, to) && (task.OnlyImage == "" || fleet.HasImage(to, task.OnlyImage)); fits != c.fits {
 			t.Errorf("%s: fits %v", name, fits)
 		}
 	}
@@ -433,26 +433,26 @@
 	l.machines["m0003"].zone = "b"
 }
 
-// What is being stopped is on its way off its machine: it makes that machine hot no more.
-func TestStoppedTasksAreOnTheirWayOff(t *testing.T) {
-	_, l, jobs := skewed(t)
+// Tasks that are being stopped do not count as load: a machine is not hot because of them.
+func TestStoppedTasksDoNotCountAsLoad(t *testing.T) {
+	_, l, jobs := skewedLeader(t)
 	for _, j := range jobs[:2] {
 		l.stop(j.attempts[0], 0)
 	}
-	for _, m := range l.spreading.picture(l.view(false)).Machines {
+	for _, m := range l.spreading.fleetState(l.view(false)).Machines {
 		if want := map[string]float64{"m0000": 0.5}[m.ID]; m.Share() != want {
 			t.Errorf("%s has a share of %v, want %v", m.ID, m.Share(), want)
 		}
 	}
 }
 
-// Where idle machines are kept, none is returned for being idle, none is emptied; and nothing is rented
-// for a task that has room held.
-func TestKeptFleet(t *testing.T) {
+// Where idle machines are kept, none is released for being idle, and none is emptied. No machines are requested for a
+// task that has held room.
+func TestKeepIdleMachines(t *testing.T) {
 	for _, keep := range []bool{true, false} {
-		c, l, _ := skewed(t)
+		c, l, _ := skewedLeader(t)
 		c.op.Spreading.KeepIdle = keep
-		pass(l, 30*time.Minute)
+		advance(l, 30*time.Minute)
 		l.autoscaler.scaleIn()
 		released := 0
 		for _, m := range l.fleetOrder {
@@ -461,16 +461,16 @@
 			}
 		}
 		if (released == 0) != keep {
-			t.Errorf("idle machines are kept %v: %d are returned", keep, released)
+			t.Errorf("idle machines are kept is %v: %d are released", keep, released)
 		}
 		l.autoscaler.consolidatedAt = time.Time{}
 		l.autoscaler.consolidate()
-		if looked := !l.autoscaler.consolidatedAt.IsZero(); looked == keep {
-			t.Errorf("idle machines are kept %v: consolidation looks at machines %v", keep, looked)
+		if ran := !l.autoscaler.consolidatedAt.IsZero(); ran == keep {
+			t.Errorf("idle machines are kept is %v: consolidation ran is %v", keep, ran)
 		}
 	}
-	c, l, _ := skewed(t)
-	e := planned(l)[0]
+	c, l, _ := skewedLeader(t)
+	e := runUntilPlanned(l)[0]
 	c.op.Spreading.KeepIdle, l.autoscaler.consolidatedAt = false, time.Time{}
 	if l.autoscaler.consolidate(); !l.autoscaler.consolidatedAt.IsZero() {
 		t.Error("machines are emptied while a move is under way")
@@ -478,15 +478,15 @@
 	l.gone(l.jobs[e.Job].attempts[0], reduction.Reset, proofAbsent)
 	for _, d := range l.autoscaler.backlog() {
 		if d.Job == e.Job && len(d.Tasks) > 0 {
-			t.Errorf("room is wanted for %v of %s", d.Tasks, d.Job)
+			t.Errorf("machines are requested for tasks %v of %s", d.Tasks, d.Job)
 		}
 	}
 }
 
-// Where nothing can be moved, nothing is written, and machines that are suspected to be faulty neither
-// give nor take.
+// Where nothing can be moved, nothing is written. Machines that are suspected to be faulty are neither sources nor
+// destinations.
 func TestNothingToMove(t *testing.T) {
-	c, l, jobs := skewed(t)
+	c, l, jobs := skewedLeader(t)
 	l.spreading.record.until = time.Time{}
 	for _, j := range jobs {
 		j.avoid["m0001"], j.avoid["m0002"], j.avoid["m0003"] = true, true, true
@@ -494,26 +494,27 @@
 	l.spreading.run()
 	for _, o := range c.out {
 		if call, ok := o.(StateCall); ok && call.Op == OpTxn {
-			t.Errorf("written: %+v", call.Txn)
+			t.Errorf("unexpected write: %+v", call.Txn)
 		}
 	}
-	// Two jobs failed on it that have run well elsewhere: the fault is the machine's.
+	// Two jobs failed on this machine and succeeded elsewhere, so the machine is suspected.
 	for _, j := range jobs[:2] {
 		l.machines["m0001"].faults[j.id] = true
 		j.failures.Succeeded()
 	}
 	l.machines["m0001"].snapshot = nil
-	for _, m := range l.spreading.picture(l.view(false)).Machines {
+	for _, m := range l.spreading.fleetState(l.view(false)).Machines {
 		if m.ID == "m0001" {
-			t.Error("a faulty machine counts")
+			t.Error("a faulty machine is in the fleet state")
 		}
 	}
 }
 
-// The status tells of each hot machine why its tasks stay, of teams and images what is hot, and what moves.
+// The status shows why the tasks of each hot machine stay, which teams and images are concentrated on hot
+// machines, and the moves in progress.
 func TestSpreadStatus(t *testing.T) {
-	c, l, jobs := skewed(t)
-	runs(l, wire.Job{ID: "req-000009", Kind: wire.KindArray}, "m0001")
+	c, l, jobs := skewedLeader(t)
+	addRunningJob(l, wire.Job{ID: "req-000009", Kind: wire.KindArray}, "m0001")
 	for _, m := range []string{"m0001", "m0002", "m0003"} {
 		delete(l.machines[m].images, "image")
 	}
@@ -532,12 +533,12 @@
 		t.Errorf("%+v, %+v", s.Teams, s.Images)
 	}
 	l.machines["m0003"].images["image"] = true
-	moves := planned(l)
+	moves := runUntilPlanned(l)
 	if s = ask(); len(moves) != 1 || len(s.Moves) != 1 || s.Moves[0].To != moves[0].To || s.Counts.Begun != 1 {
-		t.Errorf("%+v, told %+v", moves, s.Moves)
+		t.Errorf("moves %+v, status shows %+v", moves, s.Moves)
 	}
 	c.lead = nil
 	if s = ask(); s.Leading || len(s.Machines) > 0 {
-		t.Errorf("one that does not lead tells %+v", s)
+		t.Errorf("a controller that does not lead answers %+v", s)
 	}
 }
--- a/controller/spreading_tolerance.go
+++ b/controller/spreading_tolerance.go
@@ -9,21 +9,21 @@
 	"pumicefront/wire"
 )
 
-// Which running tasks tolerate a move, and what it costs them.
+// Which running tasks tolerate a move, and what the move costs them.
 
-// tolerances answers that for one plan; what holds for a whole service is found once.
-type tolerances struct {
+// moveTolerances answers that for one plan; what holds for a whole service is determined once.
+type moveTolerances struct {
 	*spreading
-	up map[*job]bool
+	allRunning map[*job]bool
 }
 
-func newTolerances(s *spreading) *tolerances { return &tolerances{s, map[*job]bool{}} }
+func newMoveTolerances(s *spreading) *moveTolerances { return &moveTolerances{s, map[*job]bool{}} }
 
-// serviceMoveCost is what the move of a replica costs, in seconds of its time.
+// serviceMoveCost is what moving a replica costs, in seconds of its time.
 const serviceMoveCost = 0.5
 
-// of tells why an attempt's task is not to be moved, or what the move costs in seconds of its time.
-func (t *tolerances) of(a *attempt) (balance.Reason, float64) {
+// check returns why an attempt's task must not be moved, or what the move costs in seconds of its time.
+func (t *moveTolerances) check(a *attempt) (balance.Reason, float64) {
 	spec, ran := &a.job.spec, t.c.now.Sub(a.since)
 	switch {
 	case a.stopping || a.saving || a.job.cancelled:
@@ -36,27 +36,27 @@
 		return balance.OtherCells, 0
 	case a.job.due.last != nil && (len(spec.Needs) > 0 || len(t.c.chains.Successors(a.job.id)) > 0):
 		return balance.BoundChain, 0
-	case t.movedBefore(a):
+	case t.movedLately(a):
 		return balance.MovedBefore, 0
 	case ran < t.settings().Settled:
 		return balance.Settling, 0
 	case spec.Kind == wire.KindService:
-		return t.ofService(a.job)
+		return t.checkService(a.job)
 	}
-	return t.ofArray(a)
+	return t.checkArray(a)
 }
 
-// movedBefore reports whether a task has moved lately, or may have under an earlier leader.
-func (t *tolerances) movedBefore(a *attempt) bool {
-	return a.restored && t.c.now.Before(t.record.keepUntil) || t.ledger.MovedLately(t.c.now, a.moveID())
+// movedLately reports whether a task has moved recently, or may have moved under an earlier leader.
+func (t *moveTolerances) movedLately(a *attempt) bool {
+	return a.restored && t.c.now.Before(t.record.restoredStayUntil) || t.ledger.MovedLately(t.c.now, a.moveID())
 }
 
-// ofService answers for the replicas of a service, which are moved one at a time.
-func (t *tolerances) ofService(j *job) (balance.Reason, float64) {
-	up, known := t.up[j]
+// checkService checks a replica of a service; replicas are moved one at a time.
+func (t *moveTolerances) checkService(j *job) (balance.Reason, float64) {
+	up, known := t.allRunning[j]
 	if !known {
-		up = j.replicasUp()
-		t.up[j] = up
+		up = j.allReplicasRunning()
+		t.allRunning[j] = up
 	}
 	if !up {
 		return balance.ReplicaAway, 0
@@ -64,8 +64,8 @@
 	return balance.Movable, serviceMoveCost
 }
 
-// ofArray answers for a task of an array.
-func (t *tolerances) ofArray(a *attempt) (balance.Reason, float64) {
+// checkArray checks a task of an array.
+func (t *moveTolerances) checkArray(a *attempt) (balance.Reason, float64) {
 	spec := &a.job.spec
 	switch {
 	case spec.CheckpointS <= 0:
@@ -73,8 +73,8 @@
 	case spec.EstimateS <= 0:
 		return balance.NoEstimate, 0
 	}
-	cost := spec.SaveS + t.slowestFetch(spec) + min(spec.CheckpointS, t.ranAtMost(a).Seconds())
-	left := spec.EstimateS - t.ranAtMost(a).Seconds()
+	cost := spec.SaveS + t.slowestFetch(spec) + min(spec.CheckpointS, t.maxRunTime(a).Seconds())
+	left := spec.EstimateS - t.maxRunTime(a).Seconds()
 	switch {
 	case cost > left*t.settings().CostShare:
 		return balance.TooDear, 0
@@ -84,18 +84,18 @@
 	return balance.Movable, cost
 }
 
-// ranAtMost is how much of a task may be done. Of what an earlier leader has placed, and of what has
-// begun before, all that is known is since when it could run.
-func (t *tolerances) ranAtMost(a *attempt) time.Duration {
+// maxRunTime is for how long a task may have run at most. For an attempt placed by an earlier leader, and for a job that
+// was disrupted, it is only known since when the task could run.
+func (t *moveTolerances) maxRunTime(a *attempt) time.Duration {
 	if a.restored || a.job.disrupted {
 		return t.c.now.Sub(a.job.ready)
 	}
 	return t.c.now.Sub(a.since)
 }
 
-// wouldBeLate reports whether a task that loses so many seconds may miss its deadline or an aim on its
-// job's finishing.
-func (t *tolerances) wouldBeLate(a *attempt, cost float64) bool {
+// wouldBeLate reports whether a task that loses the given seconds may miss its deadline or an objective on its job's
+// finishing.
+func (t *moveTolerances) wouldBeLate(a *attempt, cost float64) bool {
 	left := t.remaining(a) + cost
 	if due := a.job.due; due.last != nil && t.c.now.Add(config.Seconds(left)).After(due.at()) {
 		return true
