--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// backlog lists the demands that need a scale-out. Batch tasks are left out where running tasks end, before a machine
+// backlog lists the demands that may need a scale-out. Batch tasks are left out where running tasks end, before a machine
 // requested now would be up, and free more room than newly arriving batch work will take in that time.
 func (s *autoscaler) backlog() []*scheduler.Demand {
 	used := s.teamUse()
--- a/controller/consolidation.go
+++ b/controller/consolidation.go
@@ -42,7 +42,7 @@
 	s.c.log(slog.LevelInfo, "emptying machine", "machine", best.id, "tasks", len(best.list))
 	best.consolidating = true
 	for _, a := range best.list {
-		s.stop(a, graceOf(&a.job.spec))
+		s.stop(a, saveGraceS(&a.job.spec))
 	}
 	s.wantPlacement()
 }
--- a/controller/demands.go
+++ b/controller/demands.go
@@ -49,8 +49,8 @@
 	return ds
 }
 
-// delaysChain reports whether a lost task of a job delays other jobs of a chain with a deadline, or takes from the time
-// that earlier jobs of the chain have left.
+// delaysChain reports whether a lost task of a job delays other jobs of a chain with a deadline, or uses up the time that
+// earlier jobs of the chain have left before the deadline.
 func (j *job) delaysChain(chains *reduction.DynamicGraph) bool {
 	return j.due.last != nil && (len(j.spec.Needs) > 0 || len(chains.Successors(j.id)) > 0)
 }
--- a/controller/draining.go
+++ b/controller/draining.go
@@ -10,7 +10,7 @@
 	for _, a := range m.list {
 		j := &a.job.spec
 		if j.Kind == wire.KindService || j.CheckpointS > 0 || l.remaining(a) > leftS {
-			l.stop(a, graceOf(j))
+			l.stop(a, saveGraceS(j))
 		}
 	}
 	l.wantPlacement()
@@ -26,8 +26,8 @@
 	return max(a.job.spec.EstimateS-ran, ran/4)
 }
 
-// graceOf is the time in seconds that a stopped task gets to save.
-func graceOf(j *wire.Job) float64 {
+// saveGraceS is the time in seconds that a stopped task gets to save.
+func saveGraceS(j *wire.Job) float64 {
 	if j.CheckpointS == 0 {
 		return 0
 	}
--- a/controller/placement.go
+++ b/controller/placement.go
@@ -181,7 +181,7 @@
 	victims, room := scheduler.Preempt(machines, d, min(missing, 32), excess, l.c.now)
 	for _, v := range victims {
 		a := l.jobs[v.Job].attempts[v.Task]
-		l.stop(a, graceOf(&a.job.spec))
+		l.stop(a, saveGraceS(&a.job.spec))
 		l.c.log(slog.LevelInfo, "preempting", "job", v.Job, "task", v.Task, "machine", a.machine.id, "for", d.Job)
 	}
 	return room
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -78,7 +78,7 @@
 	return names
 }
 
-// offer is the offer that a request asks for.
+// offer is the kind of instance that a request is for: type, zone, and whether spot.
 func (req *instanceRequest) offer() offerKey {
 	return offerKey{req.spec.Type, req.spec.Zone, req.spec.Spot}
 }
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -103,7 +103,7 @@
 	s.ledger.Begin(s.c.now, m, a.number)
 	entry, _ := s.ledger.Entry(m.TaskID)
 	s.handleChange(balance.Change{Entry: entry})
-	s.stop(a, graceOf(&a.job.spec))
+	s.stop(a, saveGraceS(&a.job.spec))
 }
 
 // heldOn is the room that is held on a machine.
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -83,8 +83,8 @@
 	return !slices.ContainsFunc(s.fleetOrder, func(m *machine) bool { return len(m.attempts) > 0 && !m.up })
 }
 
-// workWaiting reports whether tasks wait to be placed, apart from those that are being moved and those that their own
-// team's limit holds back.
+// workWaiting reports whether tasks wait to be placed, apart from those that are being moved and those that wait because
+// of their own team's limit.
 func (s *spreading) workWaiting() bool {
 	used := s.teamUse()
 	return slices.ContainsFunc(s.demands(), func(d *scheduler.Demand) bool {
