--- a/controller/broken_jobs.go
+++ b/controller/broken_jobs.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Jobs submitted with a mistake fail on every machine until their users cancel them. The
-// workers report that as they report a faulty machine. So a failure makes the job avoid
-// the machine, but counts against the machine only once the job has shown elsewhere that
-// it can run; and once package failureclass takes the job for broken, its retries back
-// off further.
+// Detection of broken jobs and faulty machines.
+//
+// A job submitted with a mistake fails on every machine until its user cancels it. Workers report
+// such a failure in the same way as one caused by a faulty machine. A failure therefore makes the
+// job avoid the machine, but counts against the machine only once the job has run elsewhere. Once
+// package failureclass classifies the job as broken, its retry backoff grows further.
 
 // taskFailed handles an attempt that ended with an error.
 func (l *leader) taskFailed(a *attempt) {
@@ -25,37 +26,37 @@
 	}
 	m.faults[j.id] = true
 	if j.failures.Broken() {
-		clear(j.avoid) // it fails everywhere: any machine is as good
+		clear(j.avoid) // it fails everywhere, so no machine is worse than another
 		return
 	}
 	j.avoid[m.id] = true
 	if len(j.avoid) >= max(2, len(l.machines)/2) {
-		clear(j.avoid) // it fails everywhere: any machine is as good
+		clear(j.avoid) // it fails everywhere, so no machine is worse than another
 	}
 }
 
-// faultyAfter is how long a job that failed on a machine must have run on another one before
-// its failure counts against the machine. A job that fails everywhere fails there sooner.
-const faultyAfter = 10 * time.Second
+// minRunElsewhere is how long a task of a job that failed on one machine must have run on another
+// one before the failure counts against the first. A job that fails everywhere fails sooner than this.
+const minRunElsewhere = 10 * time.Second
 
-// faulty reports whether unlike jobs have failed on a machine that have shown elsewhere
-// that they can run: the fault is the machine's.
+// faulty reports whether at least two jobs that run elsewhere have failed on a machine, which shows
+// that the fault is on the machine.
 func (l *leader) faulty(m *machine) bool {
 	if len(m.faults) < 2 {
 		return false
 	}
-	standing := 0
+	runElsewhere := 0
 	for id := range m.faults {
 		if l.runsElsewhere(id, m) {
-			standing++
+			runElsewhere++
 		}
 	}
-	return standing >= 2
+	return runElsewhere >= 2
 }
 
-// runsElsewhere reports whether a job that failed on machine m has shown that it can run: a
-// task of it ended well, or one has run on another machine for faultyAfter. A job that is
-// over shows nothing more: it may have been cancelled for its failures.
+// runsElsewhere reports whether a job that failed on machine m has shown that it can run: one of its
+// tasks has succeeded, or one has run on another machine for minRunElsewhere. A job that is over
+// gives no evidence, because it may have been cancelled for its failures.
 func (l *leader) runsElsewhere(id string, m *machine) bool {
 	j := l.jobs[id]
 	if j == nil {
@@ -65,7 +66,7 @@
 		return true
 	}
 	for _, a := range j.attempts {
-		if a.machine != m && a.phase >= attemptRunning && l.c.now.Sub(a.since) >= faultyAfter {
+		if a.machine != m && a.phase >= attemptRunning && l.c.now.Sub(a.since) >= minRunElsewhere {
 			return true
 		}
 	}
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -10,43 +10,47 @@
 	"pumicefront/wire"
 )
 
-// Commands to workers, with the answer to a report or directly. None is sent without authority,
-// and no run before its placement is on record.
+// Commands to workers, sent in the answer to a heartbeat or directly. No command is sent without
+// authority, and no run command before the placement is on record in the state service.
 
-// commands lists what a report's answer tells the worker.
-func (l *leader) commands(m *machine) []wire.Command {
-	var cs []wire.Command
+// heartbeatCommands returns the commands for the answer to a machine's heartbeat.
+func (l *leader) heartbeatCommands(m *machine) []wire.Command {
+	var commands []wire.Command
 	for _, a := range m.list {
 		if a.stopping {
-			cs = append(cs, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: a.grace})
+			commands = append(commands, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: a.grace})
 		} else if a.phase < attemptSeen && l.mayRun(a) {
-			cs = append(cs, l.runCommand(a))
+			commands = append(commands, l.runCommand(a))
 		}
 	}
 	for k := range m.unknownAttempts {
-		cs = append(cs, wire.Command{Op: wire.OpStop, Task: k.task, Attempt: k.attempt})
+		commands = append(commands, wire.Command{Op: wire.OpStop, Task: k.task, Attempt: k.attempt})
 	}
-	for k := range m.ended {
-		if l.forgettable(m, k) {
-			cs = append(cs, wire.Command{Op: wire.OpForget, Task: k.task, Attempt: k.attempt})
+	for k := range m.endedAttempts {
+		if l.mayForget(m, k) {
+			commands = append(commands, wire.Command{Op: wire.OpForget, Task: k.task, Attempt: k.attempt})
 		}
 	}
-	slices.SortStableFunc(cs, func(a, b wire.Command) int {
+	slices.SortStableFunc(commands, func(a, b wire.Command) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
-	const most = 400 // keeps the answer far below 64 KiB; the rest follows with the next report
-	return cs[:min(len(cs), most)]
+	const maxCommands = 400 // keeps the answer far below 64 KiB; the rest follows with the next heartbeat
+	return commands[:min(len(commands), maxCommands)]
 }
 
-// mayRun reports whether an attempt's run may be sent now. Never that of an earlier
-// leader's attempt: that leader may have had proof that it was gone and have given its
-// room to others without living to write it down, so together the records may hold
-// more than a team's limit or a job's constraints allow. What does run of it is kept;
-// the rest is gone by the first report that has seen our token, and placed anew.
+// mayRun reports whether an attempt's run command may be sent now.
+//
+// The run command of an earlier leader's attempt is never sent again. That leader may have had proof
+// that the attempt had ended, and have given its resources to others, but have failed before it
+// recorded this. Together the records may therefore hold more than a team's limit or a job's
+// constraints allow. Attempts of an earlier leader that do run are kept. The others end with the
+// first heartbeat that carries this leader's token, and their tasks are placed again.
 func (l *leader) mayRun(a *attempt) bool {
 	return a.phase >= attemptRecorded && !a.restored && !a.stopping && !a.job.cancelled && a.session == a.machine.session && !a.machine.releasing
 }
 
+// runCommand returns the run command for an attempt and records that it is sent with the current
+// token.
 func (l *leader) runCommand(a *attempt) wire.Command {
 	a.advance(attemptSent)
 	a.token = l.token
@@ -54,10 +58,10 @@
 	return wire.Command{Op: wire.OpRun, Task: a.taskID(), Attempt: a.number}
 }
 
-// forgettable reports whether a worker may forget an ended attempt: its outcome is
-// recorded, and the worker refuses every copy of its run that may still be on
-// its way because it has seen a higher token.
-func (l *leader) forgettable(m *machine, k taskKey) bool {
+// mayForget reports whether a worker may forget an ended attempt: its outcome is on record, and the
+// worker has received a higher fencing token, so that it rejects every copy of the run command that
+// may still be in transit.
+func (l *leader) mayForget(m *machine, k taskKey) bool {
 	if m.attempts[k] != nil || m.token <= m.runToken[k] || m.token != l.token {
 		return false
 	}
@@ -66,9 +70,9 @@
 	return j == nil || !j.dirty && j.write == nil
 }
 
-// stop makes an attempt stop; it stays in force until it is proved gone. One whose
-// run was not sent will not be: nobody else would ever prove it gone. While its
-// record is being written, the end of the write sees to it.
+// stop stops an attempt, which stays in force until it is proved to have ended. An attempt whose run
+// command has not been sent ends at once, as nothing else would ever prove its end. If its record is
+// being written, the completion of that write ends it.
 func (l *leader) stop(a *attempt, grace float64) {
 	if w := a.job.write; a.phase < attemptSent && (w == nil || !slices.Contains(w.attempts, a)) {
 		l.gone(a, reduction.Reset, proofNeverSent)
@@ -83,12 +87,12 @@
 	a.stopping, a.grace = true, grace
 	a.machine.snapshot = nil
 	if a.phase >= attemptSent {
-		a.machine.stops = append(a.machine.stops, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: grace})
+		a.machine.pendingStops = append(a.machine.pendingStops, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: grace})
 		l.hasToSend(a.machine)
 	}
 }
 
-// hasToSend lists a machine among those that commands wait for.
+// hasToSend adds a machine to those that sendCommands visits next.
 func (l *leader) hasToSend(m *machine) {
 	if !m.queuedToSend {
 		m.queuedToSend = true
@@ -96,36 +100,38 @@
 	}
 }
 
-// sendCommands sends directly what can't wait for the next report. A command
-// without an answer may still run; the attempt stays in force either way.
+// sendCommands sends the commands that should not wait for the next heartbeat. A command without an
+// answer may still take effect; the attempt stays in force in either case.
 func (l *leader) sendCommands() {
 	ms := l.toSend
 	l.toSend = nil
 	for _, m := range ms {
 		m.queuedToSend = false
-		if m.callInFlight || len(m.outbox)+len(m.stops) == 0 {
-			continue // the end of the call lists it again
+		if m.callInFlight || len(m.outbox)+len(m.pendingStops) == 0 {
+			continue // a call in flight calls hasToSend again when it ends
 		}
-		cs := m.stops
+		commands := m.pendingStops
 		for _, a := range m.outbox {
 			if l.mayRun(a) && a.phase < attemptSeen && a.job.attempts[a.task] == a {
-				cs = append(cs, l.runCommand(a))
+				commands = append(commands, l.runCommand(a))
 			}
 		}
-		m.outbox, m.stops = nil, nil
-		if len(cs) > 0 && m.up && !m.releasing {
-			l.command(m, cs)
+		m.outbox, m.pendingStops = nil, nil
+		if len(commands) > 0 && m.up && !m.releasing {
+			l.sendCommand(m, commands)
 		}
 	}
 }
 
-func (l *leader) command(m *machine, cs []wire.Command) {
+// sendCommand sends commands directly to a machine's worker, whose answer carries its status. Without
+// commands it is a probe.
+func (l *leader) sendCommand(m *machine, commands []wire.Command) {
 	m.callInFlight = true
 	timeout := leadCallTimeout
-	if len(cs) == 0 {
+	if len(commands) == 0 {
 		timeout = probeTimeout
 	}
-	body := wire.Commands{Token: l.token, Session: m.session, Commands: cs}
+	body := wire.Commands{Token: l.token, Session: m.session, Commands: commands}
 	sent, session, seq := l.c.now, m.session, m.seq
 	l.c.worker(WorkerCall{Machine: m.id, Addr: m.addr, Commands: body, Timeout: timeout}, func(r WorkerReply) {
 		if l.c.lead != l || l.machines[m.id] != m {
@@ -133,47 +139,48 @@
 		}
 		m.callInFlight = false
 		l.hasToSend(m)
-		m.unanswered = r.Status == 0
+		m.lastCommandUnanswered = r.Status == 0
 		if r.Status == 0 || r.Report.Machine != m.id {
-			l.noAnswer(m, sent)
+			l.commandUnanswered(m, sent)
 			return
 		}
-		m.unansweredSince, m.unreachableSince, m.probeAt = time.Time{}, time.Time{}, time.Time{}
+		m.unansweredSince, m.unreachableSince, m.nextProbeAt = time.Time{}, time.Time{}, time.Time{}
 		if !r.Report.Newer(session, seq) {
-			// Older than what the machine had said before it was asked: it has begun to
-			// count again. Late copies from before would pass for newer than all that
-			// it says now, so nothing it says can be relied on; its release can.
+			// The answer is older than the status that the machine had sent before this command,
+			// so its counters were reset. Delayed copies of earlier statuses would count as newer
+			// than its current ones, so none can be relied on. The release of the machine is
+			// reliable proof instead.
 			l.release(m, releaseRestarted)
 			return
 		}
 		l.failures.applyHeartbeat(m, &r.Report)
 		if r.Status == http.StatusConflict && r.Report.Token <= l.token {
-			// Refused for an older token or session: what is still wanted goes again.
+			// Refused because of an older token or session: what is still wanted is sent again.
 			m.outbox = append(m.outbox, m.list...)
 			l.hasToSend(m)
 		}
 	})
 }
 
-// noAnswer notes that a command to a machine got no answer. Its reports may go on
-// arriving while it hears nothing: they say no more than that it can send.
-func (l *leader) noAnswer(m *machine, sent time.Time) {
+// commandUnanswered records that a command to a machine got no answer. The machine's heartbeats may
+// continue to arrive while commands do not reach it; they prove only that it can send.
+func (l *leader) commandUnanswered(m *machine, sent time.Time) {
 	if m.unansweredSince.IsZero() {
 		m.unansweredSince = sent
 	}
-	// What was lost on a way that was cut says nothing of the machine, and the first
-	// command after that may be lost too.
+	// A command lost during a network partition is no evidence against the machine, and the first
+	// command after the partition may be lost too.
 	if m.unreachableSince.IsZero() || m.unreachableSince.Before(l.partitions.lastSeen[m.zone]) || m.unreachableSince.Before(l.partitions.lastSeen[allZones]) {
 		m.unreachableSince = sent
 	}
-	pause := min(max(l.c.now.Sub(m.unansweredSince)/4, tickEvery), leadCallTimeout)
-	m.probeAt = l.c.now.Add(pause)
+	delay := min(max(l.c.now.Sub(m.unansweredSince)/4, tickEvery), leadCallTimeout)
+	m.nextProbeAt = l.c.now.Add(delay)
 }
 
-// probe asks a machine for a report at once, by a command that says nothing: its
-// worker may take seconds to find a new leader by itself. Any session will do, a
-// refusal carries the report too. What leads here may be an answer that was long on
-// its way, to a leader that has lost its authority meanwhile.
+// probe requests a machine's status at once with an empty command, because its worker may take
+// seconds to find a new leader by itself. The session does not matter, as a refusal carries the
+// status too. The authority is checked here because probe may be called on a delayed answer, when
+// the leader has lost its authority meanwhile.
 func (l *leader) probe(id, addr string) {
 	if at, ok := l.probedAt[id]; ok && l.c.now.Sub(at) < probePause || !l.c.entitled() {
 		return
@@ -181,12 +188,12 @@
 	l.probedAt[id] = l.c.now
 	body := wire.Commands{Token: l.token}
 	l.c.worker(WorkerCall{Machine: id, Addr: addr, Commands: body, Timeout: probeReportTimeout}, func(r WorkerReply) {
-		_, gone := l.released[id]
-		if l.c.lead != l || gone || r.Report.Token > l.token {
+		_, released := l.released[id]
+		if l.c.lead != l || released || r.Report.Token > l.token {
 			return
 		}
 		if m := l.machines[id]; m != nil && !m.up {
-			m.unanswered = r.Status == 0
+			m.lastCommandUnanswered = r.Status == 0
 		}
 		if r.Status == 0 || r.Report.Machine != id {
 			return
--- a/controller/commands_test.go
+++ b/controller/commands_test.go
@@ -8,9 +8,9 @@
 	"pumicefront/wire"
 )
 
-// An ended attempt is forgotten only when its outcome is recorded and a higher
-// token fences its run.
-func TestForgetWaits(t *testing.T) {
+// An ended attempt is forgotten only when its outcome is recorded and a higher fencing token blocks
+// its run command.
+func TestForgetNeedsRecordedOutcomeAndHigherToken(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
@@ -18,7 +18,7 @@
 	l.runCommand(a)
 	ended := wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskExited, Why: wire.WhyDone}
 	forgets := func() bool {
-		for _, cmd := range l.commands(m) {
+		for _, cmd := range l.heartbeatCommands(m) {
 			if cmd.Op == wire.OpForget {
 				return true
 			}
@@ -27,54 +27,54 @@
 	}
 	l.failures.applyHeartbeat(m, report(m, 7, ended))
 	if j.state.Status(0) != reduction.Completed {
-		t.Fatal("a reported finish does not count")
+		t.Fatal("a task reported as done is not completed")
 	}
 	j.dirty = false // its record is written
 	if forgets() {
-		t.Fatal("forgotten while a copy of its run may arrive")
+		t.Fatal("forgotten while a copy of its run command may arrive")
 	}
 	l.token = 8
 	l.failures.applyHeartbeat(m, report(m, 8, ended))
 	j.dirty = true
 	if forgets() {
-		t.Fatal("forgotten before its finish is recorded")
+		t.Fatal("forgotten before its outcome is recorded")
 	}
 	j.dirty = false
 	if !forgets() {
-		t.Fatal("never forgotten")
+		t.Fatal("not forgotten though its outcome is recorded and its token fenced")
 	}
 }
 
-// An attempt that has to stop after its record is written and before its run is
-// sent must not stay in force for ever.
-func TestStoppedBeforeItWasSent(t *testing.T) {
+// An attempt that is stopped after its record is written and before its run command is sent must not
+// stay in force forever.
+func TestStopBeforeRunIsSent(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	place(l, j, 0, m)
-	l.finish(j, 0) // an earlier attempt, taken for lost, has finished
+	l.finish(j, 0) // an earlier attempt that counted as lost has finished
 	if j.attempts[0] != nil {
-		t.Fatal("still in force")
+		t.Fatal("stopped attempt still in force though its run command was not sent")
 	}
 }
 
-// An answer of the cloud may come when the authority is over: nobody is asked then.
-func TestNobodyIsAskedWithoutAuthority(t *testing.T) {
+// An answer of the cloud may arrive after the leader's authority has expired. No machine is probed
+// then.
+func TestNoProbeWithoutAuthority(t *testing.T) {
 	c, l, _ := leading(t)
 	c.now = l.authority.Add(time.Millisecond)
 	c.out = nil
 	l.autoscaler.listed(wire.Machine{ID: "i-1", Addr: "10.0.0.1:9000", State: wire.MachineRunning})
 	for _, o := range c.out {
 		if _, call := o.(WorkerCall); call {
-			t.Fatalf("asked: %v", o)
+			t.Fatalf("probe sent without authority: %v", o)
 		}
 	}
 }
 
-// What runs on a machine that the cloud will take away, and can't end in time, begins
-// again elsewhere at once instead of after the machine's silence; then nothing keeps
-// the machine.
-func TestNoticeMovesWhatCannotEndInTime(t *testing.T) {
+// Tasks that cannot finish before the cloud reclaims their machine are stopped at once, so that they
+// restart elsewhere before the machine falls silent. The machine is released once no task is left.
+func TestReclaimNoticeStopsTasksThatCannotFinish(t *testing.T) {
 	c, l, j := leading(t)
 	j.spec.EstimateS = 50
 	m := l.machine("i-1")
@@ -95,11 +95,11 @@
 	rep.NoticeS = &left
 	l.failures.applyHeartbeat(m, rep)
 	if !young.stopping || old.stopping {
-		t.Errorf("with %v s left: stopped the one of 50 s %v, the one of 5 s %v", left, young.stopping, old.stopping)
+		t.Errorf("with %v s left: task with 50 s left stopped: %v, want true; task with 5 s left stopped: %v, want false", left, young.stopping, old.stopping)
 	}
 	l.failures.releaseFailed()
 	if m.releasing {
-		t.Error("released while a task may end in time")
+		t.Error("machine released while a task may finish in time")
 	}
 	rep = report(m, 7)
 	rep.NoticeS = &left
@@ -108,6 +108,6 @@
 	}
 	l.failures.applyHeartbeat(m, rep)
 	if l.failures.releaseFailed(); !m.releasing {
-		t.Error("kept though nothing runs on it any more")
+		t.Error("machine not released though no task is left on it")
 	}
 }
--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -8,11 +8,11 @@
 )
 
 // The failure detector: which machines are suspected, and whether the fault is on the machine, in
-// its zone's network or on the leader's side.
+// the network of its zone or on the leader's side.
 
-// failureDetector is the leader's part that tells from missed heartbeats which machines have
-// failed, and which leases have expired. It owns the listening period, the time for which the
-// leader has heard its machines without a pause.
+// failureDetector is the leader's component that determines from missed heartbeats which machines
+// have failed and which leases have expired. It owns the listening period, the time for which the
+// leader has processed heartbeats without interruption.
 type failureDetector struct {
 	*leader
 	listening       listeningPeriod
@@ -22,18 +22,18 @@
 // newFailureDetector returns the failure detector of a leader.
 func newFailureDetector(l *leader) *failureDetector { return &failureDetector{leader: l} }
 
-// failureScan is one look at all machines.
+// failureScan is one pass over all machines.
 type failureScan struct {
 	*failureDetector
-	unheard   map[string]bool      // zones, see unheardZones
-	found     bool                 // most machines of an earlier leader have sent heartbeats to this one
-	elsewhere []*scheduler.Machine // room for what moves; nil: not drawn yet
+	silentZones   map[string]bool      // see unheardZones
+	reconnected   bool                 // most machines of an earlier leader have sent heartbeats to this one
+	roomElsewhere []*scheduler.Machine // free capacity for tasks of released machines; nil: not computed yet
 }
 
-// releaseFailed decides, of each machine that is suspected, between waiting its lease out and
-// releasing it.
+// releaseFailed decides for each suspected machine whether to release it now or to wait until its
+// lease expires.
 func (f *failureDetector) releaseFailed() {
-	scan := &failureScan{failureDetector: f, unheard: f.unheardZones(), found: f.mostMachinesReconnected()}
+	scan := &failureScan{failureDetector: f, silentZones: f.unheardZones(), reconnected: f.mostMachinesReconnected()}
 	for _, m := range f.fleetOrder {
 		switch {
 		case m.releasing:
@@ -45,20 +45,20 @@
 	}
 }
 
-// checkNotUp looks at a machine that has sent no heartbeat to this leader.
+// checkNotUp releases or probes a machine that has sent no heartbeat to this leader, where due.
 func (s *failureScan) checkNotUp(m *machine) {
 	hint := s.c.hints[m.id]
 	switch {
-	case s.bootedTooLong(m):
+	case s.bootTimedOut(m):
 		s.release(m, releaseNeverUp)
-	case s.found && s.overdueSinceElection(m) && s.canMove(m):
+	case s.reconnected && s.overdueSinceElection(m) && s.canMove(m):
 		s.release(m, releaseSilentSinceElection)
 	case hint != nil && hint.Addr != "" && len(m.attempts) > 0:
 		s.probe(m.id, hint.Addr)
 	}
 }
 
-// checkUp looks at a machine that has sent heartbeats to this leader.
+// checkUp releases or probes a machine that has sent heartbeats to this leader, where due.
 func (s *failureScan) checkUp(m *machine) {
 	switch {
 	case s.faulty(m) && len(m.attempts) == 0:
@@ -67,43 +67,48 @@
 		s.release(m, releaseNoticed)
 	case s.failed(m):
 		s.release(m, releaseSilent)
-	case (s.heartbeatOverdue(m) || !m.unansweredSince.IsZero()) && !m.callInFlight && !s.c.now.Before(m.probeAt):
-		s.command(m, nil) // it may be only its heartbeats, or only the answers, that don't arrive
+	case (s.heartbeatOverdue(m) || !m.unansweredSince.IsZero()) && !m.callInFlight && !s.c.now.Before(m.nextProbeAt):
+		s.sendCommand(m, nil) // possibly only its heartbeats, or only the answers, are lost
 	}
 }
 
-// failed reports whether a machine is given up: it has been silent for several leases, or it is
-// suspected, the fault is not on the way to it, and its replicas have room elsewhere.
+// failed reports whether a machine counts as failed: it has been silent for several leases, or it is
+// suspected, the network to it is not at fault, and its tasks of the highest priority have room
+// elsewhere.
 func (s *failureScan) failed(m *machine) bool {
 	lease := config.Seconds(s.c.cfg.Facts.Workers.LeaseS)
 	silence := s.sinceHeartbeat(m)
 	if silence > leasesUntilFailed*lease {
 		return true
 	}
-	suspected := silence > s.suspectAfter() && m.unanswered || s.unreachableFor(m) > s.suspectAfter()
+	suspected := silence > s.suspectAfter() && m.lastCommandUnanswered || s.unreachableFor(m) > s.suspectAfter()
 	return suspected && s.reachable(m.zone) && s.reachable(allZones) && s.canMove(m)
 }
 
-// leasesUntilFailed is how many leases a machine may be silent for whatever the network does.
+// leasesUntilFailed is the number of lease durations of silence after which a machine counts as
+// failed, whatever the state of the network.
 const leasesUntilFailed = 3
 
-// reachable reports whether nothing is wrong with the way to a zone, or to all machines. Just
-// after a cut some machines are still to be heard, and others are back already.
+// reachable reports whether there is no sign of a network fault between the leader and a zone (or
+// all machines, for allZones), now or within the suspicion time before: right after a partition
+// some machines have not sent heartbeats again while others have.
 func (s *failureScan) reachable(zone string) bool {
-	return !s.unheard[zone] && s.c.now.Sub(s.partitions.lastSeen[zone]) > s.suspectAfter()
+	return !s.silentZones[zone] && s.c.now.Sub(s.partitions.lastSeen[zone]) > s.suspectAfter()
 }
 
-// canMove reports whether what a machine runs has room elsewhere. The room is drawn once: what
-// moves off one machine takes it from the next.
+// canMove reports whether the tasks of the highest priority on a machine have room elsewhere. The
+// free capacity is computed once per scan, so the tasks of one machine reduce the room left for
+// those of the next.
 func (s *failureScan) canMove(m *machine) bool {
-	if s.elsewhere == nil {
-		s.elsewhere = s.roomForReplicas()
+	if s.roomElsewhere == nil {
+		s.roomElsewhere = s.roomForTopPriority()
 	}
-	return s.failureDetector.canMove(m, s.elsewhere)
+	return s.failureDetector.canMove(m, s.roomElsewhere)
 }
 
-// roomForReplicas is the view of the machines in which lower work gives way to replicas.
-func (f *failureDetector) roomForReplicas() []*scheduler.Machine {
+// roomForTopPriority returns a view of the machines in which the resources of all tasks below the
+// highest priority count as free, as tasks of the highest priority preempt them.
+func (f *failureDetector) roomForTopPriority() []*scheduler.Machine {
 	machines := f.view(false)
 	for _, m := range machines {
 		for _, task := range m.Tasks {
@@ -115,17 +120,17 @@
 	return machines
 }
 
-// listenedSince is how much of the time since then the leader has listened for heartbeats.
-func (f *failureDetector) listenedSince(then time.Time) time.Duration {
+// listeningTimeSince returns how much of the time since then lies in the current listening period.
+func (f *failureDetector) listeningTimeSince(then time.Time) time.Duration {
 	return f.listening.elapsed(f.c.now, then)
 }
 
-// sinceHeartbeat is how long a machine has sent no heartbeat.
+// sinceHeartbeat returns how long a machine has sent no heartbeat while the leader was listening.
 func (f *failureDetector) sinceHeartbeat(m *machine) time.Duration {
-	return f.listenedSince(m.reported)
+	return f.listeningTimeSince(m.reported)
 }
 
-// heartbeatDue is how long after a heartbeat the next one should have come, with slack.
+// heartbeatDue returns the time after a heartbeat by which the next one is due, plus slack.
 func (f *failureDetector) heartbeatDue(slack time.Duration) time.Duration {
 	return config.Seconds(f.c.cfg.Facts.Workers.ReportS*1.25) + slack
 }
@@ -141,16 +146,18 @@
 	return f.sinceHeartbeat(m) > f.heartbeatDue(time.Second)
 }
 
-// unreachableFor is how long a machine has not answered commands, whatever its heartbeats say.
+// unreachableFor returns how long a machine has left commands unanswered, whether or not its
+// heartbeats arrive.
 func (f *failureDetector) unreachableFor(m *machine) time.Duration {
 	if m.unreachableSince.IsZero() {
 		return 0
 	}
-	return f.listenedSince(m.unreachableSince)
+	return f.listeningTimeSince(m.unreachableSince)
 }
 
-// mostMachinesReconnected reports whether most machines that an earlier leader placed work on
-// have sent heartbeats to this leader since the failover.
+// mostMachinesReconnected reports whether at least half of the machines with attempts, or all but
+// one, have sent heartbeats to this leader since the failover. Machines without attempts do not
+// count.
 func (f *failureDetector) mostMachinesReconnected() bool {
 	missing, all := 0, 0
 	for _, o := range f.machines {
@@ -164,19 +171,20 @@
 	return missing <= max(1, all/2)
 }
 
-// overdueSinceElection reports whether a machine with work of an earlier leader should
-// have found this leader by now. One that didn't answer when it was asked is like any other
-// that has fallen silent; where nobody could ask, its worker may still be looking.
+// overdueSinceElection reports whether a machine with work of an earlier leader should have sent a
+// heartbeat to this leader by now. A machine that did not answer a probe is treated like any silent
+// machine. One that could not be probed gets two more heartbeat intervals, as its worker may still
+// be looking for the leader.
 func (f *failureDetector) overdueSinceElection(m *machine) bool {
 	limit := f.suspectAfter() + time.Second
-	if !m.unanswered {
+	if !m.lastCommandUnanswered {
 		limit += config.Seconds(2 * f.c.cfg.Facts.Workers.ReportS)
 	}
-	return len(m.attempts) > 0 && f.listenedSince(f.elected) > limit
+	return len(m.attempts) > 0 && f.listeningTimeSince(f.elected) > limit
 }
 
-// canMove reports whether what a machine runs has room elsewhere now. If not,
-// releasing it early gains nothing over waiting its lease out.
+// canMove reports whether the tasks of the highest priority on a machine have room elsewhere now. If
+// not, releasing the machine early gains nothing over waiting until its lease expires.
 func (f *failureDetector) canMove(m *machine, machines []*scheduler.Machine) bool {
 	for _, a := range m.list {
 		d := f.c.demandOf(&a.job.spec)
@@ -188,14 +196,16 @@
 	return true
 }
 
-func (f *failureDetector) bootedTooLong(m *machine) bool {
+// bootTimedOut reports whether a machine that has sent no heartbeat to this leader should have
+// finished booting by now.
+func (f *failureDetector) bootTimedOut(m *machine) bool {
 	boot := 60.0
 	if t, ok := f.c.types[m.typ]; ok {
 		boot = t.BootS
 	}
 	limit := config.Seconds(boot*2.5) + 10*time.Second
-	if f.listenedSince(f.elected) < config.Seconds(f.c.cfg.Facts.Workers.LeaseS) {
-		return false // it may be up and not have found us yet
+	if f.listeningTimeSince(f.elected) < config.Seconds(f.c.cfg.Facts.Workers.LeaseS) {
+		return false // it may be up and not have found this leader yet
 	}
 	if m.typ == "" { // known only from an earlier leader's placements
 		return f.c.now.After(f.leaseExpiry(m)) && f.c.now.Sub(f.elected) > 3*config.Seconds(f.c.cfg.Facts.Cloud.ListLagS)
@@ -203,10 +213,10 @@
 	return f.c.now.Sub(m.since) > limit
 }
 
-// replacements lists the services on machines that have gone silent: the machines to
-// take them over boot while the proof that they are gone is waited for.
+// replacements returns the demands of the service replicas on silent machines. Replacement machines
+// for them boot while the leader waits for proof that the replicas have ended.
 func (f *failureDetector) replacements() []*scheduler.Demand {
-	var ds []*scheduler.Demand
+	var demands []*scheduler.Demand
 	for _, m := range f.fleetOrder {
 		suspected := max(f.sinceHeartbeat(m), f.unreachableFor(m)) > f.suspectAfter() || f.partitions.active[m.zone] && f.unresponsive(m)
 		if !m.up || m.leaseOut || !suspected {
@@ -215,15 +225,15 @@
 		for _, a := range m.list {
 			if d := f.c.demandOf(&a.job.spec); d.Service && !a.job.cancelled {
 				d.Tasks, d.RoomInTeam = []int{a.task}, 1
-				ds = append(ds, d)
+				demands = append(demands, d)
 			}
 		}
 	}
-	return ds
+	return demands
 }
 
-// suspectAfter is how long a machine may be silent before it is suspected: a share of
-// its lease, but never less than a heartbeat may take.
+// suspectAfter returns how long a machine may be silent before it is suspected: a share of its
+// lease, but at least the time within which a heartbeat is due.
 func (f *failureDetector) suspectAfter() time.Duration {
 	return max(config.Seconds(f.c.op.SilentShare*f.c.cfg.Facts.Workers.LeaseS), f.heartbeatDue(time.Second))
 }
--- a/controller/failure_detector_test.go
+++ b/controller/failure_detector_test.go
@@ -9,20 +9,20 @@
 	"pumicefront/wire"
 )
 
-// A new leader must not give machines up that have not had time to find it.
+// A new leader must not release machines that have not had time to find it.
 func TestNewLeaderWaitsForMachines(t *testing.T) {
 	c, l, _ := leading(t)
 	m := l.machine("i-1")
 	m.typ, m.since = "small", c.now.Add(-time.Hour)
 	c.now = c.now.Add(3 * time.Second)
-	if l.failures.bootedTooLong(m) {
-		t.Fatal("a machine is given up 3 s after the election")
+	if l.failures.bootTimedOut(m) {
+		t.Fatal("a machine counts as never up 3 s after the election")
 	}
 }
 
-// A machine whose reports arrive but which answers no command gets no new work,
-// and a report does not change that.
-func TestMachineThatHearsNothing(t *testing.T) {
+// A machine whose heartbeats arrive but which answers no command gets no new work, and a further
+// heartbeat does not change that.
+func TestMachineWithUnansweredCommandsGetsNoWork(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
@@ -32,7 +32,7 @@
 	}
 	l.runCommand(place(l, j, 0, m))
 	call := func(status int) {
-		l.command(m, nil)
+		l.sendCommand(m, nil)
 		id := c.out[len(c.out)-1].(WorkerCall).ID
 		c.now = c.now.Add(time.Second)
 		resume(c.workerCalls, id, WorkerReply{Status: status, Report: *report(m, 7)})
@@ -41,17 +41,17 @@
 	l.failures.applyHeartbeat(m, report(m, 7))
 	l.partitions.observe(l.c.now, l.failures.countSilent())
 	if l.usable(m) {
-		t.Fatal("new work for a machine that hears nothing")
+		t.Fatal("a machine that answers no command is usable for new work")
 	}
 	if call(200); !l.usable(m) {
-		t.Fatal("not used again once it answers")
+		t.Fatal("machine not usable after it has answered a command")
 	}
 }
 
-// A leader that stood still while its clocks ran on, in an outage that kept its lease,
-// finds all machines silent and its commands unanswered. That says nothing of them:
-// machines are not released, and not refused work, for what was not listened to.
-func TestPausedLeaderSuspectsNobody(t *testing.T) {
+// A leader whose process was paused while the clocks continued, in an outage that preserved its
+// lease, finds all machines silent and its commands unanswered. This is no evidence of failures:
+// time in which the leader did not process heartbeats must not get machines released or denied work.
+func TestPausedLeaderReleasesNoMachines(t *testing.T) {
 	c, l, _ := leading(t)
 	c.op.IdleS = 3600 // none is returned as idle
 	for i := range 20 {
@@ -77,13 +77,13 @@
 	step(0)
 	sent := c.now
 	step(2 * time.Minute)
-	l.noAnswer(l.machines["i-00"], sent) // its answer was there, but too late to be read
+	l.commandUnanswered(l.machines["i-00"], sent) // the answer arrived, but could not be read in time
 	step(time.Millisecond)
 	if n := releasing(); n > 0 {
-		t.Fatalf("%d machines released after standing still", n)
+		t.Fatalf("%d machines released after the leader was paused", n)
 	}
 	if !l.usable(l.machines["i-01"]) && !l.machines["i-01"].leaseOut {
-		t.Fatal("a machine that was not listened to is taken for silent")
+		t.Fatal("a machine counts as silent for the time in which the leader was paused")
 	}
 	for range 200 {
 		step(250 * time.Millisecond)
@@ -93,10 +93,10 @@
 	}
 }
 
-// Machines that died shortly before the leader did are known from its placements alone.
-// One that doesn't answer a new leader is given up as soon as any other that has fallen
-// silent; one that could not be asked may still be looking for the leader.
-func TestSilentSinceTheElection(t *testing.T) {
+// Machines that failed shortly before their leader did are known to the new leader only from
+// recorded placements. One that does not answer a probe is released as soon as any other silent
+// machine; one that could not be probed gets more time, as it may still be looking for the leader.
+func TestMachinesSilentSinceElection(t *testing.T) {
 	c, l, j := leading(t)
 	c.types["t"] = wire.MachineType{Name: "t", CPUs: 4, BootS: 5}
 	others := l.addJob("req-000002", &headerRecord{Job: wire.Job{ID: "req-000002", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, PerChunk: 20})
@@ -105,9 +105,9 @@
 		l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 		place(l, others, i, m)
 	}
-	asked, unknown := l.machine("j-0"), l.machine("j-1")
-	place(l, j, 0, asked)
-	place(l, j, 1, unknown)
+	probed, unprobed := l.machine("j-0"), l.machine("j-1")
+	place(l, j, 0, probed)
+	place(l, j, 1, unprobed)
 	c.hints["j-0"] = &mesh.Hint{Machine: "j-0", Addr: "j-0"}
 	seq := uint64(1)
 	step := func() {
@@ -125,23 +125,23 @@
 			resume(c.workerCalls, id, WorkerReply{ID: id}) // no answer
 		}
 	}
-	for l.failures.listenedSince(l.elected) <= l.failures.suspectAfter() {
+	for l.failures.listeningTimeSince(l.elected) <= l.failures.suspectAfter() {
 		step()
 	}
-	if asked.releasing || unknown.releasing {
-		t.Fatal("given up too soon")
+	if probed.releasing || unprobed.releasing {
+		t.Fatal("released too soon")
 	}
 	for range 6 {
 		step()
 	}
-	if !asked.releasing || unknown.releasing {
-		t.Errorf("the one that does not answer: released %v; the one that was not asked: %v", asked.releasing, unknown.releasing)
+	if !probed.releasing || unprobed.releasing {
+		t.Errorf("machine that does not answer: released %v, want true; machine that was not probed: released %v, want false", probed.releasing, unprobed.releasing)
 	}
 }
 
-// A machine that has fallen silent is given up early where its replicas have room: that of
-// batch work, which would give way to them, counts.
-func TestSilentMachineWhoseReplicasTakeRoomOfBatchWork(t *testing.T) {
+// A silent machine is released early if its tasks of the highest priority have room elsewhere.
+// Resources of lower-priority work, which those tasks may preempt, count as room.
+func TestSilentMachineReleaseCountsRoomOfLowerPriorityWork(t *testing.T) {
 	for priority, want := range map[string]bool{"standard": true, "prod": false} {
 		c, l, _ := leading(t)
 		c.types["t"] = wire.MachineType{Name: "t", CPUs: 4, BootS: 5}
@@ -162,7 +162,7 @@
 			l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 2, Token: 7,
 				Tasks: []wire.Task{{ID: m.list[0].taskID(), Attempt: 1, State: wire.TaskRunning}}})
 		}
-		ms[0].unanswered = true
+		ms[0].lastCommandUnanswered = true
 		l.failures.releaseFailed()
 		if ms[0].releasing != want {
 			t.Errorf("beside %s work: released %v, want %v", priority, ms[0].releasing, want)
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -10,121 +10,123 @@
 	"pumicefront/wire"
 )
 
-// Heartbeats of workers, each with the status of its machine: how they are answered, and what
-// the leader learns of attempts from them.
+// Worker heartbeats, each of which carries the status of the worker's machine: how they are
+// answered, and how they update the leader's view of attempts.
 
-// answerHeartbeat answers a worker's heartbeat. Only a leader with authority may do so with 200.
+// answerHeartbeat answers a worker's heartbeat. Only a leader with authority may answer 200.
 func (c *Core) answerHeartbeat(r ReportRequest) {
 	l := c.lead
 	if !c.entitled() {
 		c.redirectOrRelay(r)
 		return
 	}
-	hb := r.Report
-	if _, gone := l.released[hb.Machine]; gone || hb.Token > l.token {
+	heartbeat := r.Report
+	if _, released := l.released[heartbeat.Machine]; released || heartbeat.Token > l.token {
 		c.retryLater(r.Req, "machine released or token outdated")
 		return
 	}
-	m := l.machine(hb.Machine)
-	if m.up && !hb.Newer(m.session, m.seq) {
-		c.retryLater(r.Req, "stale report") // a delayed copy: it says nothing about now
+	m := l.machine(heartbeat.Machine)
+	if m.up && !heartbeat.Newer(m.session, m.seq) {
+		c.retryLater(r.Req, "stale report") // a delayed copy, which does not show the present state
 		return
 	}
 	switch {
-	case !l.recovered: // the machine will be asked once the records are read
-		if hb.Addr != "" && c.hints[m.id] == nil {
-			c.hints[m.id] = &mesh.Hint{Machine: m.id, Addr: hb.Addr}
+	case !l.recovered: // the machine is probed once the records are read
+		if heartbeat.Addr != "" && c.hints[m.id] == nil {
+			c.hints[m.id] = &mesh.Hint{Machine: m.id, Addr: heartbeat.Addr}
 		}
-	case !m.up && hb.Token < l.electedToken:
-		// Made before our election: it may be a late copy, from a machine that is
-		// gone. The machine itself has to answer, or to report with our token.
-		l.probe(m.id, hb.Addr)
+	case !m.up && heartbeat.Token < l.electedToken:
+		// Sent before this leader's election, so it may be a delayed copy from a machine that
+		// no longer exists. The machine counts as up only after it answers a probe or sends a
+		// heartbeat with a token of this leader.
+		l.probe(m.id, heartbeat.Addr)
 	default:
-		l.failures.applyHeartbeat(m, &hb)
+		l.failures.applyHeartbeat(m, &heartbeat)
 	}
-	if l.failures.mustNotRenew(m, &hb) {
+	if l.failures.mustNotRenewLease(m, &heartbeat) {
 		c.retryLater(r.Req, "a cancelled task may still start")
 		return
 	}
-	// The answer renews the lease: this is counted before the answer goes out.
+	// The answer renews the machine's lease, so the renewal is recorded before the answer is sent.
 	m.answered, m.leaseOut = c.now, false
 	body := wire.ReportAnswer{Token: l.token}
 	if m.up {
-		body.Commands = l.commands(m)
+		body.Commands = l.heartbeatCommands(m)
 	} else {
-		body.Commands = l.failures.cancelledTasks(&hb)
+		body.Commands = l.failures.cancelledTasks(&heartbeat)
 	}
 	c.answer(r.Req, http.StatusOK, body)
 }
 
-// cancelledTasks lists the stops of a machine whose attempts are not known yet: a leader that
-// can't read the task records renews leases all the same, and whatever the records say,
-// no task of a cancelled job may go on.
-func (f *failureDetector) cancelledTasks(hb *wire.Report) []wire.Command {
-	var cs []wire.Command
-	for _, t := range hb.Tasks {
+// cancelledTasks returns stop commands for the tasks of cancelled jobs on a machine whose attempts
+// are not known yet. A leader that cannot read the task records renews leases nevertheless, and no
+// task of a cancelled job may continue, whatever the records contain.
+func (f *failureDetector) cancelledTasks(heartbeat *wire.Report) []wire.Command {
+	var commands []wire.Command
+	for _, t := range heartbeat.Tasks {
 		id, _, _ := wire.SplitTask(t.ID)
 		if f.c.withdrawn(id) && t.State != wire.TaskExited {
-			cs = append(cs, wire.Command{Op: wire.OpStop, Task: t.ID, Attempt: t.Attempt})
+			commands = append(commands, wire.Command{Op: wire.OpStop, Task: t.ID, Attempt: t.Attempt})
 		}
 	}
-	return cs
+	return commands
 }
 
-// mustNotRenew reports whether a machine's lease may not be renewed any more: the run of a
-// task that was cancelled may still be on its way there, where no stop can forestall
-// it, and the time that a cancellation has would be over before the lease. A raised
-// token settles it, with the very answer that tells the worker of it, but can't be had
-// while the state service is out. A task that the report lists is another matter: its
-// stop goes with the renewal.
-func (f *failureDetector) mustNotRenew(m *machine, hb *wire.Report) bool {
+// mustNotRenewLease reports whether a machine's lease must not be renewed: a run command of a
+// cancelled task may still be in transit to the machine, so that a stop command sent now could
+// arrive before it without effect, and a renewed lease could expire only after the cancellation
+// deadline. A higher fencing token resolves this with the answer that carries it to the worker, but
+// the token cannot be raised while the state service is unavailable. A task that the heartbeat
+// lists does not prevent the renewal, because its stop command is sent in the same answer.
+func (f *failureDetector) mustNotRenewLease(m *machine, heartbeat *wire.Report) bool {
 	for _, a := range m.list {
 		if a.job.cancelled && a.phase >= attemptSent && a.token >= f.token && !f.c.now.Before(a.job.cancelledAt.Add(f.c.cancellationWindow())) &&
-			!slices.ContainsFunc(hb.Tasks, func(t wire.Task) bool { return t.ID == a.taskID() && t.Attempt == a.number }) {
+			!slices.ContainsFunc(heartbeat.Tasks, func(t wire.Task) bool { return t.ID == a.taskID() && t.Attempt == a.number }) {
 			return true
 		}
 	}
 	return false
 }
 
-// applyHeartbeat updates a machine by the status in its worker's heartbeat.
-func (f *failureDetector) applyHeartbeat(m *machine, hb *wire.Report) {
+// applyHeartbeat updates a machine from the status in its worker's heartbeat.
+func (f *failureDetector) applyHeartbeat(m *machine, heartbeat *wire.Report) {
 	c := f.c
-	if m.up && !hb.Newer(m.session, m.seq) {
+	if m.up && !heartbeat.Newer(m.session, m.seq) {
 		return
 	}
 	if !m.up {
-		c.log(slog.LevelInfo, "machine up", "machine", m.id, "type", hb.Type, "zone", hb.Zone, "spot", hb.Spot, "after", c.now.Sub(m.since))
-		m.idle = c.now // not idle while it booted
-		// It may have begun a session after our election: its lease counts from now.
+		c.log(slog.LevelInfo, "machine up", "machine", m.id, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "after", c.now.Sub(m.since))
+		m.idle = c.now // boot time does not count as idle time
+		// The session may have started after this leader's election, so its lease is counted
+		// from now.
 		m.answered = c.now
 		f.wantPlacement()
-	} else if hb.Session > m.session {
-		c.log(slog.LevelInfo, "machine's lease ran out", "machine", m.id, "session", hb.Session)
-		// The new session's lease began by now at the latest. Without this, what is
-		// placed in it would be taken for lost when the old session's time is up.
+	} else if heartbeat.Session > m.session {
+		c.log(slog.LevelInfo, "machine's lease ran out", "machine", m.id, "session", heartbeat.Session)
+		// The new session's lease started no later than now. Otherwise attempts placed in the new
+		// session would count as lost when the old session's lease expires.
 		m.answered = c.now
 	}
-	m.up, m.addr, m.typ, m.zone, m.spot = true, hb.Addr, hb.Type, hb.Zone, hb.Spot
-	m.unanswered, m.snapshot = false, nil
-	m.session, m.seq, m.token, m.reported = hb.Session, hb.Seq, hb.Token, c.now
-	if notice := hb.NoticeS != nil; notice != m.notice {
+	m.up, m.addr, m.typ, m.zone, m.spot = true, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	m.lastCommandUnanswered, m.snapshot = false, nil
+	m.session, m.seq, m.token, m.reported = heartbeat.Session, heartbeat.Seq, heartbeat.Token, c.now
+	if notice := heartbeat.NoticeS != nil; notice != m.notice {
 		m.notice = notice
 		if notice {
 			c.log(slog.LevelInfo, "machine will be taken", "machine", m.id)
-			f.drain(m, *hb.NoticeS)
+			f.drain(m, *heartbeat.NoticeS)
 		}
 	}
 	listed := map[taskKey]bool{}
 	clear(m.unknownAttempts)
-	for _, t := range hb.Tasks {
+	for _, t := range heartbeat.Tasks {
 		k := taskKey{t.ID, t.Attempt}
 		listed[k] = true
 		f.applyTaskStatus(m, k, t)
 	}
-	for k := range m.ended {
+	for k := range m.endedAttempts {
 		if !listed[k] {
-			delete(m.ended, k)
+			delete(m.endedAttempts, k)
 			delete(m.runToken, k)
 		}
 	}
@@ -150,20 +152,20 @@
 		}
 		return
 	}
-	if _, seen := m.ended[k]; !seen {
-		m.ended[k] = f.c.now
+	if _, seen := m.endedAttempts[k]; !seen {
+		m.endedAttempts[k] = f.c.now
 	}
 	if a != nil {
 		f.attemptEnded(a, t.Why)
 		return
 	}
-	// A finish is a fact whichever attempt it came from.
+	// The task is done, whichever of its attempts finished it.
 	if j := f.jobs[id]; ok && j != nil && t.Why == wire.WhyDone && n < j.spec.Tasks && j.spec.Kind != wire.KindService {
 		f.finish(j, n)
 	}
 }
 
-// adoptAttempt adopts an attempt that a heartbeat shows on its machine.
+// adoptAttempt records that a heartbeat lists an attempt on its machine in a state other than exited.
 func (f *failureDetector) adoptAttempt(a *attempt, state string) {
 	a.advance(attemptSeen)
 	a.saving = state == wire.TaskSaving
@@ -172,13 +174,13 @@
 		a.advance(attemptRunning)
 		a.since, a.job.begun = f.c.now, true
 		a.machine.images[a.job.spec.Image] = true
-		f.zones.startSeen(a)
+		f.zones.startSucceeded(a)
 		f.c.log(slog.LevelDebug, "task running", "job", a.job.id, "task", a.task, "attempt", a.number,
 			"machine", a.machine.id, "after", f.c.now.Sub(a.placed))
 	}
 }
 
-// attemptEnded handles the end of an attempt that a heartbeat tells, which proves it gone.
+// attemptEnded handles an attempt that a heartbeat reports as exited, which proves that it has ended.
 func (f *failureDetector) attemptEnded(a *attempt, why string) {
 	j, m := a.job, a.machine
 	switch {
@@ -194,25 +196,26 @@
 		f.taskFailed(a)
 	}
 	if why != wire.WhyStopped {
-		// A reset outcome: tried again, later each time. An accepted job is never given up.
-		pause := j.failures.RetryDelay(j.fails[a.task])
+		// The task is retried with increasing backoff. Retries of an accepted job never end.
+		delay := j.failures.RetryDelay(j.fails[a.task])
 		j.fails[a.task]++
-		j.retryAt[a.task] = f.c.now.Add(pause)
-		f.c.after(pause, f.wantPlacement)
+		j.retryAt[a.task] = f.c.now.Add(delay)
+		f.c.after(delay, f.wantPlacement)
 	}
 	f.gone(a, reduction.Reset, proofFromHeartbeat(why))
 }
 
-// attemptMissing handles an attempt that a heartbeat does not list. That proves it gone
-// only when no copy of its run can still arrive: the worker is in a newer agent
-// epoch, or has seen a fencing token above all that the run was sent with.
+// attemptMissing handles an attempt that a heartbeat does not list. This proves that the attempt has
+// ended only if no copy of its run command can still take effect: the worker is in a newer agent
+// epoch, or has received a fencing token higher than any that the run command was sent with.
 func (f *failureDetector) attemptMissing(a *attempt) {
 	m := a.machine
 	if m.session > a.session || m.token > a.token && a.phase >= attemptSent {
 		f.gone(a, reduction.Reset, proofAbsent)
 	} else if a.phase >= attemptSeen {
-		// It was there, has not ended, and is not there in the same stint: the
-		// machine has begun again. Nothing but a raised token can prove it gone.
+		// An earlier heartbeat of the same agent epoch listed the attempt, none reported its end, and
+		// this one does not list it: the machine has restarted. Only a higher fencing token can
+		// prove that the attempt has ended.
 		f.raiseToken("attempt has vanished")
 	}
 }
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -8,9 +8,9 @@
 	"pumicefront/wire"
 )
 
-// The answer to a direct command may be the first to show a new agent epoch. What is
-// placed in it must not be taken for lost when the old epoch's lease expires.
-func TestNewAgentEpochHasALeaseOfItsOwn(t *testing.T) {
+// The first status of a new agent epoch may arrive in the answer to a direct command. Attempts
+// placed in the new epoch must not count as lost when the old epoch's lease expires.
+func TestNewAgentEpochHasItsOwnLease(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1})
@@ -20,18 +20,18 @@
 	c.now = c.now.Add(time.Second)
 	l.failures.checkLeaseExpiry()
 	if j.attempts[0] == nil {
-		t.Fatal("an attempt of the new session is taken for gone")
+		t.Fatal("an attempt of the new session counts as ended when the old session's lease expires")
 	}
 	c.now = c.now.Add(11 * time.Second)
 	l.failures.checkLeaseExpiry()
 	if j.attempts[0] != nil {
-		t.Fatal("a lease that has run out proves nothing")
+		t.Fatal("the attempt is still in force after the lease of its session has expired")
 	}
 }
 
-// A heartbeat that does not list an attempt proves it gone only when no copy of its
-// run can still arrive.
-func TestAbsenceNeedsAHigherFencingToken(t *testing.T) {
+// A heartbeat that does not list an attempt proves that it has ended only if no copy of its run
+// command can still take effect.
+func TestMissingAttemptNeedsHigherFencingToken(t *testing.T) {
 	_, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
@@ -39,37 +39,37 @@
 	l.runCommand(a)
 	l.failures.applyHeartbeat(m, report(m, 7))
 	if j.attempts[0] == nil {
-		t.Fatal("gone while its run may still arrive")
+		t.Fatal("attempt counts as ended while its run command may still arrive")
 	}
 	l.token = 8
 	l.failures.applyHeartbeat(m, report(m, 8))
 	if j.attempts[0] != nil {
-		t.Fatal("not gone though no copy can run")
+		t.Fatal("attempt still in force though no copy of its run command can take effect")
 	}
-	// An earlier leader's run may have carried any token below our first.
+	// An earlier leader may have sent the run command with any token below this leader's first.
 	b := place(l, j, 1, m)
 	b.phase, b.token = attemptSent, l.token-1
 	l.failures.applyHeartbeat(m, report(m, 7))
 	if j.attempts[1] == nil {
-		t.Fatal("gone on the word of a worker that has not seen our token")
+		t.Fatal("attempt counts as ended after a heartbeat of a worker that has not received this leader's token")
 	}
 }
 
-// The watch may tell of a key's removal before the reply to its creation comes:
-// the late reply must not bring it back.
-func TestLateReplyRevivesNothing(t *testing.T) {
+// The watch may deliver the deletion of a key before the reply to the write that created it
+// arrives. The late reply must not restore the key.
+func TestLateReplyDoesNotRestoreDeletedHeader(t *testing.T) {
 	c, _, _ := leading(t)
 	h := wire.Marshal(headerRecord{Job: wire.Job{ID: "req-000005", Tasks: 1}, PerChunk: 10})
 	key := headerKey("req-000005")
 	c.applyWatch(wire.Watch{Revision: 9, Events: []wire.Event{{Put: key, Value: h, Version: 5}, {Delete: key, Version: 8}}})
 	c.written(wire.Event{Put: key, Value: h, Version: 5})
 	if c.control.headers["req-000005"] != nil {
-		t.Fatal("a removed header is back")
+		t.Fatal("a deleted header was restored by a late reply")
 	}
 }
 
-// What a machine ran and no longer lists, in the same stint, is settled by a
-// raised fencing token.
+// An attempt that a machine ran and no longer lists, in the same agent epoch, makes the leader raise
+// the fencing token.
 func TestVanishedAttemptRaisesTheFencingToken(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
@@ -84,39 +84,39 @@
 	}
 }
 
-// A heartbeat made before the election may be a late copy, of a machine that is gone:
-// the machine itself has to be heard before it counts as up.
-func TestLateCopyRevivesNoMachine(t *testing.T) {
+// A heartbeat sent before the election may be a delayed copy from a machine that no longer exists.
+// The machine must answer a probe, or send a heartbeat with the new token, before it counts as up.
+func TestDelayedHeartbeatDoesNotMarkMachineUp(t *testing.T) {
 	c, l, _ := leading(t)
 	copied := wire.Report{Machine: "i-1", Addr: "10.0.0.1:9000", Session: 1, Seq: 5, Token: 6}
 	c.out = nil
 	c.answerHeartbeat(ReportRequest{Req: 1, Report: copied})
 	if l.machine("i-1").up {
-		t.Fatal("up by a report that may be a copy")
+		t.Fatal("machine is up after a heartbeat that may be a delayed copy")
 	}
-	asked := false
+	probed := false
 	for _, o := range c.out {
 		_, call := o.(WorkerCall)
-		asked = asked || call
+		probed = probed || call
 	}
-	if !asked {
-		t.Fatal("the machine is not asked")
+	if !probed {
+		t.Fatal("the machine is not probed")
 	}
 	copied.Token, copied.Seq = 7, 6
 	if c.answerHeartbeat(ReportRequest{Req: 2, Report: copied}); !l.machine("i-1").up {
-		t.Fatal("not up though it has seen our token")
+		t.Fatal("machine is not up though its heartbeat carries this leader's token")
 	}
 }
 
-// An answer of a machine that is older than what it had said before it was asked
-// shows that it counts anew. Nothing it says is relied on then: it is released, and
-// what it ran stays in force until that is answered.
-func TestMachineThatCountsAnewIsReleased(t *testing.T) {
+// An answer with an older session and sequence number than the machine had sent before the command
+// shows that its counters were reset. None of its statuses can be relied on then: the machine is
+// released, and its attempts stay in force until the release is confirmed.
+func TestMachineWithResetSequenceIsReleased(t *testing.T) {
 	c, l, j := leading(t)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 3, Seq: 70, Token: 7})
 	l.runCommand(place(l, j, 0, m))
-	l.command(m, nil)
+	l.sendCommand(m, nil)
 	id := c.out[len(c.out)-1].(WorkerCall).ID
 	resume(c.workerCalls, id, WorkerReply{Status: 200, Report: wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 8}})
 	if !m.releasing || m.session != 3 || j.attempts[0] == nil || l.usable(m) {
@@ -127,25 +127,25 @@
 	}
 }
 
-// An earlier leader's attempt is kept where it runs, and its run is not sent again: the
-// records may hold more than a team's limit allows.
-func TestOldRunsAreNotSentAgain(t *testing.T) {
+// An attempt of an earlier leader is kept if it runs, but its run command is not sent again: the
+// records may contain more attempts than the team's limit allows.
+func TestRestoredAttemptsAreNotSentAgain(t *testing.T) {
 	_, l, j := leading(t)
 	l.restore(j, 0, &taskRecord{Next: 1, Placed: []placedRecord{{Task: 0, Attempt: 1, Machine: "i-1", Session: 1, Zone: "a"}}}, 5)
 	m := l.machine("i-1")
 	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 6})
-	if cs := l.commands(m); len(cs) != 0 || j.attempts[0] == nil {
+	if cs := l.heartbeatCommands(m); len(cs) != 0 || j.attempts[0] == nil {
 		t.Fatalf("commands %v, in force %v", cs, j.attempts[0] != nil)
 	}
 	l.failures.applyHeartbeat(m, report(m, 7))
 	if j.attempts[0] != nil {
-		t.Fatal("in force though the machine, which has seen our token, does not list it")
+		t.Fatal("attempt in force though the machine has received this leader's token and does not list it")
 	}
 }
 
-// A heartbeat in which nothing has changed costs its answer and one machine's picture,
-// however many machines there are.
-func TestIdleHeartbeatCostsLittle(t *testing.T) {
+// A heartbeat that changes nothing produces one output and invalidates at most one machine's
+// scheduling snapshot, regardless of the number of machines.
+func TestUnchangedHeartbeatRebuildsOneSnapshot(t *testing.T) {
 	c, l, _ := leading(t)
 	c.setTypes([]wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 8, Zones: []string{"a"}}})
 	for i := range 300 {
@@ -157,15 +157,15 @@
 	m := l.machine("i-100")
 	out := c.Step(c.now, ReportRequest{Req: 1, Report: wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 2, Token: 7}})
 	if len(out) != 1 {
-		t.Errorf("%d outputs: %+v", len(out), out)
+		t.Errorf("%d outputs, want 1: %+v", len(out), out)
 	}
-	anew := 0
+	rebuilt := 0
 	for _, o := range l.fleetOrder {
 		if o.snapshot == nil {
-			anew++
+			rebuilt++
 		}
 	}
-	if anew > 1 {
-		t.Errorf("%d pictures to be drawn anew", anew)
+	if rebuilt > 1 {
+		t.Errorf("%d snapshots to be rebuilt, want at most 1", rebuilt)
 	}
 }
--- a/controller/lease_expiry.go
+++ b/controller/lease_expiry.go
@@ -8,38 +8,41 @@
 	"pumicefront/reduction"
 )
 
-// Lease expiry: an attempt on a machine whose lease has expired is gone. Proofs are the reasons
-// for which an attempt is known to be gone.
+// Lease expiry: an attempt on a machine whose lease has expired has ended, as the worker stops its
+// tasks when its lease expires. A proof is the evidence that an attempt has ended and cannot start
+// again.
 
-// A proof is why an attempt is known to be gone, as the log tells it.
+// A proof is the reason for which an attempt is known to have ended, as written to the log.
 type proof string
 
-// The proofs beside what a worker's heartbeat says itself.
+// The proofs other than an exit reason that a worker's heartbeat reports.
 const (
-	proofNeverSent       proof = "never sent"         // its run, and it will not be
+	proofNeverSent       proof = "never sent"         // the run command was not sent and will not be
 	proofMachineReleased proof = "machine released"   // the cloud has confirmed it
-	proofLeaseExpired    proof = "lease ran out"      // since our last answer, with drift
-	proofAbsent          proof = "not on its machine" // in a report newer than any copy of its run
+	proofLeaseExpired    proof = "lease ran out"      // counted from the last answer that may have renewed it, with allowance for clock drift
+	proofAbsent          proof = "not on its machine" // in a heartbeat after which no copy of the run command can take effect
 )
 
-// proofFromHeartbeat is what a worker's heartbeat says of an attempt that has ended.
+// proofFromHeartbeat returns the proof for an attempt that a heartbeat reports as exited.
 func proofFromHeartbeat(why string) proof { return proof(why) }
 
 // leaseCheckInterval is how often the leases of all machines are checked for expiry.
 const leaseCheckInterval = 100 * time.Millisecond
 
-// leaseExpiry is when a machine's lease has expired for sure, by the leader's clock.
+// leaseExpiry returns the time, by the leader's clock, at which a machine's lease has certainly
+// expired.
 func (f *failureDetector) leaseExpiry(m *machine) time.Time {
 	lease := config.Seconds(f.c.cfg.Facts.Workers.LeaseS * (1 + 2*clockDrift))
 	return m.answered.Add(lease + 200*time.Millisecond)
 }
 
-// checkLeaseExpiry looks for attempts that lease expiry has proved gone, and for what only a
-// raised fencing token can settle.
+// checkLeaseExpiry ends the attempts on machines whose lease has expired. It raises the fencing
+// token for ended attempts that workers cannot forget otherwise, and for stopped attempts that have
+// not appeared in a heartbeat and whose run command may still be in transit.
 func (f *failureDetector) checkLeaseExpiry() {
 	now := f.c.now
 	if now.Sub(f.leasesCheckedAt) < leaseCheckInterval {
-		return // a walk over all machines, and nothing that it finds is that urgent
+		return // the scan visits all machines, and no finding is more urgent than this interval
 	}
 	f.leasesCheckedAt = now
 	f.partitions.observe(f.c.now, f.countSilent())
@@ -53,7 +56,7 @@
 				f.gone(a, reduction.Reset, proofLeaseExpired)
 			}
 		}
-		for k, since := range m.ended {
+		for k, since := range m.endedAttempts {
 			if m.runToken[k] >= f.token && now.Sub(since) > raiseToForgetAfter {
 				f.raiseToken("ended attempts to forget")
 			}
--- a/controller/listening.go
+++ b/controller/listening.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// listenGap is how long a leader that listens may go without a look at its machines:
-// there is a tick several times as often.
+// listenGap is the longest time between two observations within one listening period. The tick
+// interval is several times shorter.
 const listenGap = time.Second
 
-// listeningPeriod is the time for which a leader has heard its machines without a pause. A
-// process that stood still while its clocks ran on, or had no authority to answer,
-// finds all of them silent at once; that says nothing of them.
+// listeningPeriod is the time for which a leader has processed heartbeats without interruption. A
+// leader whose process was paused while its clocks continued, or that had no authority to answer,
+// finds all machines silent at once. This is no evidence that the machines have failed.
 type listeningPeriod struct {
 	began    time.Time
-	lastLook time.Time
+	lastLook time.Time // the last observation
 }
 
-// observe notes a look at the machines; after a pause a new period begins.
+// observe records that the leader is processing heartbeats now. After a pause longer than listenGap
+// a new period begins.
 func (p *listeningPeriod) observe(now time.Time) {
 	if now.Sub(p.lastLook) > listenGap {
 		p.began = now
@@ -22,7 +23,7 @@
 	p.lastLook = now
 }
 
-// elapsed is how much of the time since then lies in the period.
+// elapsed returns how much of the time since then lies in the period.
 func (p *listeningPeriod) elapsed(now, then time.Time) time.Duration {
 	if then.Before(p.began) {
 		then = p.began
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -9,54 +9,54 @@
 	"pumicefront/wire"
 )
 
-// Machines in the leader's ledger.
+// The leader's machine table.
 
-// taskKey names one attempt of one task.
+// taskKey identifies one attempt of one task.
 type taskKey struct {
 	task    string
 	attempt uint64
 }
 
-// machine is a machine in the leader's ledger: rented, reporting, or known only
-// from an earlier leader's placements.
+// machine is an entry of the leader's machine table: rented by this leader, known from heartbeats or
+// the cloud's list, or known only from an earlier leader's placements.
 type machine struct {
-	id, addr, typ, zone string
-	part                string // the controller whose part it is hashed to
-	spot                bool
-	up                  bool // has reported to us
-	session, seq, token uint64
-	since               time.Time // first known
-	rented              time.Time // by us; zero: by an earlier leader
-	reported            time.Time // its last report or answer
-	answered            time.Time // our last 200, which may have renewed its lease
-	idle                time.Time // without tasks since
-	notice              bool      // the cloud will take it away
-	listed              time.Time // since when the cloud's list must show it; zero: not known
-	releasing           bool
-	consolidating       bool      // its replicas move elsewhere, it takes nothing
-	immovableAt         time.Time // when there was no room elsewhere for its replicas
-	leaseOut            bool
-	unanswered          bool      // the last command got no answer, and no report came since
-	unansweredSince     time.Time // when the first of the commands was sent that got no answer; zero: the last got one
-	unreachableSince    time.Time // the same, but of those that were not sent during a cut
-	probeAt             time.Time // when it is worth asking again
+	id, addr, typ, zone   string
+	part                  string // the controller that the machine is assigned to by hash
+	spot                  bool
+	up                    bool // has sent a heartbeat or an answer to this leader
+	session, seq, token   uint64
+	since                 time.Time // when the machine became known; earlier by its listed age where the cloud's list showed it first
+	rented                time.Time // when this leader rented it; zero: rented by an earlier leader
+	reported              time.Time // when its last heartbeat or answer arrived
+	answered              time.Time // when this leader last answered 200, which may have renewed its lease
+	idle                  time.Time // the last time it was known to have tasks or to be booting
+	notice                bool      // the cloud has announced that it will reclaim the machine
+	listed                time.Time // from when on the cloud's list must show it; zero: not known
+	releasing             bool
+	consolidating         bool      // its replicas are being moved to other machines, and it gets no new work
+	immovableAt           time.Time // when its replicas last had no room elsewhere
+	leaseOut              bool
+	lastCommandUnanswered bool      // the last command or probe got no answer, and no heartbeat has arrived since
+	unansweredSince       time.Time // when the first command of the current series of unanswered ones was sent; zero: the last one was answered
+	unreachableSince      time.Time // the same, but without commands sent during a network partition
+	nextProbeAt           time.Time // when to probe again after an unanswered command
 
 	attempts        map[taskKey]*attempt
-	list            []*attempt         // the same in order; never changed in place, so that it can be walked meanwhile
-	snapshot        *scheduler.Machine // as a round of placement sees it; nil: to be made anew
-	runToken        map[taskKey]uint64 // highest token that a run was sent with
-	ended           map[taskKey]time.Time
-	unknownAttempts map[taskKey]bool // live attempts that are in nobody's record
+	list            []*attempt            // the same ordered by job and task; copied on each change, so that it can change during an iteration
+	snapshot        *scheduler.Machine    // the machine as the scheduler uses it; nil: to be rebuilt
+	runToken        map[taskKey]uint64    // highest fencing token that each attempt's run command was sent with
+	endedAttempts   map[taskKey]time.Time // when a heartbeat first reported the attempt as exited
+	unknownAttempts map[taskKey]bool      // running attempts that are not on record
 	images          map[string]bool
-	imagesTold      int             // how many of them the other controllers know
-	faults          map[string]bool // jobs that failed here
-	outbox          []*attempt
-	stops           []wire.Command
-	queuedToSend    bool // listed among those with something to send
-	callInFlight    bool
+	imagesTold      int             // how many of the images the other controllers were last notified of; -1: not notified yet
+	faults          map[string]bool // jobs with a task that failed on this machine
+	outbox          []*attempt      // attempts whose run commands are to be sent directly
+	pendingStops    []wire.Command
+	queuedToSend    bool // in leader.toSend
+	callInFlight    bool // a direct command waits for its answer
 }
 
-// add puts an attempt in force on its machine.
+// add adds an attempt to its machine. The attempt stays there until it is proved to have ended.
 func (m *machine) add(a *attempt) {
 	m.attempts[a.key()] = a
 	at, _ := slices.BinarySearchFunc(m.list, a, func(x, y *attempt) int {
@@ -66,20 +66,20 @@
 	m.snapshot = nil
 }
 
-// remove takes an attempt out of force.
+// remove removes an attempt that has ended from its machine.
 func (m *machine) remove(a *attempt) {
 	delete(m.attempts, a.key())
 	m.list = slices.DeleteFunc(slices.Clone(m.list), func(o *attempt) bool { return o == a })
 	m.snapshot = nil
 }
 
-// machine returns the ledger's entry, made when it is first heard of.
+// machine returns the table entry of a machine and creates it if there is none.
 func (l *leader) machine(id string) *machine {
 	m := l.machines[id]
 	if m == nil {
 		m = &machine{
 			id: id, part: scheduler.PartOf(id, l.c.members()), since: l.c.now, idle: l.c.now, answered: l.elected,
-			attempts: map[taskKey]*attempt{}, runToken: map[taskKey]uint64{}, ended: map[taskKey]time.Time{},
+			attempts: map[taskKey]*attempt{}, runToken: map[taskKey]uint64{}, endedAttempts: map[taskKey]time.Time{},
 			unknownAttempts: map[taskKey]bool{}, images: map[string]bool{}, faults: map[string]bool{},
 		}
 		if h := l.c.hints[id]; h != nil {
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -7,7 +7,7 @@
 	"pumicefront/wire"
 )
 
-// members lists all controllers.
+// members returns the names of all controllers in order.
 func (c *Core) members() []string {
 	all := []string{c.cfg.Member}
 	for _, o := range c.cfg.Others {
@@ -17,20 +17,23 @@
 	return all
 }
 
-// maxHints bounds the machines of which hints are remembered.
+// maxHints is the number of machine hints above which all are discarded.
 const maxHints = 4096
 
+// sendMesh sends a message to another controller.
 func (c *Core) sendMesh(to string, e *mesh.Envelope) {
 	e.From = c.cfg.Member
 	c.emit(MeshSend{To: to, Envelope: e})
 }
 
+// broadcast sends a message to all other controllers.
 func (c *Core) broadcast(e *mesh.Envelope) {
 	for _, o := range c.cfg.Others {
 		c.sendMesh(o.Member, e)
 	}
 }
 
+// meshMessage handles a message from another controller.
 func (c *Core) meshMessage(e *mesh.Envelope) {
 	switch body := e.Body.(type) {
 	case *mesh.Envelope_Progress:
@@ -40,7 +43,7 @@
 			}
 		}
 		if body.Progress.WorkersUnheard {
-			c.relays.leaderUnheard = c.now.Add(relayModeFor)
+			c.relays.leaderCutOffUntil = c.now.Add(relayModePeriod)
 		}
 		if len(c.hints) > maxHints {
 			clear(c.hints)
@@ -55,9 +58,9 @@
 			}
 		}
 	case *mesh.Envelope_Relay:
-		c.relayAsked(e.From, body.Relay)
+		c.handleRelay(e.From, body.Relay)
 	case *mesh.Envelope_Relayed:
-		c.relayAnswered(body.Relayed)
+		c.handleRelayAnswer(body.Relayed)
 	case *mesh.Envelope_Ask:
 		c.promiseAsked(e.From, body.Ask)
 	case *mesh.Envelope_Promise:
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -9,112 +9,119 @@
 	"pumicefront/wire"
 )
 
-// A worker that is sent to the leader and comes back soon can't reach it. Then
-// its reports are handed on over the mesh: a leader that is cut off from the
-// workers, but not from the state service and its peers, would otherwise keep
-// the leadership while every lease runs out. The leader answers as it does any
-// report; the worker itself refuses an answer that comes too late.
+// Relay of heartbeats to the leader.
+//
+// A worker that is redirected to the leader and returns soon cannot reach it. Its heartbeats are
+// then relayed over the mesh: a leader that is cut off from the workers, but not from the state
+// service and the other controllers, would otherwise keep the leadership while every machine lease
+// expires. The leader answers a relayed heartbeat like any other. The worker itself rejects an
+// answer that arrives too late.
 
 const (
-	relayTimeout = time.Second      // the leader may be gone
-	relayFor     = 30 * time.Second // then the worker is sent to the leader again
-	relayModeFor = 5 * time.Second
-	maxRelays    = 4096
-	relayedReq   = 1 << 63 // marks requests that came over the mesh
+	relayTimeout       = time.Second      // the leader may have failed
+	maxRelayPeriod     = 30 * time.Second // afterwards the worker is redirected to the leader again
+	relayModePeriod    = 5 * time.Second  // how long one message of the leader that it is cut off counts
+	maxRelays          = 4096
+	relayedRequestFlag = 1 << 63 // set in the IDs of requests that came over the mesh
 )
 
-// relays are the reports that are handed on, in both directions.
+// relays holds the heartbeats that are being relayed, in both directions.
 type relays struct {
-	redirects     map[string]*redirected
-	asked         map[uint64]ReportRequest // by id, waiting for the leader's answer
-	serving       map[uint64]relayOrigin   // by request, to be answered over the mesh
-	leaderUnheard time.Time                // until when the leader says that it hears few workers
+	redirects         map[string]*redirectedWorker
+	awaitingLeader    map[uint64]ReportRequest // by relay ID
+	relayedRequests   map[uint64]relayOrigin   // by request ID, to be answered over the mesh
+	leaderCutOffUntil time.Time                // until when the leader counts as receiving heartbeats from few workers
 }
 
-// redirected is a worker that was sent to the leader.
-type redirected struct {
-	at       time.Time
-	relaying time.Time // since; zero: it is expected to reach the leader
+// redirectedWorker is a worker that was redirected to the leader.
+type redirectedWorker struct {
+	lastRequest   time.Time // its last heartbeat to this controller
+	relayingSince time.Time // zero: the worker is expected to reach the leader
 }
 
+// relayOrigin identifies a relayed heartbeat at the controller that relayed it.
 type relayOrigin struct {
 	from string
 	id   uint64
 }
 
 func (r *relays) init() {
-	r.redirects = map[string]*redirected{}
-	r.asked = map[uint64]ReportRequest{}
-	r.serving = map[uint64]relayOrigin{}
+	r.redirects = map[string]*redirectedWorker{}
+	r.awaitingLeader = map[uint64]ReportRequest{}
+	r.relayedRequests = map[uint64]relayOrigin{}
 }
 
-// redirectOrRelay sends a worker to the leader, or its report if it has come back.
+// redirectOrRelay redirects a worker to the leader, or relays its heartbeat if the worker could not
+// reach the leader.
 func (c *Core) redirectOrRelay(r ReportRequest) {
 	leader := c.leaderName()
-	if r.Req&relayedReq != 0 || leader == "" || len(c.relays.asked) > maxRelays || !c.returnedSoon(r.Report.Machine) {
+	if r.Req&relayedRequestFlag != 0 || leader == "" || len(c.relays.awaitingLeader) > maxRelays || !c.shouldRelay(r.Report.Machine) {
 		c.answer(r.Req, http.StatusMisdirectedRequest, wire.Redirect{Leader: leader})
 		return
 	}
 	id := c.id()
-	c.relays.asked[id] = r
+	c.relays.awaitingLeader[id] = r
 	c.sendMesh(leader, &mesh.Envelope{Body: &mesh.Envelope_Relay{Relay: &mesh.Relay{Id: id, Report: wire.Marshal(r.Report)}}})
-	c.after(relayTimeout, func() { c.relayAnswered(&mesh.RelayAnswer{Id: id}) })
+	c.after(relayTimeout, func() { c.handleRelayAnswer(&mesh.RelayAnswer{Id: id}) })
 }
 
-// returnedSoon reports whether a worker was sent to the leader a short while ago, or
-// need not be sent because the leader is known to be cut off.
-func (c *Core) returnedSoon(machine string) bool {
+// shouldRelay reports whether to relay the heartbeat of a worker instead of redirecting it: the worker
+// was redirected a short time ago, or the leader is known to be cut off from the workers. After
+// maxRelayPeriod of relaying the worker is redirected again. The call is recorded as the worker's
+// last request.
+func (c *Core) shouldRelay(machine string) bool {
 	s := c.relays.redirects[machine]
 	if s == nil {
 		if len(c.relays.redirects) > maxRelays {
 			clear(c.relays.redirects)
 		}
-		s = &redirected{}
+		s = &redirectedWorker{}
 		c.relays.redirects[machine] = s
 	}
 	window := config.Seconds(3*c.cfg.Facts.Workers.ReportS) + 5*time.Second
-	recent := c.now.Sub(s.at) < window || c.now.Before(c.relays.leaderUnheard)
-	s.at = c.now
+	recent := c.now.Sub(s.lastRequest) < window || c.now.Before(c.relays.leaderCutOffUntil)
+	s.lastRequest = c.now
 	switch {
-	case !recent || !s.relaying.IsZero() && c.now.Sub(s.relaying) > relayFor:
-		s.relaying = time.Time{}
+	case !recent || !s.relayingSince.IsZero() && c.now.Sub(s.relayingSince) > maxRelayPeriod:
+		s.relayingSince = time.Time{}
 		return false
-	case s.relaying.IsZero():
-		s.relaying = c.now
+	case s.relayingSince.IsZero():
+		s.relayingSince = c.now
 	}
 	return true
 }
 
-// relayAsked answers a report that another controller has handed on.
-func (c *Core) relayAsked(from string, r *mesh.Relay) {
-	in := ReportRequest{Req: c.id() | relayedReq}
+// handleRelay answers a heartbeat that another controller has relayed.
+func (c *Core) handleRelay(from string, r *mesh.Relay) {
+	in := ReportRequest{Req: c.id() | relayedRequestFlag}
 	if wire.Unmarshal(r.Report, &in.Report) != nil || in.Report.Machine == "" {
 		return
 	}
-	c.relays.serving[in.Req] = relayOrigin{from, r.Id}
+	c.relays.relayedRequests[in.Req] = relayOrigin{from, r.Id}
 	c.answerHeartbeat(in)
 }
 
-// answerRelayed sends an answer back over the mesh if its request came that way.
+// answerRelayed sends an answer over the mesh if its request arrived over the mesh, and reports
+// whether it did.
 func (c *Core) answerRelayed(a Answer) bool {
-	to, ok := c.relays.serving[a.Req]
+	to, ok := c.relays.relayedRequests[a.Req]
 	if !ok {
 		return false
 	}
-	delete(c.relays.serving, a.Req)
+	delete(c.relays.relayedRequests, a.Req)
 	c.sendMesh(to.from, &mesh.Envelope{Body: &mesh.Envelope_Relayed{
 		Relayed: &mesh.RelayAnswer{Id: to.id, Status: uint32(a.Status), Body: wire.Marshal(a.Body)}}})
 	return true
 }
 
-// relayAnswered hands the leader's answer to the worker; anything but an answer
-// that the leader was entitled to give sends it on to the next controller.
-func (c *Core) relayAnswered(a *mesh.RelayAnswer) {
-	r, ok := c.relays.asked[a.Id]
+// handleRelayAnswer passes the leader's answer on to the worker. On anything but the 200 of a leader
+// with authority the request is refused, so that the worker tries the next controller.
+func (c *Core) handleRelayAnswer(a *mesh.RelayAnswer) {
+	r, ok := c.relays.awaitingLeader[a.Id]
 	if !ok {
 		return
 	}
-	delete(c.relays.asked, a.Id)
+	delete(c.relays.awaitingLeader, a.Id)
 	var body wire.ReportAnswer
 	if a.Status != http.StatusOK || wire.Unmarshal(a.Body, &body) != nil {
 		c.retryLater(r.Req, "leader not reached")
--- a/controller/user_requests.go
+++ b/controller/user_requests.go
@@ -7,8 +7,10 @@
 	"pumicefront/wire"
 )
 
-// Requests of users. Any controller answers them, from a read made after they came.
+// User requests. Any controller answers them, from a state service read made after the request
+// arrived.
 
+// user handles a user request.
 func (c *Core) user(r UserRequest) {
 	switch r.Op {
 	case UserReady:
@@ -16,13 +18,14 @@
 	case UserSubmit:
 		c.submit(r)
 	case UserPoll:
-		c.lookup(r.Job, func(k known) { c.answerState(r, k, http.StatusNotFound) })
+		c.lookup(r.Job, func(k known) { c.answerJobState(r, k, http.StatusNotFound) })
 	case UserAbort:
-		c.abort(r, 3)
+		c.cancelJob(r, 3)
 	}
 }
 
-// ready is a fresh read: what it says holds for the next request too.
+// ready answers the readiness check. It makes a fresh read, so that a positive answer also holds for
+// the next request.
 func (c *Core) ready(r UserRequest) {
 	c.sync(func(ok bool) {
 		if ok && len(c.types) > 0 {
@@ -33,15 +36,16 @@
 	})
 }
 
-// answerState answers with the job's state, or with unknown where nobody submitted it.
-func (c *Core) answerState(r UserRequest, k known, unknown int) {
+// answerJobState answers with the job's state, or with notFoundStatus for a job that was not
+// submitted.
+func (c *Core) answerJobState(r UserRequest, k known, notFoundStatus int) {
 	switch k {
 	case knownNot:
-		if unknown == http.StatusServiceUnavailable {
+		if notFoundStatus == http.StatusServiceUnavailable {
 			c.retryLater(r.Req, "can't decide yet")
 			return
 		}
-		c.answer(r.Req, unknown, wire.Error{Error: "no such job"})
+		c.answer(r.Req, notFoundStatus, wire.Error{Error: "no such job"})
 	case knownUnsure:
 		c.retryLater(r.Req, "state service not reached")
 	default:
@@ -49,6 +53,7 @@
 	}
 }
 
+// jobState returns the state of a job that is on record, from what this controller knows of it.
 func (c *Core) jobState(job string) wire.JobState {
 	s := wire.JobState{ID: job, State: wire.StateQueued}
 	if f, ok := c.finals.jobs[job]; ok {
@@ -69,47 +74,48 @@
 	return s
 }
 
-// submit accepts a job by creating its record, whoever leads. A job that is
-// known already is answered before anything else is judged.
+// submit accepts a job by creating its record, whether or not this controller leads. For a job that
+// is known already, its state is the answer, whatever else is wrong with the request.
 func (c *Core) submit(r UserRequest) {
 	job, id, err := wire.ParseJob(r.Body)
 	r.Job = id
 	if _, over := c.finals.jobs[id]; over || c.control.headers[id] != nil {
-		c.lookup(id, func(k known) { c.answerState(r, k, http.StatusServiceUnavailable) })
-		return // a repeat takes no share of the writes
+		c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
+		return // a repeated submission uses none of the write budget
 	}
 	limits := c.cfg.Facts.State.Tightest()
-	h := headerRecord{Job: job, AcceptedMS: c.now.UnixMilli(), PerChunk: tasksPerRecord(limits.ValueKB)}
-	tooBig := !fits(wire.Marshal(h), headerRoom, limits.ValueKB)
+	header := headerRecord{Job: job, AcceptedMS: c.now.UnixMilli(), PerChunk: tasksPerRecord(limits.ValueKB)}
+	tooBig := !fits(wire.Marshal(header), headerRoom, limits.ValueKB)
 	switch {
 	case err != nil || tooBig:
-		c.lookup(id, func(k known) { c.answerState(r, k, http.StatusBadRequest) })
+		c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusBadRequest) })
 	case len(c.types) == 0:
-		c.lookup(id, func(k known) { c.answerState(r, k, http.StatusServiceUnavailable) })
+		c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
 	case !c.canRun(&job):
-		c.lookup(id, func(k known) { c.answerState(r, k, http.StatusUnprocessableEntity) })
+		c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusUnprocessableEntity) })
 	case !c.control.loaded || c.control.unreachable:
 		c.retryLater(r.Req, "state service not reached")
 	case len(job.Needs) == 0:
-		c.accept(r, h, nil)
+		c.accept(r, header, nil)
 	case !c.allRun(firstVersionWithChains):
 		c.retryLater(r.Req, "an earlier version may still run")
 	default:
 		c.needs(r, &job, func(cancelled bool, conds []wire.Cond) {
-			h.Cancelled = cancelled
-			c.accept(r, h, conds)
+			header.Cancelled = cancelled
+			c.accept(r, header, conds)
 		})
 	}
 }
 
-// accept creates a job's record, on conditions that what it needs is as was found.
-func (c *Core) accept(r UserRequest, h headerRecord, conds []wire.Cond) {
-	id := h.Job.ID
+// accept creates a job's record, on the conditions that no record of the job exists and that the jobs
+// it needs are unchanged since they were checked.
+func (c *Core) accept(r UserRequest, header headerRecord, conds []wire.Cond) {
+	id := header.Job.ID
 	if !c.writes.AllowN(c.now, 1) {
-		c.rejectSubmission(r, &h.Job)
+		c.rejectSubmission(r, &header.Job)
 		return
 	}
-	raw := wire.Marshal(h)
+	raw := wire.Marshal(header)
 	txn := wire.Txn{
 		If:   append([]wire.Cond{{Key: headerKey(id)}, {Key: finalKey(id)}}, conds...),
 		Then: []wire.Change{{Put: headerKey(id), Value: raw}},
@@ -119,14 +125,14 @@
 		case http.StatusOK:
 			c.written(wire.Event{Put: headerKey(id), Value: raw, Version: reply.Txn.Revision})
 			state := wire.JobState{ID: id, State: wire.StateQueued}
-			if h.Cancelled {
+			if header.Cancelled {
 				state.State = wire.StateCancelled
 			}
 			c.answer(r.Req, http.StatusCreated, state)
-		case http.StatusConflict: // known by now, or what it needs has changed
-			c.lookup(id, func(k known) { c.answerState(r, k, http.StatusServiceUnavailable) })
+		case http.StatusConflict: // submitted meanwhile, or a job that it needs has changed
+			c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
 		case http.StatusTooManyRequests:
-			c.rejectSubmission(r, &h.Job)
+			c.rejectSubmission(r, &header.Job)
 		default:
 			c.retryLater(r.Req, "state service not reached")
 		}
@@ -140,7 +146,7 @@
 		need = scheduler.Resources{}.Add(need, float64(j.Tasks))
 	}
 	if c.quotas[j.Team].limit.Fits(need) == 0 {
-		return false // an unknown team may use nothing
+		return false // an unknown team has no quota
 	}
 	d := c.demandOf(j)
 	for _, t := range c.types {
@@ -153,29 +159,29 @@
 	return false
 }
 
-// abort cancels a job by a write on its record; a race with its completion is
-// settled by the record's version.
-func (c *Core) abort(r UserRequest, tries int) {
+// cancelJob cancels a job with a compare-and-swap on its record, so that the record's version
+// decides a race with the job's completion.
+func (c *Core) cancelJob(r UserRequest, attemptsLeft int) {
 	c.lookup(r.Job, func(k known) {
-		h := c.control.headers[r.Job]
+		header := c.control.headers[r.Job]
 		if k != knownActive || c.withdrawn(r.Job) {
-			c.answerState(r, k, http.StatusNotFound)
+			c.answerJobState(r, k, http.StatusNotFound)
 			return
 		}
-		if h.Grant != nil {
-			c.abortGranted(r, *h)
+		if header.Grant != nil {
+			c.abortGranted(r, *header)
 			return
 		}
-		if tries == 0 || !c.writes.AllowN(c.now, 1) {
+		if attemptsLeft == 0 || !c.writes.AllowN(c.now, 1) {
 			c.retryLater(r.Req, "too many changes")
 			return
 		}
-		c.updateHeader(r.Job, cancelledHeader(*h, c.cfg.Facts.State.Tightest().ValueKB), func(status int) {
+		c.updateHeader(r.Job, cancelledHeader(*header, c.cfg.Facts.State.Tightest().ValueKB), func(status int) {
 			switch status {
 			case http.StatusOK:
 				c.answer(r.Req, http.StatusOK, wire.JobState{ID: r.Job, State: wire.StateCancelled})
 			case http.StatusConflict:
-				c.abort(r, tries-1)
+				c.cancelJob(r, attemptsLeft-1)
 			default:
 				c.retryLater(r.Req, "state service not reached")
 			}
@@ -183,8 +189,8 @@
 	})
 }
 
-// updateHeader writes a job's header anew for a user, on the condition that it is as this controller
-// knows it, and tells the status.
+// updateHeader replaces a job's header on behalf of a user, on the condition that it still has the
+// version that this controller knows, and calls fn with the status of the reply.
 func (c *Core) updateHeader(id string, raw []byte, fn func(status int)) {
 	key := headerKey(id)
 	txn := wire.Txn{If: []wire.Cond{{Key: key, Version: c.control.versions[key]}}, Then: []wire.Change{{Put: key, Value: raw}}}
--- a/controller/user_requests_test.go
+++ b/controller/user_requests_test.go
@@ -10,31 +10,31 @@
 	"pumicefront/wire"
 )
 
-// Where there are more questions than reads, nobody is refused for ever: reads go
-// first come first served, also for those who have stopped waiting.
-func TestFinalReadsAreFair(t *testing.T) {
+// When lookups exceed the read rate, no lookup may be refused forever: reads are made first come,
+// first served, also for users who have stopped waiting.
+func TestFinalRecordReadsAreFirstComeFirstServed(t *testing.T) {
 	c, _, _ := leading(t)
 	c.lead, c.control.loaded = nil, true
 	c.reads = rate.NewLimiter(1, 1)
 	c.reads.AllowN(c.now, 1)
-	told := []known{}
-	c.lookupFinal("req-000001", func(k known) { told = append(told, k) })
+	results := []known{}
+	c.lookupFinal("req-000001", func(k known) { results = append(results, k) })
 	c.now = c.now.Add(finalReadTimeout + time.Millisecond)
 	c.runTimers()
-	if len(told) != 1 || told[0] != knownUnsure {
-		t.Fatalf("told %v", told)
+	if len(results) != 1 || results[0] != knownUnsure {
+		t.Fatalf("results of the lookup that timed out: %v, want only knownUnsure", results)
 	}
 	read := c.out[len(c.out)-1].(StateCall)
 	resume(c.stateCalls, read.ID, StateReply{Status: 200, Item: wire.Item{Value: wire.Marshal(finalRecord{Tasks: 1})}})
-	c.lookup("req-000001", func(k known) { told = append(told, k) })
-	if told[len(told)-1] != knownFinal {
-		t.Fatal("the read made for a user who had left serves nobody")
+	c.lookup("req-000001", func(k known) { results = append(results, k) })
+	if results[len(results)-1] != knownFinal {
+		t.Fatal("the result of the read made after its user had timed out is not used for later lookups")
 	}
 }
 
-// While the state service is not reached, requests are refused without waiting,
-// and the first success ends that.
-func TestUnreachedStateRefusesAtOnce(t *testing.T) {
+// While the state service is unreachable, requests are refused without waiting. The first successful
+// read ends this.
+func TestUnreachableStateServiceRefusesAtOnce(t *testing.T) {
 	c, _, _ := leading(t)
 	c.lead, c.control.loaded = nil, true
 	c.sync(func(bool) {})
@@ -43,20 +43,20 @@
 	refused := false
 	c.sync(func(ok bool) { refused = !ok })
 	if !refused {
-		t.Fatal("waits for a service that is not reached")
+		t.Fatal("request waits for an unreachable state service")
 	}
 	c.now = c.now.Add(retryPause)
 	c.runTimers()
 	again := c.out[len(c.out)-1].(StateCall)
 	resume(c.stateCalls, again.ID, StateReply{Status: 200})
 	if c.control.unreachable {
-		t.Fatal("refuses for ever")
+		t.Fatal("requests are still refused after a successful read")
 	}
 }
 
-// The answer to a report that an earlier process handed on must not reach another
-// worker.
-func TestRelayAnswerToAnEarlierProcess(t *testing.T) {
+// The answer to a heartbeat that an earlier process relayed must not be delivered to a different
+// worker. Processes therefore start from different random IDs.
+func TestProcessesStartFromDifferentIDs(t *testing.T) {
 	ids := map[uint64]bool{}
 	for seed := range uint64(20) {
 		c, _, _ := leading(t)
@@ -64,6 +64,6 @@
 		ids[c.id()] = true
 	}
 	if len(ids) < 20 {
-		t.Fatal("processes count from the same number")
+		t.Fatal("processes start from the same ID")
 	}
 }
--- a/controller/zone_displacement.go
+++ b/controller/zone_displacement.go
@@ -9,26 +9,27 @@
 	"pumicefront/zones"
 )
 
-// What a zone's loss has displaced, until it runs again: what operators see of a recovery.
+// Tasks displaced by the loss of a zone, tracked until they run again so that operators can observe
+// the recovery.
 
-// displacedTask names a task that was lost with its zone.
+// displacedTask identifies a task that was lost with its zone.
 type displacedTask struct {
 	job  string
 	task int
 }
 
-// displacement is what was lost, and when.
+// displacement is the zone that a task was lost with, and when.
 type displacement struct {
 	zone string
 	at   time.Time
 }
 
-// recoveryAtMost is how long a recovery is followed: what has not restarted by then waits for
-// other reasons.
-const recoveryAtMost = 15 * time.Minute
+// maxRecoveryTime is how long a displaced task is tracked. A task that has not restarted by then
+// waits for other reasons.
+const maxRecoveryTime = 15 * time.Minute
 
-// noteDisplaced notes a task that was lost with its zone.
-func (z *zoneRecovery) noteDisplaced(a *attempt) {
+// trackDisplaced records a task that was lost with its zone.
+func (z *zoneRecovery) trackDisplaced(a *attempt) {
 	state := z.tracker.State(a.machine.zone)
 	if a.job.cancelled || state != zones.Suspected && state != zones.Lost {
 		return
@@ -37,8 +38,8 @@
 	z.c.emit(TaskDisplaced{Zone: a.machine.zone, Class: a.job.spec.Class, At: z.c.now})
 }
 
-// noteRestart notes that a displaced task runs again.
-func (z *zoneRecovery) noteRestart(a *attempt) {
+// trackRestart reports that a displaced task runs again, and ends its tracking.
+func (z *zoneRecovery) trackRestart(a *attempt) {
 	key := displacedTask{a.job.id, a.task}
 	lost, was := z.displaced[key]
 	if !was {
@@ -48,62 +49,64 @@
 	z.c.emit(TaskRestarted{Zone: lost.zone, Class: a.job.spec.Class, Phase: z.restartPhase(a.job), Lost: lost.at, At: z.c.now})
 }
 
-// finishRecoveries ends the recovery of zones that are healthy and of which nothing waits any more.
+// finishRecoveries ends the recovery of zones that are healthy and have no displaced task left that
+// waits to restart.
 func (z *zoneRecovery) finishRecoveries() {
-	if len(z.open) == 0 {
+	if len(z.unfinishedRecoveries) == 0 {
 		return
 	}
-	left := map[string]int{}
+	unfinished := map[string]int{}
 	for key, lost := range z.displaced {
 		j := z.jobs[key.job]
-		if j == nil || j.cancelled || j.state.Status(key.task) == reduction.Completed || z.c.now.Sub(lost.at) > recoveryAtMost {
+		if j == nil || j.cancelled || j.state.Status(key.task) == reduction.Completed || z.c.now.Sub(lost.at) > maxRecoveryTime {
 			delete(z.displaced, key)
 			continue
 		}
-		left[lost.zone]++
+		unfinished[lost.zone]++
 	}
 	for _, name := range z.tracker.Names() {
-		if z.open[name] && left[name] == 0 && z.tracker.State(name) == zones.Healthy {
-			delete(z.open, name)
+		if z.unfinishedRecoveries[name] && unfinished[name] == 0 && z.tracker.State(name) == zones.Healthy {
+			delete(z.unfinishedRecoveries, name)
 			z.c.log(slog.LevelInfo, "zone recovered", "zone", name)
 			z.c.emit(ZoneRecovered{Zone: name, At: z.c.now})
 		}
 	}
 }
 
-// ZoneChanged tells of a change of a zone's state.
+// ZoneChanged reports a change of a zone's state.
 type ZoneChanged struct {
 	Zone     string
 	From, To zones.State
 	At       time.Time
 }
 
-// TaskDisplaced tells of a task that was lost with its zone.
+// TaskDisplaced reports a task that was lost with its zone.
 type TaskDisplaced struct {
 	Zone, Class string
 	At          time.Time
 }
 
-// TaskRestarted tells that a displaced task runs again.
+// TaskRestarted reports that a displaced task runs again.
 type TaskRestarted struct {
 	Zone, Class string
 	Phase       scheduler.RestartPhase
 	Lost, At    time.Time
 }
 
-// ZoneRecovered tells that a zone is healthy and that nothing of what was lost with it waits.
+// ZoneRecovered reports that a zone is healthy and that no task lost with it still waits to restart.
 type ZoneRecovered struct {
 	Zone string
 	At   time.Time
 }
 
-// RecoveriesHandedOver tells that this controller leads no more and that zones still recover: the
-// next leader goes on.
+// RecoveriesHandedOver reports that this controller no longer leads while zones still recover. The
+// next leader continues their recovery.
 type RecoveriesHandedOver struct{ At time.Time }
 
-// handOver tells that recoveries go on under another leader.
+// handOver emits RecoveriesHandedOver if any recovery is unfinished when this controller stops
+// leading.
 func (z *zoneRecovery) handOver() {
-	if z != nil && len(z.open) > 0 {
+	if z != nil && len(z.unfinishedRecoveries) > 0 {
 		z.c.emit(RecoveriesHandedOver{At: z.c.now})
 	}
 }
--- a/controller/zone_records.go
+++ b/controller/zone_records.go
@@ -11,92 +11,94 @@
 	"pumicefront/zones"
 )
 
-// Records of zones, which outlive their leader.
+// Zone records in the state service, which preserve zone states across a failover.
 
-// zonePrefix is where they are kept: no version without zone recovery reads or writes there.
+// zonePrefix is the key prefix of zone records. Versions without zone recovery neither read nor write
+// under it.
 const zonePrefix = "z/"
 
-// zoneRecords are the records as they are in the state service, by zone.
-type zoneRecords map[string]*keptZone
+// zoneRecords are the zone records as last known to be in the state service, by zone.
+type zoneRecords map[string]*storedZoneRecord
 
-// keptZone is one of them.
-type keptZone struct {
+// storedZoneRecord is one zone record as last known to be in the state service.
+type storedZoneRecord struct {
 	record   zones.Record
-	version  uint64 // 0: none is kept
+	version  uint64 // 0: no record is stored
 	writing  bool
-	dueSince time.Time // when it was found to be out of date; zero: it is not
+	dueSince time.Time // when the record was found to be out of date; zero: it is up to date
 }
 
-// recordAtMost is how long the record of a zone gives way to all other background writes: under
-// load they never end.
-const recordAtMost = 5 * time.Second
+// maxRecordDelay is how long the write of a zone record waits for all other background writes. A
+// bound is needed because under load those never end.
+const maxRecordDelay = 5 * time.Second
 
-// restoreZones takes up what earlier leaders have kept; what is stale is removed in time.
+// restoreZones restores the zone states from the records of earlier leaders. Records that are not
+// restored, such as stale ones, are removed or replaced later by keepRecords.
 func (z *zoneRecovery) restoreZones(items []wire.Item) {
 	for _, it := range items {
 		name := strings.TrimPrefix(it.Key, zonePrefix)
-		kept := &keptZone{version: it.Version}
-		z.records[name] = kept
+		stored := &storedZoneRecord{version: it.Version}
+		z.records[name] = stored
 		rec := decode[zones.Record](it.Value)
 		if rec != nil && z.tracker.Restore(name, *rec, z.c.now) {
-			kept.record = *rec
-			z.open[name] = z.tracker.State(name) != zones.Healthy
+			stored.record = *rec
+			z.unfinishedRecoveries[name] = z.tracker.State(name) != zones.Healthy
 		}
 	}
 }
 
-// keepRecords writes what has changed, last of all that the budget has changes for: at most one
-// change for each zone at a time.
+// keepRecords writes the zone records that have changed, with at most one write in flight for each
+// zone. It is the last to use the write budget of a step.
 func (z *zoneRecovery) keepRecords() {
-	if z == nil || z.c.now.Sub(z.keptAt) < zoneLookInterval || !z.c.now.Before(z.authority) || z.budget.paused(z.c.now) {
+	if z == nil || z.c.now.Sub(z.recordsCheckedAt) < zoneCheckInterval || !z.c.now.Before(z.authority) || z.budget.paused(z.c.now) {
 		return
 	}
-	z.keptAt = z.c.now
+	z.recordsCheckedAt = z.c.now
 	for _, name := range z.tracker.Names() {
 		if z.records[name] == nil {
-			z.records[name] = &keptZone{}
+			z.records[name] = &storedZoneRecord{}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(z.records)) {
-		z.keepRecord(name, z.records[name])
+		z.saveRecord(name, z.records[name])
 	}
 }
 
-// keepRecord writes one record, or removes it, if that is due.
-func (z *zoneRecovery) keepRecord(name string, kept *keptZone) {
-	if kept.writing {
+// saveRecord writes or removes one zone record if that is due and the write budget allows it.
+func (z *zoneRecovery) saveRecord(name string, stored *storedZoneRecord) {
+	if stored.writing {
 		return
 	}
-	record, any := z.tracker.Record(name, z.c.now)
-	obsolete := !any && kept.version > 0 && z.tracker.State(name) == zones.Healthy
-	if !obsolete && (!any || !record.Worth(kept.record)) {
-		kept.dueSince = time.Time{}
+	record, exists := z.tracker.Record(name, z.c.now)
+	obsolete := !exists && stored.version > 0 && z.tracker.State(name) == zones.Healthy
+	if !obsolete && (!exists || !record.Worth(stored.record)) {
+		stored.dueSince = time.Time{}
 		return
 	}
-	if kept.dueSince.IsZero() {
-		kept.dueSince = z.c.now
+	if stored.dueSince.IsZero() {
+		stored.dueSince = z.c.now
 	}
-	urgent := z.c.now.Sub(kept.dueSince) > recordAtMost
+	urgent := z.c.now.Sub(stored.dueSince) > maxRecordDelay
 	if !z.budget.allows(z.c.now, 1, urgent) {
 		return
 	}
 	z.budget.spend(z.c.now, 1, urgent)
 	if obsolete {
-		z.writeRecord(name, kept, nil)
+		z.writeRecord(name, stored, nil)
 	} else {
-		z.writeRecord(name, kept, &record)
+		z.writeRecord(name, stored, &record)
 	}
 }
 
-// writeRecord writes one record; nil removes it.
-func (z *zoneRecovery) writeRecord(name string, kept *keptZone, record *zones.Record) {
-	kept.writing = true
+// writeRecord writes one zone record, or removes it if record is nil.
+func (z *zoneRecovery) writeRecord(name string, stored *storedZoneRecord, record *zones.Record) {
+	stored.writing = true
 	key := zonePrefix + name
 	change := wire.Change{Delete: key}
 	if record != nil {
 		change = put(key, *record)
 	}
-	txn := wire.Txn{If: []wire.Cond{z.leadershipCondition(), {Key: key, Version: kept.version}}, Then: []wire.Change{change}}
+	txn := wire.Txn{If: []wire.Cond{z.leadershipCondition(), {Key: key, Version: stored.version}}, Then: []wire.Change{change}}
 	z.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if z.c.lead != z.leader {
 			return
@@ -109,23 +111,23 @@
 			})
 			return
 		}
-		*kept = keptZone{}
+		*stored = storedZoneRecord{}
 		if record != nil {
-			kept.version, kept.record = r.Txn.Revision, *record
+			stored.version, stored.record = r.Txn.Revision, *record
 		}
 	})
 }
 
-// rereadRecord finds out what became of a write that was not confirmed.
+// rereadRecord reads a zone record again after an unconfirmed write.
 func (z *zoneRecovery) rereadRecord(name string) {
 	z.findOut(zonePrefix+name, func(it *wire.Item) {
-		kept := keptZone{}
+		stored := storedZoneRecord{}
 		if it != nil {
-			kept.version = it.Version
+			stored.version = it.Version
 			if rec := decode[zones.Record](it.Value); rec != nil {
-				kept.record = *rec
+				stored.record = *rec
 			}
 		}
-		*z.records[name] = kept
+		*z.records[name] = stored
 	})
 }
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -12,171 +12,178 @@
 	"pumicefront/zones"
 )
 
-// Zone recovery: in which order the work of a lost zone restarts, and how starts return to it.
-// The states of zones (package zones) order and limit starts; they never prove an attempt gone.
+// Zone recovery: the order in which the work of a lost zone restarts, and the limits on starts in a
+// zone that returns. The states of zones (package zones) only order and limit starts. They never
+// prove that an attempt has ended.
 
-// zoneLookInterval is how often the zones are looked at.
-const zoneLookInterval = 250 * time.Millisecond
+// zoneCheckInterval is the interval between evaluations of zone health.
+const zoneCheckInterval = 250 * time.Millisecond
 
-// limitedWait is how long starts of a job may be held back: well below the time after which no job
-// may wait beside room.
-const limitedWait = 60 * time.Second
+// maxHoldBack is how long starts of a job may be held back. It is well below the time after which no
+// job may wait while machines have room for it.
+const maxHoldBack = 60 * time.Second
 
-// zoneRecovery is the leader's part of it; nil where operators have not switched it on.
+// zoneRecovery is the leader's component for zone recovery; nil unless operators have enabled it.
 type zoneRecovery struct {
 	*leader
-	tracker   *zones.Tracker
-	records   zoneRecords
-	keptAt    time.Time // see keepRecords
-	lookedAt  time.Time
-	look      []zones.Health
-	waiting   map[*job]time.Time // jobs with tasks to place while zones recover, since when
-	displaced map[displacedTask]displacement
-	open      map[string]bool // zones whose recovery is not over, see finishRecoveries
-	givenUp   []givenUpMachine
+	tracker              *zones.Tracker
+	records              zoneRecords
+	recordsCheckedAt     time.Time // see keepRecords
+	zonesCheckedAt       time.Time
+	lastHealth           []zones.Health
+	waitingSince         map[*job]time.Time // for jobs with tasks to place while zones recover
+	displaced            map[displacedTask]displacement
+	unfinishedRecoveries map[string]bool // by zone, see finishRecoveries
+	silentReleases       []silentRelease
 }
 
-// givenUpMachine is a machine that was released because it was silent: it speaks for a fault of its
-// zone as if it were still there, or the fault would be forgotten with the last machine.
-type givenUpMachine struct {
+// silentRelease is a machine that was released because it was silent. It counts as silent for some
+// time after, as otherwise a fault of its zone would go undetected once its last machine is released.
+type silentRelease struct {
 	zone string
 	at   time.Time
 }
 
+// newZoneRecovery returns the zone recovery of a leader, or nil if it is not enabled.
 func newZoneRecovery(l *leader) *zoneRecovery {
 	if l.c.op.ZoneRecovery == nil {
 		return nil
 	}
 	return &zoneRecovery{
 		leader: l, tracker: zones.New(l.c.op.ZoneRecovery.Settings), records: zoneRecords{},
-		waiting: map[*job]time.Time{}, displaced: map[displacedTask]displacement{}, open: map[string]bool{},
+		waitingSince: map[*job]time.Time{}, displaced: map[displacedTask]displacement{}, unfinishedRecoveries: map[string]bool{},
 	}
 }
 
-// recovering reports whether any zone is not healthy, as far as that is looked at.
+// recovering reports whether zone recovery is enabled and any zone is not healthy.
 func (z *zoneRecovery) recovering() bool { return z != nil && z.tracker.Recovering() }
 
-// run looks at the zones and keeps what has to outlive this leader.
+// run evaluates the health of all zones, handles changes of their states and ends the recoveries
+// that are complete.
 func (z *zoneRecovery) run() {
-	if z == nil || z.c.now.Sub(z.lookedAt) < zoneLookInterval {
+	if z == nil || z.c.now.Sub(z.zonesCheckedAt) < zoneCheckInterval {
 		return
 	}
-	z.lookedAt = z.c.now
+	z.zonesCheckedAt = z.c.now
 	if z.observerTrusted() {
-		z.look = z.health()
-		for _, t := range z.tracker.Observe(z.c.now, z.look) {
-			z.changed(t)
+		z.lastHealth = z.health()
+		for _, t := range z.tracker.Observe(z.c.now, z.lastHealth) {
+			z.zoneStateChanged(t)
 		}
 	}
 	z.finishRecoveries()
 }
 
-// observerTrusted reports whether silence says something of the machines: this controller leads by
-// a lease of the state service and has listened for as long as their reports may take. Workers take
-// longer to find a new leader.
+// observerTrusted reports whether missing heartbeats are evidence against machines: this controller
+// leads by a lease of the state service and has listened for at least the time within which a
+// heartbeat is due. After an election more time must have passed, as workers take longer to find a
+// new leader.
 func (z *zoneRecovery) observerTrusted() bool {
 	now := z.c.now
 	return now.Before(z.authority) && now.Sub(z.failures.listening.began) > z.failures.heartbeatDue(time.Second) && now.Sub(z.elected) > z.findsLeaderWithin()
 }
 
-// findsLeaderWithin is how long the workers of healthy zones take to report to a new leader.
+// findsLeaderWithin returns the time within which workers in healthy zones send a heartbeat to a new
+// leader.
 func (l *leader) findsLeaderWithin() time.Duration {
 	return l.failures.heartbeatDue(time.Second) + config.Seconds(l.c.cfg.Facts.Workers.ReportS)
 }
 
-// health counts the machines of every zone by whether they report. A zone whose reports arrive by
-// way of other controllers is not silent, whether or not commands reach it.
+// health counts the responsive and the silent machines of every zone. A zone whose heartbeats arrive
+// through other controllers is not silent, whether or not commands reach it.
 func (z *zoneRecovery) health() []zones.Health {
 	index := map[string]int{}
-	var look []zones.Health
+	var all []zones.Health
 	for _, m := range z.fleetOrder {
-		silent, known := z.silence(m)
+		silent, known := z.machineSilence(m)
 		if !known || m.zone == "" || m.releasing && silent {
 			continue
 		}
 		i, seen := index[m.zone]
 		if !seen {
-			i = len(look)
+			i = len(all)
 			index[m.zone] = i
-			look = append(look, zones.Health{Zone: m.zone})
+			all = append(all, zones.Health{Zone: m.zone})
 		}
 		if silent {
-			look[i].Silent++
+			all[i].Silent++
 		} else {
-			look[i].Responsive++
+			all[i].Responsive++
 		}
 	}
-	return z.withGivenUp(look)
+	return z.withSilentReleases(all)
 }
 
-// withGivenUp adds the machines that were given up lately.
-func (z *zoneRecovery) withGivenUp(look []zones.Health) []zones.Health {
+// withSilentReleases adds the machines that were recently released as silent.
+func (z *zoneRecovery) withSilentReleases(all []zones.Health) []zones.Health {
 	memory := z.c.op.ZoneRecovery.LostAfter + config.Seconds(z.c.cfg.Facts.Workers.LeaseS)
-	z.givenUp = slices.DeleteFunc(z.givenUp, func(g givenUpMachine) bool { return z.c.now.Sub(g.at) > memory })
-	for _, g := range z.givenUp {
-		i := slices.IndexFunc(look, func(h zones.Health) bool { return h.Zone == g.zone })
+	z.silentReleases = slices.DeleteFunc(z.silentReleases, func(r silentRelease) bool { return z.c.now.Sub(r.at) > memory })
+	for _, r := range z.silentReleases {
+		i := slices.IndexFunc(all, func(h zones.Health) bool { return h.Zone == r.zone })
 		if i < 0 {
-			i = len(look)
-			look = append(look, zones.Health{Zone: g.zone})
+			i = len(all)
+			all = append(all, zones.Health{Zone: r.zone})
 		}
-		look[i].Silent++
+		all[i].Silent++
 	}
-	return look
+	return all
 }
 
-// noteReleased notes a machine that is given up.
+// noteReleased records a machine that is released because it was silent.
 func (z *zoneRecovery) noteReleased(m *machine, why releaseReason) {
 	if z != nil && (why == releaseSilent || why == releaseSilentSinceElection) {
-		z.givenUp = append(z.givenUp, givenUpMachine{m.zone, z.c.now})
+		z.silentReleases = append(z.silentReleases, silentRelease{m.zone, z.c.now})
 	}
 }
 
-// silence reports whether a machine is silent, and whether that can be known: of one that boots
-// nothing is expected, nor of one that only the cloud's list shows, which may never come up. Counted as
-// silent, a few of those kept a small zone lost for half a minute after it was back.
-func (z *zoneRecovery) silence(m *machine) (silent, known bool) {
+// machineSilence reports whether a machine is silent, and whether this is known. No heartbeat is
+// expected from a machine that boots, nor from one known only from the cloud's list, which may never
+// come up. Counting such machines as silent kept a small zone in state lost for half a minute after
+// it had recovered.
+func (z *zoneRecovery) machineSilence(m *machine) (silent, known bool) {
 	switch {
 	case m.up:
 		return z.failures.unresponsive(m), true
-	case len(m.attempts) > 0 && z.failures.listenedSince(m.since) > z.findsLeaderWithin():
-		return true, true // it runs what an earlier leader has placed there
+	case len(m.attempts) > 0 && z.failures.listeningTimeSince(m.since) > z.findsLeaderWithin():
+		return true, true // it has attempts that an earlier leader placed there
 	}
 	return false, false
 }
 
-// changed handles a change of a zone's state.
-func (z *zoneRecovery) changed(t zones.Transition) {
+// zoneStateChanged logs and emits a change of a zone's state and requests a round of placement.
+func (z *zoneRecovery) zoneStateChanged(t zones.Transition) {
 	if t.To != zones.Healthy {
-		z.open[t.Zone] = true
+		z.unfinishedRecoveries[t.Zone] = true
 	}
 	z.c.log(slog.LevelInfo, "zone "+t.To.String(), "zone", t.Zone, "was", t.From)
 	z.c.emit(ZoneChanged{Zone: t.Zone, From: t.From, To: t.To, At: z.c.now})
 	z.wantPlacement()
 }
 
-// limitStarts orders the demands of a round for restarts and bounds their starts by zone. It returns
-// the bounds, see noteHeldBack.
+// limitStarts sets the restart order of a round's demands and limits their starts by zone. Demands
+// that have waited for maxHoldBack are not limited. It returns the limits for noteHeldBack.
 func (z *zoneRecovery) limitStarts(demands []*scheduler.Demand) map[string]*scheduler.StartLimit {
 	if !z.recovering() {
 		if z != nil {
-			clear(z.waiting)
+			clear(z.waitingSince)
 		}
 		return nil
 	}
 	limits := z.startLimits()
-	z.noteWaiting(demands)
+	z.updateWaiting(demands)
 	for _, d := range demands {
 		j := z.jobs[d.Job]
-		z.prepare(d, j)
-		if z.waited(d, j) < limitedWait {
+		z.setRestartOrder(d, j)
+		if z.waitingTime(d, j) < maxHoldBack {
 			d.Limits = limits
 		}
 	}
 	return limits
 }
 
-// closeZones keeps demands for rentals from counting on zones that take nothing now, and orders
-// them like restarts. Machines of a returning zone count: they are to be used soon.
+// closeZones keeps the planning of rentals from counting on zones that now accept only tasks that can
+// run nowhere else, and orders the demands like restarts. Machines in a returning zone count, as they
+// are to be used soon.
 func (z *zoneRecovery) closeZones(demands []*scheduler.Demand) {
 	if !z.recovering() {
 		return
@@ -190,19 +197,20 @@
 	for _, d := range demands {
 		d.Limits = closed
 		if j := z.jobs[d.Job]; j != nil {
-			z.prepare(d, j)
+			z.setRestartOrder(d, j)
 		} else {
-			d.Phase = scheduler.RestartRest // headroom, or not accepted yet
+			d.Phase = scheduler.RestartRest // headroom, or a job that is not accepted yet
 		}
 	}
 }
 
-// prepare tells the scheduler what of a job matters while zones recover.
-func (z *zoneRecovery) prepare(d *scheduler.Demand, j *job) {
+// setRestartOrder sets the fields of a demand that the scheduler uses while zones recover.
+func (z *zoneRecovery) setRestartOrder(d *scheduler.Demand, j *job) {
 	d.Phase, d.OnlyZone = z.restartPhase(j), z.onlyZone(&j.spec)
 }
 
-// onlyZone is the zone that has all machine types that a job may use, if there is just one.
+// onlyZone returns the one zone that offers machine types that a job may use, or "" if there are
+// several.
 func (l *leader) onlyZone(spec *wire.Job) string {
 	only := ""
 	for _, t := range l.c.typesFor(spec) {
@@ -216,10 +224,12 @@
 	return only
 }
 
+// unlimitedFetches allows any number of image fetches.
 func unlimitedFetches(string) int { return int(^uint(0) >> 1) }
 
-// rentable is how many machines more may be asked for in a zone: as long as none of its starts
-// has shown that it is well, no more may boot there than starts may be under way.
+// rentable returns how many of the wanted machines may be rented in a zone. In a returning zone no
+// more machines may boot at once than starts may be in progress, because successful starts have yet
+// to show that the zone is healthy.
 func (z *zoneRecovery) rentable(name string, want int) int {
 	if z == nil || z.tracker.State(name) != zones.Returning {
 		return want
@@ -233,8 +243,8 @@
 	return min(want, max(z.tracker.Admission(name).Starts-booting, 0))
 }
 
-// startLimits bounds the starts of this round in each zone that is limited: its windows, less
-// what is under way.
+// startLimits returns the limits on starts in this round for each limited zone: its windows for
+// starts and image fetches, less those in progress.
 func (z *zoneRecovery) startLimits() map[string]*scheduler.StartLimit {
 	limits := map[string]*scheduler.StartLimit{}
 	for _, name := range z.tracker.Names() {
@@ -242,7 +252,7 @@
 		if !a.Limited {
 			continue
 		}
-		started := z.underWay(name)
+		started := z.countStartsInProgress(name)
 		limits[name] = &scheduler.StartLimit{
 			Starts: a.Starts - started.starts, BoundOnly: a.BoundOnly,
 			Fetches: func(image string) int { return z.tracker.Fetches(name, image) - started.fetches[image] },
@@ -251,15 +261,15 @@
 	return limits
 }
 
-// startsUnderWay are attempts that are not seen running yet.
-type startsUnderWay struct {
+// startsInProgress counts attempts that no heartbeat has reported as running yet.
+type startsInProgress struct {
 	starts  int
-	fetches map[string]int // those that need an image fetched
+	fetches map[string]int // starts on machines without the image, by image
 }
 
-// underWay counts the starts that are under way in a zone.
-func (z *zoneRecovery) underWay(name string) startsUnderWay {
-	s := startsUnderWay{fetches: map[string]int{}}
+// countStartsInProgress counts the starts in progress in a zone.
+func (z *zoneRecovery) countStartsInProgress(name string) startsInProgress {
+	s := startsInProgress{fetches: map[string]int{}}
 	for _, m := range z.fleetOrder {
 		if m.zone != name {
 			continue
@@ -277,7 +287,7 @@
 	return s
 }
 
-// noteHeldBack tells the tracker, after a round, in which zones starts were held back.
+// noteHeldBack notifies the tracker, after a round, of the zones in which starts were held back.
 func (z *zoneRecovery) noteHeldBack(limits map[string]*scheduler.StartLimit) {
 	for name, limit := range limits {
 		if limit.HeldBack {
@@ -286,72 +296,76 @@
 	}
 }
 
-// limitedZone reports whether the starts of a zone are limited: nothing is stopped to make room there.
+// limitedZone reports whether the starts of a zone are limited. No task is preempted there then.
 func (z *zoneRecovery) limitedZone(name string) bool {
 	return z != nil && z.tracker.Admission(name).Limited
 }
 
-// noteWaiting notes since when jobs have had tasks to place.
-func (z *zoneRecovery) noteWaiting(demands []*scheduler.Demand) {
+// updateWaiting records since when each job has had tasks to place, and removes the jobs that have
+// none.
+func (z *zoneRecovery) updateWaiting(demands []*scheduler.Demand) {
 	waits := map[*job]bool{}
 	for _, d := range demands {
 		j := z.jobs[d.Job]
 		waits[j] = true
-		if _, noted := z.waiting[j]; !noted {
-			z.waiting[j] = z.c.now
+		if _, noted := z.waitingSince[j]; !noted {
+			z.waitingSince[j] = z.c.now
 		}
 	}
-	for j := range z.waiting {
+	for j := range z.waitingSince {
 		if !waits[j] {
-			delete(z.waiting, j)
+			delete(z.waitingSince, j)
 		}
 	}
 }
 
-// waited is how long a job has had tasks to place.
-func (z *zoneRecovery) waited(d *scheduler.Demand, j *job) time.Duration {
-	waited := z.c.now.Sub(z.waiting[j])
+// waitingTime returns how long a job has had tasks to place. For a job that has not begun this is at
+// least its age.
+func (z *zoneRecovery) waitingTime(d *scheduler.Demand, j *job) time.Duration {
+	waited := z.c.now.Sub(z.waitingSince[j])
 	if !d.Begun {
 		return max(waited, config.Seconds(d.AgeS))
 	}
 	return waited
 }
 
-// restartPhase tells when, among all that waits, a job restarts.
+// restartPhase returns the phase in which a job restarts, relative to other waiting jobs.
 func (z *zoneRecovery) restartPhase(j *job) scheduler.RestartPhase {
 	switch {
 	case j.spec.Kind == wire.KindService && j.spec.Priority == wire.Priorities[0]:
 		return scheduler.RestartProdServices
 	case j.spec.Kind == wire.KindService:
 		return scheduler.RestartServices
-	case z.hasFinishAim(j):
+	case z.hasFinishObjective(j):
 		return scheduler.RestartTimelyBatches
 	}
 	return scheduler.RestartRest
 }
 
-// hasFinishAim reports whether a job is to finish by a time: then it is overdue, or will be, or can
-// still be in time.
-func (l *leader) hasFinishAim(j *job) bool {
+// hasFinishObjective reports whether an objective for the finish time applies to a job, whether the
+// job is overdue, will be late or can still finish in time.
+func (l *leader) hasFinishObjective(j *job) bool {
 	return slices.ContainsFunc(l.c.cfg.Facts.Objectives, func(o config.Objective) bool {
 		_, _, applies := j.finishObjective(o, l.c.now)
 		return applies
 	})
 }
 
-// startSeen counts a start that has succeeded.
-func (z *zoneRecovery) startSeen(a *attempt) {
+// startSucceeded counts a successful start.
+func (z *zoneRecovery) startSucceeded(a *attempt) {
 	if z == nil {
 		return
 	}
-	if !a.restored { // an earlier leader's may have been running for long
+	if !a.restored { // an attempt of an earlier leader may have been running for a long time
 		z.tracker.Succeeded(a.start())
 	}
-	z.noteRestart(a)
+	z.trackRestart(a)
 }
 
-// startOver counts the end of an attempt: one that ends before it was seen running, and that
-// nobody stopped, is a start that has failed unless its task is done.
+// startOver handles the end of an attempt. An attempt that ends before a heartbeat has reported it
+// as running counts as a successful start if its task is done, and otherwise as a failed one, unless
+// it was stopped, its job was cancelled or its run command was not sent. Attempts of an earlier
+// leader are not counted. A task lost with its machine is passed to trackDisplaced.
 func (z *zoneRecovery) startOver(a *attempt, o reduction.Outcome, why proof) {
 	if z == nil {
 		return
@@ -359,18 +373,19 @@
 	switch {
 	case !a.starting() || a.restored:
 	case o == reduction.Succeeded:
-		z.startSeen(a)
+		z.startSucceeded(a)
 	case a.phase >= attemptSent && !a.stopping && !a.job.cancelled:
 		z.tracker.Failed(a.start())
 	}
 	if o == reduction.Reset && (why == proofLeaseExpired || why == proofMachineReleased) {
-		z.noteDisplaced(a)
+		z.trackDisplaced(a)
 	}
 }
 
-// starting reports whether an attempt is a start under way.
+// starting reports whether no heartbeat has reported the attempt as running yet.
 func (a *attempt) starting() bool { return a.phase < attemptRunning }
 
+// start describes the attempt's start to the zone tracker.
 func (a *attempt) start() zones.Start {
 	return zones.Start{Zone: a.machine.zone, Image: a.job.spec.Image, Fetches: a.fetches}
 }
--- a/controller/zone_recovery_test.go
+++ b/controller/zone_recovery_test.go
@@ -13,21 +13,21 @@
 	"pumicefront/zones"
 )
 
-// recoveringLeader is a leader with zone recovery on, to which one zone is lost.
+// recoveringLeader returns a leader with zone recovery enabled and one zone, a, in state lost.
 func recoveringLeader(t *testing.T) (*Core, *leader) {
 	t.Helper()
 	c, l, _ := leading(t)
 	c.op.ZoneRecovery = &config.ZoneRecovery{Settings: zones.DefaultSettings()}
 	l.zones = newZoneRecovery(l)
-	kept := zones.Record{State: zones.Lost.String(), SinceMS: c.now.UnixMilli(), Penalty: 1, Window: 8, WrittenMS: c.now.UnixMilli()}
-	l.zones.restoreZones([]wire.Item{{Key: "z/a", Value: wire.Marshal(kept), Version: 5}})
+	stored := zones.Record{State: zones.Lost.String(), SinceMS: c.now.UnixMilli(), Penalty: 1, Window: 8, WrittenMS: c.now.UnixMilli()}
+	l.zones.restoreZones([]wire.Item{{Key: "z/a", Value: wire.Marshal(stored), Version: 5}})
 	if l.zones.tracker.State("a") != zones.Lost {
-		t.Fatal("the zone's record is not taken up")
+		t.Fatal("the zone's state is not restored from its record")
 	}
 	return c, l
 }
 
-// zoneWrites lists the transactions on records of zones that the core asks for.
+// zoneWrites returns the transactions on zone records in the core's output, and clears the output.
 func zoneWrites(c *Core) []StateCall {
 	var calls []StateCall
 	for _, o := range c.out {
@@ -39,9 +39,9 @@
 	return calls
 }
 
-// The versions before zone recovery read what is under these prefixes, and remove nothing else:
-// records of zones must be out of their sight.
-func TestZoneRecordsAreOutOfSightOfEarlierVersions(t *testing.T) {
+// Versions before zone recovery read and remove keys under these prefixes only. Zone records must not
+// be under any of them.
+func TestZoneRecordsUsePrefixUnreadByEarlierVersions(t *testing.T) {
 	for _, prefix := range []string{controlPrefix, taskPrefix, finalPrefix, rentalPrefix} {
 		if strings.HasPrefix(zonePrefix, prefix) || strings.HasPrefix(prefix, zonePrefix) {
 			t.Errorf("%s is read by earlier versions under %s", zonePrefix, prefix)
@@ -49,8 +49,8 @@
 	}
 }
 
-// A record is written when it is worth it and no more often, on the condition that this
-// controller leads and of the version that it knows.
+// A zone record is written only when it has changed enough, with one write in flight, and on the
+// conditions that this controller leads and that the record has the known version.
 func TestZoneRecordsAreWrittenOnce(t *testing.T) {
 	c, l := recoveringLeader(t)
 	c.out = nil
@@ -61,7 +61,7 @@
 		return zoneWrites(c)
 	}
 	if calls := step(); len(calls) > 0 {
-		t.Fatalf("%+v though nothing has changed", calls)
+		t.Fatalf("writes %+v though nothing has changed", calls)
 	}
 	l.zones.tracker.Observe(c.now, []zones.Health{{Zone: "a", Responsive: 3}, {Zone: "b", Responsive: 3}})
 	calls := step()
@@ -70,16 +70,16 @@
 		t.Fatalf("%+v", calls)
 	}
 	if again := step(); len(again) > 0 {
-		t.Fatalf("%+v while a write is under way", again)
+		t.Fatalf("writes %+v while another write is in flight", again)
 	}
 	resume(c.stateCalls, calls[0].ID, StateReply{ID: calls[0].ID, Status: http.StatusOK, Txn: wire.TxnAnswer{Revision: 9}})
 	if again := step(); len(again) > 0 || l.zones.records["a"].version != 9 {
-		t.Fatalf("%+v after the write, version %d", again, l.zones.records["a"].version)
+		t.Fatalf("writes %+v after the write, known version %d", again, l.zones.records["a"].version)
 	}
 }
 
-// A write without an answer is looked up, not repeated blindly.
-func TestZoneRecordInDoubtIsReadAgain(t *testing.T) {
+// After a write without an answer the zone record is read again; the write is not repeated blindly.
+func TestZoneRecordIsRereadAfterUnconfirmedWrite(t *testing.T) {
 	c, l := recoveringLeader(t)
 	l.zones.tracker.Observe(c.now, []zones.Health{{Zone: "a", Responsive: 3}, {Zone: "b", Responsive: 3}})
 	c.now = c.now.Add(time.Second)
@@ -96,17 +96,17 @@
 			resume(c.stateCalls, call.ID, StateReply{ID: call.ID, Status: http.StatusOK, Item: wire.Item{Key: "z/a", Value: calls[0].Txn.Then[0].Value, Version: 7}})
 		}
 	}
-	kept := l.zones.records["a"]
-	if reads != 1 || kept.version != 7 || kept.writing || kept.record.State != zones.HeldDown.String() {
-		t.Errorf("%d reads, then %+v", reads, kept)
+	stored := l.zones.records["a"]
+	if reads != 1 || stored.version != 7 || stored.writing || stored.record.State != zones.HeldDown.String() {
+		t.Errorf("%d reads, want 1, then the stored record is %+v", reads, stored)
 	}
 }
 
-// Off, a leader reads and writes nothing of zones.
+// With zone recovery disabled, a leader reads and writes no zone records.
 func TestZoneRecoveryOff(t *testing.T) {
 	c, l, _ := leading(t)
 	if l.zones != nil || l.zones.recovering() || l.zones.rentable("a", 7) != 7 {
-		t.Fatal("zone recovery is on")
+		t.Fatal("zone recovery is enabled")
 	}
 	c.out = nil
 	l.run()
@@ -115,8 +115,9 @@
 	}
 }
 
-// What a job is decides when it restarts. A batch that will be late and is not overdue yet does not
-// go behind those that have no aim: counted to the rest, it waited twice as long as without recovery.
+// A job's kind, priority and objectives decide its restart phase. A batch job that will be late but is
+// not overdue yet must not restart with the jobs without an objective: there it waited twice as long
+// as without zone recovery.
 func TestRestartPhase(t *testing.T) {
 	c, l := recoveringLeader(t)
 	c.cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "a", WithinS: 100}}
@@ -131,7 +132,7 @@
 		"can still be in time": {wire.KindArray, "standard", "a", 60, 40, scheduler.RestartTimelyBatches},
 		"will be late":         {wire.KindArray, "standard", "a", 60, 41, scheduler.RestartTimelyBatches},
 		"overdue":              {wire.KindArray, "standard", "a", 60, 101, scheduler.RestartTimelyBatches},
-		"without an aim":       {wire.KindArray, "standard", "b", 60, 0, scheduler.RestartRest},
+		"without an objective": {wire.KindArray, "standard", "b", 60, 0, scheduler.RestartRest},
 	} {
 		j := l.addJob("req-000500", &headerRecord{PerChunk: 10, AcceptedMS: c.now.Add(-config.Seconds(k.age)).UnixMilli(),
 			Job: wire.Job{ID: "req-000500", Kind: k.kind, Priority: k.priority, Class: k.class, Tasks: 1, CPUs: 1, EstimateS: k.estimate}})
@@ -141,36 +142,36 @@
 	}
 }
 
-// Nobody waits for ever for a zone: after limitedWait a job's starts are not held back any more,
-// though it runs already and is old.
-func TestStartsAreHeldBackForAWhile(t *testing.T) {
+// Starts are not held back forever: after maxHoldBack a job's starts are no longer limited, also for
+// an old job that has already begun.
+func TestHoldingBackStartsIsBounded(t *testing.T) {
 	c, l := recoveringLeader(t)
 	j := l.jobs["req-000001"]
 	j.begun = true
 	limited := func() bool {
-		ds := l.demands()
-		l.zones.limitStarts(ds)
-		if len(ds) != 1 || ds[0].Phase != scheduler.RestartRest {
-			t.Fatalf("%d demands, the first %+v", len(ds), ds[0])
+		demands := l.demands()
+		l.zones.limitStarts(demands)
+		if len(demands) != 1 || demands[0].Phase != scheduler.RestartRest {
+			t.Fatalf("%d demands, the first %+v", len(demands), demands[0])
 		}
-		return ds[0].Limits["a"] != nil
+		return demands[0].Limits["a"] != nil
 	}
 	if !limited() {
 		t.Fatal("not limited at first")
 	}
-	c.now = c.now.Add(limitedWait - time.Second)
+	c.now = c.now.Add(maxHoldBack - time.Second)
 	if !limited() {
-		t.Error("not limited any more too soon")
+		t.Error("no longer limited before maxHoldBack has passed")
 	}
 	c.now = c.now.Add(time.Second)
 	if limited() {
-		t.Errorf("limited after %v", limitedWait)
+		t.Errorf("still limited after %v", maxHoldBack)
 	}
 }
 
-// Machines that are given up speak for the fault of their zone for a while: otherwise it would be
-// forgotten with the last of them, and new ones be rented there.
-func TestGivenUpMachinesAreEvidence(t *testing.T) {
+// Machines released as silent still count as silent for a while. Otherwise the fault of their zone
+// would go undetected once the last of them is released, and new machines would be rented there.
+func TestReleasedSilentMachinesStillCount(t *testing.T) {
 	c, l := recoveringLeader(t)
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
 		m := l.machine(id)
@@ -182,18 +183,18 @@
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
 		l.autoscaler.forgetMachine(id)
 	}
-	if look := l.zones.health(); len(look) != 1 || look[0] != (zones.Health{Zone: "b", Silent: 2}) {
-		t.Errorf("%+v", look)
+	if counts := l.zones.health(); len(counts) != 1 || counts[0] != (zones.Health{Zone: "b", Silent: 2}) {
+		t.Errorf("%+v", counts)
 	}
 	c.now = c.now.Add(time.Minute)
-	if look := l.zones.health(); len(look) != 0 {
-		t.Errorf("%+v a minute later", look)
+	if counts := l.zones.health(); len(counts) != 0 {
+		t.Errorf("%+v a minute after the releases, want none", counts)
 	}
 }
 
-// A job may be bound to a zone by its machine types alone; and what is rented ahead never goes before
-// jobs that wait.
-func TestBoundByMachineTypes(t *testing.T) {
+// A job may be restricted to one zone by its machine types alone. Headroom that is rented ahead never
+// comes before waiting jobs.
+func TestRestrictedByMachineTypes(t *testing.T) {
 	c, l := recoveringLeader(t)
 	c.setTypes([]wire.MachineType{{Name: "small", Zones: []string{"a", "b"}}, {Name: "rare", Zones: []string{"a"}}})
 	j := l.jobs["req-000001"]
@@ -204,13 +205,13 @@
 		d := c.demandOf(&j.spec)
 		l.zones.closeZones([]*scheduler.Demand{d, ahead})
 		if d.OnlyZone != want || ahead.Phase != scheduler.RestartRest || d.Limits["a"] == nil {
-			t.Errorf("%s: %+v, headroom in phase %d", types, d, ahead.Phase)
+			t.Errorf("job of type %s: %+v, headroom in phase %d", types, d, ahead.Phase)
 		}
 	}
 }
 
-// A machine that has not reported to this leader speaks for a fault of its zone only while something
-// of an earlier leader's may run there: one that is merely listed may never come up.
+// A machine that has sent no heartbeat to this leader counts as silent only while an attempt of an
+// earlier leader may run there. A machine known only from the cloud's list may never come up.
 func TestSilenceOfMachinesThatNeverReported(t *testing.T) {
 	c, l := recoveringLeader(t)
 	j := l.jobs["req-000001"]
@@ -223,13 +224,13 @@
 	listed.zone, listed.typ = "b", "small"
 	l.failures.listening.began = c.now
 	c.now = c.now.Add(l.zones.findsLeaderWithin() + time.Second)
-	if look := l.zones.health(); len(look) != 1 || look[0].Silent != 2 || look[0].Responsive != 0 {
-		t.Errorf("%+v with work on record", look)
+	if counts := l.zones.health(); len(counts) != 1 || counts[0].Silent != 2 || counts[0].Responsive != 0 {
+		t.Errorf("%+v with work on record", counts)
 	}
 	for _, a := range j.sortedAttempts() {
 		l.gone(a, reduction.Reset, proofLeaseExpired)
 	}
-	if look := l.zones.health(); len(look) != 0 {
-		t.Errorf("%+v when nothing can run there any more", look)
+	if counts := l.zones.health(); len(counts) != 0 {
+		t.Errorf("%+v after all attempts have ended, want none", counts)
 	}
 }
--- a/controller/zone_status.go
+++ b/controller/zone_status.go
@@ -9,36 +9,37 @@
 	"pumicefront/zones"
 )
 
-// What operators are told of the zones.
+// The zone status that operators can query.
 
-// ZoneStatusRequest asks for the state of all zones, to be answered with the same Req by a
-// zones.Status. It needs nothing but memory, so it is answered in any outage.
+// ZoneStatusRequest requests the state of all zones. The answer has the same Req and a zones.Status as
+// its body. It is computed from memory alone, so that it is available in any outage.
 type ZoneStatusRequest struct{ Req uint64 }
 
-// zoneStatus answers with what this controller knows: all of it if it leads.
+// zoneStatus answers a ZoneStatusRequest. Only a leader with authority answers with the states of the
+// zones; other controllers answer with the leader's name.
 func (c *Core) zoneStatus(r ZoneStatusRequest) {
 	s := zones.Status{Member: c.cfg.Member, Leader: c.leaderName()}
 	if l := c.lead; l != nil && l.recovered && l.zones != nil && c.entitled() {
 		s.Leading, s.Leader = true, c.cfg.Member
-		s.Zones, s.Waiting = l.zones.status(), l.zones.classes()
+		s.Zones, s.Waiting = l.zones.zoneStatuses(), l.zones.classStatuses()
 	}
 	c.emit(Answer{Req: r.Req, Status: http.StatusOK, Body: s})
 }
 
-// status describes every zone.
-func (z *zoneRecovery) status() []zones.ZoneStatus {
+// zoneStatuses returns the status of every zone.
+func (z *zoneRecovery) zoneStatuses() []zones.ZoneStatus {
 	displaced := map[string]int{}
 	for _, lost := range z.displaced {
 		displaced[lost.zone]++
 	}
 	seen := map[string]zones.Health{}
-	for _, h := range z.look {
+	for _, h := range z.lastHealth {
 		seen[h.Zone] = h
 	}
 	var all []zones.ZoneStatus
 	for _, name := range z.tracker.Names() {
 		s := z.tracker.Status(name, z.c.now)
-		started := z.underWay(name)
+		started := z.countStartsInProgress(name)
 		s.Responsive, s.Silent, s.Displaced = seen[name].Responsive, seen[name].Silent, displaced[name]
 		s.UnderWay = started.starts
 		for _, n := range started.fetches {
@@ -49,9 +50,9 @@
 	return all
 }
 
-// classes describes what waits of each class, and for what: its team's limit, a zone that takes
-// nothing more now, or room.
-func (z *zoneRecovery) classes() []zones.ClassStatus {
+// classStatuses returns for each class the number of waiting tasks, by what they wait for: the limit
+// of their team, the limits on starts while zones recover, or room on machines.
+func (z *zoneRecovery) classStatuses() []zones.ClassStatus {
 	byClass := map[string]*zones.ClassStatus{}
 	used := z.teamUse()
 	machines := z.view(false)
@@ -66,7 +67,7 @@
 		used[d.Team] = used[d.Team].Add(d.Each, float64(allowed))
 		ramp := 0
 		if z.recovering() {
-			ramp = len(scheduler.Place(machines, d)) // what has room and is not placed is held back
+			ramp = len(scheduler.Place(machines, d)) // a task that has room and is not placed is held back
 		}
 		s.Tasks += len(d.Tasks)
 		s.TeamLimit += len(d.Tasks) - allowed
