--- a/controller/user_requests.go
+++ b/controller/user_requests.go
@@ -14,7 +14,7 @@
 func (c *Core) user(r UserRequest) {
 	switch r.Op {
 	case UserReady:
-		c.ready(r)
+		c.answerReady(r)
 	case UserSubmit:
 		c.submit(r)
 	case UserPoll:
@@ -24,9 +24,9 @@
 	}
 }
 
-// ready answers the readiness check. It makes a fresh read, so that a positive answer also holds for
-// the next request.
-func (c *Core) ready(r UserRequest) {
+// answerReady answers the readiness check. It makes a fresh read, so that a positive answer also holds
+// for the next request.
+func (c *Core) answerReady(r UserRequest) {
 	c.sync(func(ok bool) {
 		if ok && len(c.types) > 0 {
 			c.answer(r.Req, http.StatusOK, struct{}{})
@@ -96,20 +96,20 @@
 	case !c.control.loaded || c.control.unreachable:
 		c.retryLater(r.Req, "state service not reached")
 	case len(job.Needs) == 0:
-		c.accept(r, header, nil)
+		c.createJobRecord(r, header, nil)
 	case !c.allRun(firstVersionWithChains):
 		c.retryLater(r.Req, "an earlier version may still run")
 	default:
 		c.needs(r, &job, func(cancelled bool, conds []wire.Cond) {
 			header.Cancelled = cancelled
-			c.accept(r, header, conds)
+			c.createJobRecord(r, header, conds)
 		})
 	}
 }
 
-// accept creates a job's record, on the conditions that no record of the job exists and that the jobs
-// it needs are unchanged since they were checked.
-func (c *Core) accept(r UserRequest, header headerRecord, conds []wire.Cond) {
+// createJobRecord creates a job's record, on the conditions that no record of the job exists and that
+// the jobs it needs are unchanged since they were checked.
+func (c *Core) createJobRecord(r UserRequest, header headerRecord, conds []wire.Cond) {
 	id := header.Job.ID
 	if !c.writes.AllowN(c.now, 1) {
 		c.rejectSubmission(r, &header.Job)
