--- a/celllink/celllink_test.go
+++ b/celllink/celllink_test.go
@@ -15,8 +15,8 @@
 	"pumicefront/wire"
 )
 
-// peer stands in for a controller of another cell.
-func peer(t *testing.T, serve http.HandlerFunc) string {
+// startPeer stands in for a controller of another cell.
+func startPeer(t *testing.T, serve http.HandlerFunc) string {
 	server := httptest.NewServer(serve)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -32,12 +32,12 @@
 	}
 	status := controller.CellMessage{Message: cells.Message{Kind: cells.KindStatus, From: "b", To: "a", Job: "req-000002", Epoch: 8,
 		State: cells.HolderEnded, Result: cells.ResultCancelled}}
-	passed := 0
-	follower := peer(t, func(w http.ResponseWriter, _ *http.Request) {
-		passed++
+	followerCalls := 0
+	follower := startPeer(t, func(w http.ResponseWriter, _ *http.Request) {
+		followerCalls++
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	leader := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	leader := startPeer(t, func(w http.ResponseWriter, r *http.Request) {
 		got, err := ReadRequest(r.Body, "b")
 		if err != nil || r.URL.Path != cells.MessagesPath || got.From != "a" || got.Floor != 6 || got.Challenge != 12 || !reflect.DeepEqual(got.Messages, sent) {
 			t.Errorf("%+v %v", got, err)
@@ -55,21 +55,21 @@
 			t.Errorf("%+v", got)
 		}
 	}
-	if passed != 1 {
-		t.Errorf("the one that doesn't lead is asked %d times", passed)
+	if followerCalls != 1 {
+		t.Errorf("the one that doesn't lead is asked %d times", followerCalls)
 	}
 }
 
 // A cell that listens and says nothing, or nonsense, is given up in time.
-func TestCallGivesUp(t *testing.T) {
-	gone := make(chan struct{})
-	defer close(gone)
-	silent := peer(t, func(http.ResponseWriter, *http.Request) { <-gone })
-	odd := peer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "\xff\xff") })
-	client := NewClient(&config.Cell{Name: "a", Peers: []config.CellPeer{{Name: "b", Addresses: []string{odd, silent, silent, silent, silent}}}})
-	began := time.Now()
-	if r := client.Call(controller.CellCall{ID: 4, To: "b"}); r.OK || r.ID != 4 || time.Since(began) > callTimeout+addressTimeout {
-		t.Errorf("%+v after %v", r, time.Since(began))
+func TestCallTimesOut(t *testing.T) {
+	done := make(chan struct{})
+	defer close(done)
+	silent := startPeer(t, func(http.ResponseWriter, *http.Request) { <-done })
+	malformed := startPeer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "\xff\xff") })
+	client := NewClient(&config.Cell{Name: "a", Peers: []config.CellPeer{{Name: "b", Addresses: []string{malformed, silent, silent, silent, silent}}}})
+	start := time.Now()
+	if r := client.Call(controller.CellCall{ID: 4, To: "b"}); r.OK || r.ID != 4 || time.Since(start) > callTimeout+addressTimeout {
+		t.Errorf("%+v after %v", r, time.Since(start))
 	}
 	if _, err := ReadRequest(strings.NewReader("\xff"), "b"); err == nil {
 		t.Error("nonsense is read")
--- a/celllink/client.go
+++ b/celllink/client.go
@@ -21,7 +21,7 @@
 const (
 	addressTimeout = time.Second     // for one controller of a cell
 	callTimeout    = 3 * time.Second // for all of them
-	LargestBody    = 1 << 20
+	MaxBodyBytes   = 1 << 20
 )
 
 // Client sends messages to other cells.
@@ -46,16 +46,16 @@
 func (c *Client) Call(call controller.CellCall) controller.CellReply {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	body, err := proto.Marshal(&Request{From: string(c.self), Floor: uint64(call.Floor), Messages: encode(call.Messages), Challenge: uint64(call.Challenge)})
+	body, err := proto.Marshal(&Request{From: string(c.self), Floor: uint64(call.Floor), Messages: encodeMessages(call.Messages), Challenge: uint64(call.Challenge)})
 	if err != nil {
 		return controller.CellReply{ID: call.ID}
 	}
 	for i, address := range c.addresses(call.To) {
-		reply, err := c.ask(ctx, address, body)
+		reply, err := c.post(ctx, address, body)
 		if err != nil {
 			continue // the next controller may lead; without an answer the core asks again later
 		}
-		messages, err := decode(reply.Messages, call.To, c.self)
+		messages, err := decodeMessages(reply.Messages, call.To, c.self)
 		if err != nil {
 			continue
 		}
@@ -82,7 +82,7 @@
 
 var errNotLeading = errors.New("does not lead")
 
-func (c *Client) ask(ctx context.Context, address string, body []byte) (*Reply, error) {
+func (c *Client) post(ctx context.Context, address string, body []byte) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+cells.MessagesPath, bytes.NewReader(body))
@@ -98,7 +98,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("cell at %s: %w", address, errNotLeading)
 	}
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, LargestBody))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes))
 	if err != nil {
 		return nil, fmt.Errorf("answer of cell at %s: %w", address, err)
 	}
@@ -111,7 +111,7 @@
 
 // ReadRequest reads a request that has come from another cell.
 func ReadRequest(body io.Reader, self cells.Cell) (controller.CellRequest, error) {
-	raw, err := io.ReadAll(io.LimitReader(body, LargestBody))
+	raw, err := io.ReadAll(io.LimitReader(body, MaxBodyBytes))
 	if err != nil {
 		return controller.CellRequest{}, fmt.Errorf("read request of a cell: %w", err)
 	}
@@ -120,13 +120,13 @@
 		return controller.CellRequest{}, fmt.Errorf("read request of a cell: %w", err)
 	}
 	from := cells.Cell(request.From)
-	messages, err := decode(request.Messages, from, self)
+	messages, err := decodeMessages(request.Messages, from, self)
 	return controller.CellRequest{From: from, Floor: cells.Epoch(request.Floor), Messages: messages, Challenge: cells.Challenge(request.Challenge)}, err
 }
 
 // WriteAnswer spells the answer to another cell.
 func WriteAnswer(a controller.CellAnswer) ([]byte, error) {
-	raw, err := proto.Marshal(&Reply{Messages: encode(a.Messages), Room: a.Room, Challenge: uint64(a.Challenge)})
+	raw, err := proto.Marshal(&Reply{Messages: encodeMessages(a.Messages), Room: a.Room, Challenge: uint64(a.Challenge)})
 	if err != nil {
 		return nil, fmt.Errorf("answer a cell: %w", err)
 	}
--- a/celllink/convert.go
+++ b/celllink/convert.go
@@ -10,8 +10,8 @@
 	"pumicefront/wire"
 )
 
-// encode spells messages as they go over the wire.
-func encode(messages []controller.CellMessage) []*Message {
+// encodeMessages spells messages as they go over the wire.
+func encodeMessages(messages []controller.CellMessage) []*Message {
 	var all []*Message
 	for _, m := range messages {
 		p := &Message{Kind: Kind(m.Kind), Job: m.Job, Epoch: uint64(m.Epoch), Cancel: m.Cancel, State: State(m.State), Result: Result(m.Result)}
@@ -23,8 +23,8 @@
 	return all
 }
 
-// decode reads messages that came from a cell. The team is the one that the job's description names.
-func decode(messages []*Message, from, to cells.Cell) ([]controller.CellMessage, error) {
+// decodeMessages reads messages that came from a cell. The team is the one that the job's description names.
+func decodeMessages(messages []*Message, from, to cells.Cell) ([]controller.CellMessage, error) {
 	var all []controller.CellMessage
 	for _, p := range messages {
 		m := controller.CellMessage{Message: cells.Message{Kind: cells.Kind(p.Kind), From: from, To: to, Job: p.Job,
--- a/cellview/cellview.go
+++ b/cellview/cellview.go
@@ -25,7 +25,7 @@
 	table := tabwriter.NewWriter(&out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CELL\tANSWERED\tFAILURES\tROOM\tGRANTED\tOLDEST EPOCH\tDECLARED GONE")
 	for _, l := range s.Links {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%.0f\t%d\t%d\t%s\n", l.Cell, answeredText(l.AnsweredS), l.Failures, l.Room, l.Granted, l.OldestEpoch, goneText(l))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%.0f\t%d\t%d\t%s\n", l.Cell, lastReplyText(l.AnsweredS), l.Failures, l.Room, l.Granted, l.OldestEpoch, declaredGoneText(l))
 	}
 	fmt.Fprintln(table, "\nTEAM\tWAY\tJOBS\tTASKS")
 	for _, t := range s.Out {
@@ -40,14 +40,14 @@
 	return out.String()
 }
 
-func answeredText(ago float64) string {
+func lastReplyText(ago float64) string {
 	if ago < 0 {
 		return "never"
 	}
 	return fmt.Sprintf("%.0f s ago", ago)
 }
 
-func goneText(l cells.LinkStatus) string {
+func declaredGoneText(l cells.LinkStatus) string {
 	if l.GoneBy == "" {
 		return "-"
 	}
--- a/cellview/cellview_test.go
+++ b/cellview/cellview_test.go
@@ -14,8 +14,8 @@
 	"pumicefront/statusclient"
 )
 
-// controller stands in for one: it answers with a status, and takes declarations only if it leads.
-func controller(t *testing.T, s cells.Status, declared *string) string {
+// startController stands in for one: it answers with a status, and takes declarations only if it leads.
+func startController(t *testing.T, s cells.Status, declared *string) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+cells.StatusPath, func(w http.ResponseWriter, _ *http.Request) {
 		if err := json.NewEncoder(w).Encode(s); err != nil {
@@ -39,8 +39,8 @@
 	leader := cells.Status{Member: "n1", Leading: true, Cell: "gent", Ready: true, Lends: 40,
 		Links: []cells.LinkStatus{{Cell: "joburg", AnsweredS: 3, Granted: 2, OldestEpoch: 7, GoneEpoch: 5, GoneBy: "an operator"}, {Cell: "brussel", AnsweredS: -1, Failures: 4}},
 		Out:   []cells.TeamStatus{{Team: "red", Jobs: 2, Tasks: 30}}, In: []cells.TeamStatus{{Team: "blue", Jobs: 1, Tasks: 4}}}
-	follower := controller(t, cells.Status{Member: "n0", Leader: "n1"}, nil)
-	addresses := []string{follower, controller(t, leader, &declared)}
+	follower := startController(t, cells.Status{Member: "n0", Leader: "n1"}, nil)
+	addresses := []string{follower, startController(t, leader, &declared)}
 	var out bytes.Buffer
 	if err := View.Print(context.Background(), &out, addresses); err != nil {
 		t.Fatal(err)
--- a/controller/cell_gone.go
+++ b/controller/cell_gone.go
@@ -9,24 +9,25 @@
 	"pumicefront/wire"
 )
 
-// Cells that operators declare gone: no proof can be had of what they hold, so somebody vouches for it.
+// Cells that operators declare gone. Such a cell can't report the end of the jobs that it holds, so an operator
+// asserts that nothing of them runs any more, and the jobs are taken back.
 
-// isGone reports whether operators vouch for the end of a grant.
-func (s *cellSide) isGone(r cells.HomeRecord) bool {
-	gone, is := s.c.control.gone[r.Holder]
-	return is && r.Epoch <= gone.Epoch
+// declaredGone reports whether a grant is covered by an operator's declaration that its holder is gone.
+func (s *cellSide) declaredGone(r cells.HomeRecord) bool {
+	declaration, declared := s.c.control.gone[r.Holder]
+	return declared && r.Epoch <= declaration.Epoch
 }
 
-// withoutGone leaves out the grants that operators vouch for. Their cell may be back before the writes
-// that end them are made: it must not be told that they are open.
-func (s *cellSide) withoutGone(open []cells.HomeRecord) []cells.HomeRecord {
-	return slices.DeleteFunc(slices.Clone(open), s.isGone)
+// excludeDeclaredGone returns the open grants without those covered by a declaration. Their cell may be back before
+// the writes that end them are made, and must not learn from this cell that they are open.
+func (s *cellSide) excludeDeclaredGone(open []cells.HomeRecord) []cells.HomeRecord {
+	return slices.DeleteFunc(slices.Clone(open), s.declaredGone)
 }
 
-// takeFromGone ends the grants of cells that operators have declared gone.
-func (s *cellSide) takeFromGone(open []cells.HomeRecord) {
+// reclaimFromDeclaredGone ends the grants of cells that operators have declared gone.
+func (s *cellSide) reclaimFromDeclaredGone(open []cells.HomeRecord) {
 	for _, r := range open {
-		if h := s.c.control.headers[r.Job]; h != nil && s.isGone(r) {
+		if h := s.c.control.headers[r.Job]; h != nil && s.declaredGone(r) {
 			s.applyStatus(cells.Message{Kind: cells.KindStatus, From: r.Holder, Job: r.Job, Epoch: r.Epoch,
 				State: cells.HolderEnded, Result: cells.ResultReturned}, h)
 		}
@@ -40,9 +41,10 @@
 	By   string
 }
 
-// declareGone records who vouches for a cell's having ended all that it was granted.
+// declareGone records an operator's assertion that a cell has ended every job granted to it so far, and the operator's
+// name.
 func (c *Core) declareGone(r CellGoneRequest) {
-	s := c.leadingCell()
+	s := c.activeCellSide()
 	if s == nil {
 		c.emit(Answer{Req: r.Req, Status: http.StatusServiceUnavailable})
 		return
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -11,20 +11,21 @@
 	"pumicefront/wire"
 )
 
-// The holder's side: jobs of other cells, which run like own ones of the lowest rank and beyond every
-// guarantee, and of which nothing is told to users here.
+// The holder's side of a transfer: jobs of other cells. They are scheduled like this cell's own jobs of the
+// lowest rank, outside every team's guarantee, and this cell's user API does not report on them.
 
-// cellRequest answers another cell with what is on record for it; only the leader can. What a
-// message changes is recorded first and told when it is asked for again.
+// cellRequest answers a call of another cell with the recorded status of its jobs. Only the leader can answer.
+// A message that changes a record is written first and gets no status in this answer: the home repeats the
+// message, and the repeat is answered from the record.
 func (c *Core) cellRequest(r CellRequest) {
-	s := c.leadingCell()
+	s := c.activeCellSide()
 	if s == nil || s.links[r.From] == nil || !s.ready() {
 		c.emit(Answer{Req: r.Req, Status: http.StatusServiceUnavailable, Body: CellAnswer{}})
 		return
 	}
-	answers := r.Challenge == s.challenge
-	if answers {
-		s.told[r.From] = max(s.told[r.From], r.Floor)
+	challengeMatches := r.Challenge == s.challenge
+	if challengeMatches {
+		s.confirmedFloors[r.From] = max(s.confirmedFloors[r.From], r.Floor)
 	}
 	s.raiseFloor(r.From, r.Floor)
 	answer := CellAnswer{Challenge: s.challenge}
@@ -36,31 +37,32 @@
 			answer.Messages = append(answer.Messages, CellMessage{Message: status})
 		}
 	}
-	if answers { // nothing would start here for a home that does not carry the challenge back
-		answer.Room = s.lends()
+	if challengeMatches { // without the current challenge, a job accepted here could not start: see mayStart
+		answer.Room = s.availableCores()
 	}
 	c.emit(Answer{Req: r.Req, Status: http.StatusOK, Body: answer})
 }
 
-// receive applies a message from a home and returns what is on record about it.
+// receive applies a message from a home cell. It returns the status to answer with, and whether there is a
+// recorded status: there is none while a change is being written or the record has to be read again.
 func (s *cellSide) receive(m CellMessage) (cells.Message, bool) {
 	h, key := s.c.control.headers[m.Job], fenceKey(m.From, m.Job)
 	held := h != nil && h.Origin != nil && h.Origin.Home == m.From
-	if a, under := s.accepting[m.Job]; under && !a.doubt && !held && a.home == m.From && a.epoch == m.Epoch && m.Kind == cells.KindOffer {
-		return cells.Message{}, false // it is being recorded
+	if a, isPending := s.pendingAcceptances[m.Job]; isPending && !a.outcomeUnknown && !held && a.home == m.From && a.epoch == m.Epoch && m.Kind == cells.KindOffer {
+		return cells.Message{}, false // its write is in flight
 	}
 	record := cells.HolderRecord{}
 	if fence := s.fences[key]; held {
 		record = holderRecord(m.Job, h)
 	} else if fence != nil {
-		if fence.unsure {
+		if fence.versionUnknown {
 			return cells.Message{}, false
 		}
 		record = fence.record
 	}
 	next, changed := record.Receive(m.Message, cells.Facts{
 		KnowsJob: h != nil && !held || s.finished(m.Job), KnowsTeam: m.Spec != nil && s.knowsTeam(m.Spec),
-		Willing: m.Spec != nil && s.willing(m.Spec), Floor: s.floor(m.From).epoch,
+		Willing: m.Spec != nil && s.canAccept(m.Spec), Floor: s.floor(m.From).epoch,
 	})
 	if !changed {
 		return next.Status(s.self()), next.State != cells.HolderNone
@@ -76,11 +78,11 @@
 	return cells.Message{}, false
 }
 
-// finished reports whether a job of that id is known to have run here: the write of an acceptance is
-// conditional on that, whether or not it is known.
+// finished reports whether a job with this ID is known to have ended here. The answer may be incomplete, since
+// not every final record is in memory: the write of an acceptance is conditional on there being none.
 func (s *cellSide) finished(id string) bool {
-	_, over := s.c.finals.jobs[id]
-	return over
+	_, found := s.c.finals.jobs[id]
+	return found
 }
 
 func (s *cellSide) knowsTeam(spec *wire.Job) bool {
@@ -88,80 +90,84 @@
 	return known
 }
 
-// willing reports whether a job can run here and fits into the room that is lent.
-func (s *cellSide) willing(spec *wire.Job) bool {
-	return spec.Kind == wire.KindArray && len(s.c.types) > 0 && s.c.canRun(spec) && s.lends()+s.accepting[spec.ID].size >= s.size(spec)
+// canAccept reports whether a job of another cell can run here and fits into the available lent cores. Cores that
+// are already reserved for an earlier acceptance of the same job count as available.
+func (s *cellSide) canAccept(spec *wire.Job) bool {
+	return spec.Kind == wire.KindArray && len(s.c.types) > 0 && s.c.canRun(spec) && s.availableCores()+s.pendingAcceptances[spec.ID].size >= s.size(spec)
 }
 
-// size is how many cores all tasks of a job take.
+// size returns the total size of all tasks of a job, in cores.
 func (s *cellSide) size(spec *wire.Job) float64 {
 	return s.c.measure.Of(jobEach(spec)) * float64(spec.Tasks)
 }
 
-// lends is how much is lent still: what operators lend, less what others' unfinished jobs take, and
-// those that are being accepted.
-func (s *cellSide) lends() float64 {
-	left := s.c.op.Cell.LendCores
-	for id, a := range s.accepting {
+// availableCores returns how many of the lent cores are free: the configured share, less the unfinished tasks
+// of other cells' jobs and the jobs whose acceptance is pending.
+func (s *cellSide) availableCores() float64 {
+	available := s.c.op.Cell.LendCores
+	for id, a := range s.pendingAcceptances {
 		if s.jobs[id] == nil {
-			left -= a.size
+			available -= a.size
 		}
 	}
 	for _, j := range s.foreignJobs() {
-		left -= j.sizeLeft(s.c.measure)
+		available -= j.sizeLeft(s.c.measure)
 	}
-	return max(left, 0)
+	return max(available, 0)
 }
 
-// acceptance is an acceptance that may be on record and is not seen there yet. Its room is taken until
-// its header is seen, or until it is certain that there will be none.
-type acceptance struct {
-	home  cells.Cell
-	epoch cells.Epoch
-	size  float64 // in cores
-	doubt bool    // a write of it got no answer: it may be applied at any time
+// pendingAcceptance is an acceptance that may have been written but whose header has not been observed yet. Its
+// cores stay reserved until the header is observed, or until it is certain that the write was not and will
+// not be applied.
+type pendingAcceptance struct {
+	home           cells.Cell
+	epoch          cells.Epoch
+	size           float64 // in cores
+	outcomeUnknown bool    // a write of the acceptance got no answer and may still be applied at any time
 }
 
-// acceptanceAnswered notes how the write of a header was answered. A refused one leaves nothing on
-// record, unless an earlier one got no answer.
-func (s *cellSide) acceptanceAnswered(job string, status int) {
-	a, under := s.accepting[job]
+// handleAcceptanceReply handles the reply to the write of a header, if an acceptance of the job is pending. A
+// refused write proves that nothing is recorded, unless an earlier write of the same acceptance got no answer.
+func (s *cellSide) handleAcceptanceReply(job string, status int) {
+	a, isPending := s.pendingAcceptances[job]
 	switch {
-	case !under || status == http.StatusOK:
+	case !isPending || status == http.StatusOK:
 	case status == 0:
-		a.doubt = true
-		s.accepting[job] = a
-	case !a.doubt:
-		delete(s.accepting, job)
+		a.outcomeUnknown = true
+		s.pendingAcceptances[job] = a
+	case !a.outcomeUnknown:
+		delete(s.pendingAcceptances, job)
 	}
 }
 
-// dropAcceptances frees the room of a home's acceptances that can't be written any more, or are over as
-// soon as they are: those up to an epoch, of one job or of all.
+// dropAcceptances releases the cores reserved for a home's pending acceptances up to an epoch, of one job or,
+// where job is empty, of all. These acceptances can no longer be written, or are ended as soon as they are.
 func (s *cellSide) dropAcceptances(home cells.Cell, job string, epoch cells.Epoch) {
-	for id, a := range s.accepting {
+	for id, a := range s.pendingAcceptances {
 		if a.home == home && a.epoch <= epoch && (job == "" || job == id) {
-			delete(s.accepting, id)
+			delete(s.pendingAcceptances, id)
 		}
 	}
 }
 
-// foreignJobs lists the unfinished jobs of other cells, by home and id.
+// foreignJobs lists the unfinished jobs of other cells, ordered by home and job ID.
 func (s *cellSide) foreignJobs() []*job {
-	var all []*job
+	var jobs []*job
 	for _, home := range slices.Sorted(maps.Keys(s.c.control.cells.foreign)) {
 		for _, id := range slices.Sorted(maps.Keys(s.c.control.cells.foreign[home])) {
 			if j := s.jobs[id]; j != nil {
-				all = append(all, j)
+				jobs = append(jobs, j)
 			}
 		}
 	}
-	return all
+	return jobs
 }
 
-// accept records an acceptance in place of the fence, as the header of a job that is nobody's here.
+// accept records the acceptance of an offer: it writes a header with the job's origin, and deletes the fence of an
+// earlier epoch in the same transaction. A job whose header would exceed the value limit of the state service
+// is refused.
 func (s *cellSide) accept(m CellMessage, record cells.HolderRecord) {
-	if m.Spec.ID != m.Job || s.rewriting[m.Job] {
+	if m.Spec.ID != m.Job || s.headerWriteInFlight[m.Job] {
 		return
 	}
 	limits := s.c.cfg.Facts.State.Tightest()
@@ -172,18 +178,19 @@
 		return
 	}
 	key := fenceKey(m.From, m.Job)
-	// Applied late, it must not find that its fence has come and gone: the floor has changed then.
+	// A write that is applied late must fail if the epoch has ended meanwhile. Its fence may have been written
+	// and removed again by then, but the removal changes the floor's version.
 	conds := []wire.Cond{{Key: finalKey(m.Job)}, {Key: key, Version: s.fenceVersion(key)}, {Key: floorKey(m.From), Version: s.floor(m.From).version}}
-	var more []wire.Change
+	var extraChanges []wire.Change
 	if s.fenceVersion(key) > 0 {
-		more = append(more, wire.Change{Delete: key})
+		extraChanges = append(extraChanges, wire.Change{Delete: key})
 	}
 	s.c.log(slog.LevelInfo, "accepting", "job", m.Job, "home", m.From, "epoch", m.Epoch)
 	delete(s.fences, key)
-	if s.rewriteHeader(m.Job, h, conds, more) {
-		s.accepting[m.Job] = acceptance{home: m.From, epoch: m.Epoch, size: s.size(m.Spec), doubt: s.accepting[m.Job].doubt}
+	if s.rewriteHeader(m.Job, h, conds, extraChanges) {
+		s.pendingAcceptances[m.Job] = pendingAcceptance{home: m.From, epoch: m.Epoch, size: s.size(m.Spec), outcomeUnknown: s.pendingAcceptances[m.Job].outcomeUnknown}
 	}
-	s.rereadFence(key) // what became of it if the acceptance is not written
+	s.rereadFence(key) // the fence remains if the acceptance is not written
 }
 
 func (s *cellSide) fenceVersion(key string) uint64 {
@@ -193,16 +200,16 @@
 	return 0
 }
 
-// writeFence records how an epoch has ended that was never accepted here.
+// writeFence records the end of an epoch that was never accepted here.
 func (s *cellSide) writeFence(key string, record cells.HolderRecord) {
-	if f := s.fences[key]; f != nil && f.unsure || !s.budget.allows(s.c.now, 1, true) {
+	if f := s.fences[key]; f != nil && f.versionUnknown || !s.budget.allows(s.c.now, 1, true) {
 		return
 	}
 	s.budget.spend(s.c.now, 1, true)
 	version := s.fenceVersion(key)
-	s.fences[key] = &keptFence{version: version, unsure: true}
-	// An acceptance may have been applied that is not seen yet, in place of no fence: then the header has
-	// changed, and a fence beside it would end an epoch that runs here.
+	s.fences[key] = &cachedFence{version: version, versionUnknown: true}
+	// An acceptance may have been applied that is not observed yet. If there was no fence for it to replace, only the
+	// header's version shows it, and a fence beside that header would end an epoch that runs here.
 	header := headerKey(record.Job)
 	txn := wire.Txn{
 		If:   []wire.Cond{s.leadershipCondition(), {Key: key, Version: version}, {Key: header, Version: s.c.control.versions[header]}},
@@ -213,7 +220,7 @@
 			return
 		}
 		if r.Status == http.StatusOK {
-			s.fences[key] = &keptFence{record: record, version: r.Txn.Revision}
+			s.fences[key] = &cachedFence{record: record, version: r.Txn.Revision}
 			s.dropAcceptances(record.Home, record.Job, record.Epoch)
 			return
 		}
@@ -221,9 +228,10 @@
 	})
 }
 
-// rereadFence finds out what is recorded of a fence.
+// rereadFence reads a fence from the state service again, after a write that may have changed it. Until the read
+// completes, the cached fence is not used.
 func (s *cellSide) rereadFence(key string) {
-	s.fences[key] = &keptFence{unsure: true}
+	s.fences[key] = &cachedFence{versionUnknown: true}
 	s.findOut(key, func(it *wire.Item) {
 		if it == nil {
 			delete(s.fences, key)
@@ -233,7 +241,7 @@
 	})
 }
 
-// addFence takes up a fence as it is recorded.
+// addFence caches a fence read from the state service.
 func (s *cellSide) addFence(it wire.Item) {
 	home, job, ok := strings.Cut(strings.TrimPrefix(it.Key, fencePrefix), "/")
 	rec := decode[fenceRecord](it.Value)
@@ -241,13 +249,14 @@
 		return
 	}
 	s.dropAcceptances(cells.Cell(home), job, rec.Epoch)
-	s.fences[it.Key] = &keptFence{version: it.Version, record: cells.HolderRecord{
+	s.fences[it.Key] = &cachedFence{version: it.Version, record: cells.HolderRecord{
 		Home: cells.Cell(home), Job: job, Epoch: rec.Epoch, State: cells.HolderEnded, Result: rec.Result}}
 }
 
-// mayStart reports whether tasks of a job may be placed by this leader. Those of another cell's job
-// only once that cell has told this leader, in answer to its challenge, that the grant is open: after an
-// outage it may have been declared over, and a copy of an earlier call would not know of that. What runs already is left to run until it is known to be.
+// mayStart reports whether this leader may place tasks of a job. Tasks of another cell's job may be placed only
+// once the home has confirmed, in a call that carries this leader's challenge, that the grant is open. During
+// an outage the grant may have been declared over, and a delayed copy of an earlier call would not show
+// that. Tasks that run already keep running until the grant is known to be over.
 func (s *cellSide) mayStart(j *job) bool {
 	if j.origin == nil {
 		return true
@@ -255,29 +264,30 @@
 	if s == nil {
 		return false
 	}
-	floor, heard := s.told[j.origin.Home]
-	return heard && j.origin.Epoch > floor
+	floor, confirmed := s.confirmedFloors[j.origin.Home]
+	return confirmed && j.origin.Epoch > floor
 }
 
-// keptFloor is a home's floor as it is recorded here.
-type keptFloor struct {
-	epoch   cells.Epoch
-	version uint64
-	writing bool
+// cachedFloor is a home's floor as recorded in this cell's state service.
+type cachedFloor struct {
+	epoch         cells.Epoch
+	version       uint64
+	writeInFlight bool
 }
 
-func (s *cellSide) floor(home cells.Cell) *keptFloor {
+// floor returns the cached floor of a home; it is zero where none is recorded.
+func (s *cellSide) floor(home cells.Cell) *cachedFloor {
 	f := s.floors[home]
 	if f == nil {
-		f = &keptFloor{}
+		f = &cachedFloor{}
 		s.floors[home] = f
 	}
 	return f
 }
 
-// raiseFloor applies the floor that a home tells. What runs here of a grant that is over at home, as
-// after this cell was declared gone, is stopped. The floor is recorded in place of the fences below
-// it, in one transaction.
+// raiseFloor applies a floor received from a home. Jobs here whose grant is over at the home, as after this cell
+// was declared gone, are stopped. The fences at or below the floor are replaced by the recorded floor in one
+// transaction.
 func (s *cellSide) raiseFloor(home cells.Cell, epoch cells.Epoch) {
 	s.dropAcceptances(home, "", epoch)
 	s.wantPlacement()
@@ -294,36 +304,36 @@
 	var below []string
 	for _, key := range slices.Sorted(maps.Keys(s.fences)) {
 		f := s.fences[key]
-		if !f.unsure && f.record.Home == home && f.record.Droppable(epoch) && len(below) < s.c.cfg.Facts.State.Tightest().TxnOps-1 {
+		if !f.versionUnknown && f.record.Home == home && f.record.Droppable(epoch) && len(below) < s.c.cfg.Facts.State.Tightest().TxnOps-1 {
 			below = append(below, key)
 		}
 	}
-	if floor := s.floor(home); !floor.writing && epoch > floor.epoch && len(below) > 0 {
+	if floor := s.floor(home); !floor.writeInFlight && epoch > floor.epoch && len(below) > 0 {
 		s.writeFloor(home, floor, epoch, below)
 	}
 }
 
-// writeFloor records a floor and removes the fences below it.
-func (s *cellSide) writeFloor(home cells.Cell, floor *keptFloor, epoch cells.Epoch, below []string) {
+// writeFloor records a floor and removes the given fences, which it makes redundant.
+func (s *cellSide) writeFloor(home cells.Cell, floor *cachedFloor, epoch cells.Epoch, below []string) {
 	changes := 1 + len(below)
 	if !s.budget.allows(s.c.now, changes, false) {
 		return
 	}
 	s.budget.spend(s.c.now, changes, false)
-	floor.writing = true
+	floor.writeInFlight = true
 	key := floorKey(home)
 	txn := wire.Txn{If: []wire.Cond{s.leadershipCondition(), {Key: key, Version: floor.version}}, Then: []wire.Change{put(key, epochRecord{epoch})}}
 	for _, fence := range below {
 		txn.If = append(txn.If, wire.Cond{Key: fence, Version: s.fences[fence].version})
 		txn.Then = append(txn.Then, wire.Change{Delete: fence})
-		s.fences[fence].unsure = true
+		s.fences[fence].versionUnknown = true
 	}
 	s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if s.c.lead != s.leader {
 			return
 		}
 		if r.Status == http.StatusOK {
-			*floor = keptFloor{epoch: epoch, version: r.Txn.Revision}
+			*floor = cachedFloor{epoch: epoch, version: r.Txn.Revision}
 			for _, fence := range below {
 				delete(s.fences, fence)
 			}
@@ -336,18 +346,18 @@
 	})
 }
 
-// rereadFloor finds out which floor is recorded.
-func (s *cellSide) rereadFloor(home cells.Cell, floor *keptFloor) {
+// rereadFloor reads a floor from the state service after a write that failed or whose outcome is not known.
+func (s *cellSide) rereadFloor(home cells.Cell, floor *cachedFloor) {
 	s.findOut(floorKey(home), func(it *wire.Item) {
 		if it == nil {
-			*floor = keptFloor{}
+			*floor = cachedFloor{}
 			return
 		}
 		s.addFloor(*it)
 	})
 }
 
-// restoreFloors takes up the floors that earlier leaders have recorded.
+// restoreFloors caches the floors that earlier leaders have recorded.
 func (s *cellSide) restoreFloors(floors []wire.Item) {
 	clear(s.floors)
 	for _, it := range floors {
@@ -355,7 +365,7 @@
 	}
 }
 
-// restoreFences takes up the fences that earlier leaders have recorded.
+// restoreFences caches the fences that earlier leaders have recorded.
 func (s *cellSide) restoreFences(fences []wire.Item) {
 	clear(s.fences)
 	for _, it := range fences {
@@ -363,14 +373,14 @@
 	}
 }
 
-// addFloor takes up a floor as it is recorded.
+// addFloor caches a floor read from the state service.
 func (s *cellSide) addFloor(it wire.Item) {
 	if rec := decode[epochRecord](it.Value); rec != nil {
-		*s.floor(cells.Cell(strings.TrimPrefix(it.Key, floorPrefix))) = keptFloor{epoch: rec.Epoch, version: it.Version}
+		*s.floor(cells.Cell(strings.TrimPrefix(it.Key, floorPrefix))) = cachedFloor{epoch: rec.Epoch, version: it.Version}
 	}
 }
 
-// composeEnd writes the end of another cell's job: a fence takes the place of its header.
+// composeEnd composes the write that ends another cell's job: it replaces the job's header by a fence.
 func (l *leader) composeEnd(j *job, w *write) {
 	key := fenceKey(j.origin.Home, j.id)
 	h := l.c.control.headers[j.id]
@@ -381,23 +391,23 @@
 	w.final = &finalRecord{Cancelled: j.cancelled, Tasks: j.spec.Tasks}
 	w.txn.Then = []wire.Change{put(key, fenceRecord{record.Epoch, record.Result}), {Delete: headerKey(j.id)}}
 	if l.cells != nil {
-		l.cells.fences[key] = &keptFence{unsure: true}
+		l.cells.fences[key] = &cachedFence{versionUnknown: true}
 	}
 }
 
-// giveBackWaiting returns jobs of other cells of which nothing has been in force here for long: there
-// is no room, or their team is not known here any more.
-func (s *cellSide) giveBackWaiting() {
+// returnWaitingJobs returns jobs of other cells that have had no attempt here for the configured time, because
+// there is no capacity or because their team is no longer configured here.
+func (s *cellSide) returnWaitingJobs() {
 	for _, j := range s.foreignJobs() {
 		h := s.c.control.headers[j.id]
 		if len(j.attempts) > 0 || h == nil || h.Origin == nil {
-			delete(s.idle, j.id)
+			delete(s.idleSince, j.id)
 			continue
 		}
-		if _, noted := s.idle[j.id]; !noted {
-			s.idle[j.id] = s.c.now
+		if _, tracked := s.idleSince[j.id]; !tracked {
+			s.idleSince[j.id] = s.c.now
 		}
-		if s.c.now.Sub(s.idle[j.id]) < s.c.op.Cell.ReturnAfter {
+		if s.c.now.Sub(s.idleSince[j.id]) < s.c.op.Cell.ReturnAfter {
 			continue
 		}
 		if next, changed := holderRecord(j.id, h).GiveBack(); changed {
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -11,43 +11,44 @@
 	"pumicefront/wire"
 )
 
-// The home's side: which batches go to another cell, what they count for meanwhile, and how their
-// cancellation is told.
+// The home's side of a transfer: which batch jobs spill over to another cell, how they count against their team's
+// quota meanwhile, and how they are cancelled.
 
-// homeAgain is how long a job that came back stays at home: two full cells must not pass it to and fro.
-const homeAgain = 2 * time.Minute
+// returnCooldown is how long a returned job stays at home, so that two full cells do not pass it back and forth.
+const returnCooldown = 2 * time.Minute
 
-// mayGoAway reports whether a job may go to another cell at all: an array that no chain holds, of
-// which nothing has run and nothing is in force.
-func (s *cellSide) mayGoAway(j *job) bool {
+// canSpill reports whether a job may be granted to another cell at all. It must be an array without dependencies,
+// dependents or a required zone, none of whose tasks has run, is in force or has a placement on record or in flight.
+// Its chunks must fit into the conditions of one transaction.
+func (s *cellSide) canSpill(j *job) bool {
 	return j.spec.Kind == wire.KindArray && j.origin == nil && j.grant == nil && !j.cancelled && !j.begun &&
 		len(j.attempts) == 0 && j.write == nil && !j.dirty && j.state.Count(reduction.Pending) == j.spec.Tasks &&
 		len(j.chunks) <= s.c.maxConds()-1 && !slices.ContainsFunc(j.chunks, func(ch chunk) bool { return ch.version > 0 }) &&
 		len(j.spec.Needs) == 0 && len(s.c.chains.Successors(j.id)) == 0 && j.spec.Zone == ""
 }
 
-// spill grants the job that has waited longest for room and finds some elsewhere. A job goes whole and
-// counts for its team as if it ran here, so its team's limit must allow that. One at a time: the
-// next epoch is known when this one is written.
+// spill grants the longest waiting job that fits into the available cores of another cell. A job is granted as a
+// whole and counts against its team's limit as if it ran here, so the limit must allow that. It
+// grants one job at a time, because the next epoch is known only once this one is written.
 func (s *cellSide) spill() {
-	for _, move := range cells.Plan(s.waitingForRoom(), s.roomElsewhere()) {
-		j, link := s.jobs[move.Job], s.links[move.To]
+	for _, transfer := range cells.Plan(s.spillCandidates(), s.peerCapacity()) {
+		j, link := s.jobs[transfer.Job], s.links[transfer.To]
 		if s.grant(j, link) {
-			link.room -= j.sizeLeft(s.c.measure)
+			link.availableCores -= j.sizeLeft(s.c.measure)
 			return
 		}
 	}
 }
 
-// waitingForRoom lists the jobs that may go elsewhere now, those that wait longest first.
-func (s *cellSide) waitingForRoom() []cells.Waiting {
+// spillCandidates lists the jobs that may be granted to another cell now, the longest waiting first.
+func (s *cellSide) spillCandidates() []cells.Waiting {
 	var jobs []*job
-	used := s.teamUse()
+	teamUsage := s.teamUse()
 	for _, j := range s.order {
-		if !s.mayGoAway(j) || s.c.now.Sub(j.ready) < s.c.op.Cell.SpillAfter || s.c.now.Sub(s.cameBack[j.id]) < homeAgain {
+		if !s.canSpill(j) || s.c.now.Sub(j.ready) < s.c.op.Cell.SpillAfter || s.c.now.Sub(s.returnedAt[j.id]) < returnCooldown {
 			continue
 		}
-		if s.c.quotas[j.spec.Team].limit.Add(used[j.spec.Team], -1).Fits(jobEach(&j.spec)) >= j.spec.Tasks {
+		if s.c.quotas[j.spec.Team].limit.Add(teamUsage[j.spec.Team], -1).Fits(jobEach(&j.spec)) >= j.spec.Tasks {
 			jobs = append(jobs, j)
 		}
 	}
@@ -59,43 +60,43 @@
 	return waiting
 }
 
-// roomElsewhere is what the cells lend that have answered lately.
-func (s *cellSide) roomElsewhere() map[cells.Cell]float64 {
+// peerCapacity returns the available cores of each cell that answered the last call to it, and did so recently.
+func (s *cellSide) peerCapacity() map[cells.Cell]float64 {
 	room := map[cells.Cell]float64{}
 	for name, link := range s.links {
-		if link.failures == 0 && !link.answered.IsZero() && s.c.now.Sub(link.answered) <= cellFresh {
-			room[name] = link.room
+		if link.failures == 0 && !link.lastReplyAt.IsZero() && s.c.now.Sub(link.lastReplyAt) <= cellReplyMaxAge {
+			room[name] = link.availableCores
 		}
 	}
 	return room
 }
 
-// grant records that another cell may run a job; it is offered once that is recorded.
+// grant records that another cell may run a job. The job is offered to that cell once the grant is recorded.
 func (s *cellSide) grant(j *job, link *cellLink) bool {
-	h := s.c.control.headers[j.id]
-	if h == nil || len(s.rewriting) > 0 { // the epoch may be taken by what is under way
+	header := s.c.control.headers[j.id]
+	if header == nil || len(s.headerWriteInFlight) > 0 { // a write in flight may take the next epoch
 		return false
 	}
 	epoch := s.c.control.epoch + 1
-	next, err := homeRecord(j.id, h).Grant(link.name, epoch)
+	next, err := homeRecord(j.id, header).Grant(link.name, epoch)
 	if err != nil {
 		return false
 	}
-	// A grant that is applied late must not find attempts in force: no placement may be on record.
-	// A placement that comes after it fails on the header's version.
+	// A grant that is applied late must fail if attempts are in force by then, so it is conditional on no
+	// placement being on record. A placement written after the grant fails on the header's version.
 	conds := []wire.Cond{{Key: epochKey, Version: s.c.control.versions[epochKey]}}
 	for n := range j.chunks {
 		conds = append(conds, wire.Cond{Key: j.chunkKey(n)})
 	}
-	if !s.rewriteHeader(j.id, withHome(*h, next), conds, []wire.Change{put(epochKey, epochRecord{epoch})}) {
+	if !s.rewriteHeader(j.id, withHome(*header, next), conds, []wire.Change{put(epochKey, epochRecord{epoch})}) {
 		return false
 	}
 	s.c.log(slog.LevelInfo, "granting", "job", j.id, "cell", link.name, "epoch", epoch)
 	return true
 }
 
-// granted follows a change of a job's grant. What was planned here meanwhile was never sent: its
-// write fails on the header's version.
+// granted handles a change of a job's grant. Attempts that were planned here meanwhile were never sent, because
+// their write fails on the header's version; they are dropped.
 func (l *leader) granted(j *job, grant *grantRecord) {
 	j.grant = grant
 	l.guaranteesAt = time.Time{}
@@ -108,7 +109,8 @@
 	}
 }
 
-// grantedUse is what a team's jobs take in other cells.
+// grantedUse returns the resources that a job granted to another cell counts for: those of all its unfinished
+// tasks, or none where it is not granted.
 func grantedUse(j *job) scheduler.Resources {
 	if j.grant == nil {
 		return scheduler.Resources{}
@@ -116,8 +118,9 @@
 	return scheduler.Resources{}.Add(jobEach(&j.spec), float64(j.tasksLeft()))
 }
 
-// abortGranted answers the cancellation of a job that another cell may run: it is asked for there,
-// and told here when that cell has recorded the end.
+// abortGranted handles a user's request to cancel a job that another cell may run. It records the cancellation,
+// which is then sent to that cell, and asks the user to retry: the job is reported as cancelled only once the
+// holder has recorded the end.
 func (c *Core) abortGranted(r UserRequest, h headerRecord) {
 	if h.Grant.Cancel {
 		c.retryLater(r.Req, "another cell has the job")
--- a/controller/cell_index.go
+++ b/controller/cell_index.go
@@ -2,11 +2,11 @@
 
 import "pumicefront/cells"
 
-// cellIndex finds the headers of jobs that are in other cells, or are another cell's, among those of all:
-// there may be thousands, and cells talk twice a second.
+// cellIndex indexes the headers of jobs that are granted to other cells or held for them. There may be thousands of
+// headers, and the index is read twice a second.
 type cellIndex struct {
-	granted map[string]bool                // jobs that another cell may run
-	foreign map[cells.Cell]map[string]bool // others' jobs, by their home
+	granted map[string]bool                // by job ID: own jobs that another cell may run
+	foreign map[cells.Cell]map[string]bool // by home and job ID: jobs held for other cells
 }
 
 func (x *cellIndex) init() {
@@ -14,25 +14,25 @@
 	x.foreign = map[cells.Cell]map[string]bool{}
 }
 
-// changed follows a change of a job's header; nil stands for none.
-func (x *cellIndex) changed(job string, was, is *headerRecord) {
-	if was != nil {
+// changed updates the index after a change of a job's header; nil stands for no header.
+func (x *cellIndex) changed(job string, before, after *headerRecord) {
+	if before != nil {
 		delete(x.granted, job)
-		if was.Origin != nil {
-			delete(x.foreign[was.Origin.Home], job)
+		if before.Origin != nil {
+			delete(x.foreign[before.Origin.Home], job)
 		}
 	}
-	if is == nil {
+	if after == nil {
 		return
 	}
-	if is.Grant != nil {
+	if after.Grant != nil {
 		x.granted[job] = true
 	}
-	if is.Origin == nil {
+	if after.Origin == nil {
 		return
 	}
-	if x.foreign[is.Origin.Home] == nil {
-		x.foreign[is.Origin.Home] = map[string]bool{}
+	if x.foreign[after.Origin.Home] == nil {
+		x.foreign[after.Origin.Home] = map[string]bool{}
 	}
-	x.foreign[is.Origin.Home][job] = true
+	x.foreign[after.Origin.Home][job] = true
 }
--- a/controller/cell_links.go
+++ b/controller/cell_links.go
@@ -13,66 +13,71 @@
 	"pumicefront/wire"
 )
 
-// The leader's part of spilling over: what it asks other cells for as a home, and answers as a
-// holder. Every step rests on what is recorded; package cells decides what may follow.
+// The leader's part of spillover between cells. As the home of a job, it grants the job to another cell, the
+// holder, in a new epoch, and sends offers and recalls; as a holder, it answers with what it has recorded. A
+// holder records the end of an epoch as a fence: no grant at or below it is accepted any more. A home's floor is the
+// epoch up to which all its grants to a holder are over; once recorded, it replaces the fences below it. Every
+// step follows from the records in the state service; package cells decides which step may follow.
 
-// Intervals and bounds of the talk between cells.
+// Intervals and limits of the calls between cells.
 const (
-	cellInterval    = 500 * time.Millisecond
-	cellAskInterval = 2 * time.Second  // what is open is asked for again
-	cellRetryMost   = 30 * time.Second // the longest pause after calls without an answer
-	cellFresh       = 10 * time.Second // a cell that answered later is offered nothing
-	cellBatch       = 100              // messages in one call
+	cellReconcileInterval = 500 * time.Millisecond
+	cellCallInterval      = 2 * time.Second  // between calls to a cell, each of which repeats the messages of all open grants
+	cellMaxBackoff        = 30 * time.Second // longest backoff after failed calls
+	cellReplyMaxAge       = 10 * time.Second // a cell that last answered longer ago is granted nothing
+	maxCellMessages       = 100              // in one call
 )
 
-// cellSide is nil where operators have not switched it on.
+// cellSide is the leader's state of the transfers from and to other cells. It is nil where spillover is not
+// configured.
 type cellSide struct {
 	*leader
-	links     map[cells.Cell]*cellLink
-	fences    map[string]*keptFence // by key
-	floors    map[cells.Cell]*keptFloor
-	told      map[cells.Cell]cells.Epoch // the floors that homes have told this leader, in answer to its challenge
-	challenge cells.Challenge            // of this leader
-	accepting map[string]acceptance      // by job: what may be written and is not seen yet
-	ranAt     time.Time
-	rewriting map[string]bool      // headers whose write is under way
-	cameBack  map[string]time.Time // own jobs that were elsewhere, since when they are not
-	idle      map[string]time.Time // others' jobs of which nothing is in force, since when
+	links               map[cells.Cell]*cellLink
+	fences              map[string]*cachedFence // by key
+	floors              map[cells.Cell]*cachedFloor
+	confirmedFloors     map[cells.Cell]cells.Epoch   // received from homes in calls that carried this leader's challenge
+	challenge           cells.Challenge              // drawn by this leader at its election
+	pendingAcceptances  map[string]pendingAcceptance // by job ID: acceptances that may have been written but are not observed yet
+	lastReconcile       time.Time
+	headerWriteInFlight map[string]bool      // by job ID
+	returnedAt          map[string]time.Time // by job ID: when an own job came back from another cell
+	idleSince           map[string]time.Time // by job ID: since when a job of another cell has had no attempt
 }
 
-// cellLink is the way to another cell.
+// cellLink is the state of the calls to another cell.
 type cellLink struct {
-	name     cells.Cell
-	asking   bool
-	askAt    time.Time // when it is asked next
-	answered time.Time
-	failures int
-	room     float64         // in cores, that it lent when it answered, less what was granted since
-	sent     cells.Challenge // the last one that it has sent
+	name           cells.Cell
+	callInFlight   bool
+	nextCallAt     time.Time // earliest time of the next call
+	lastReplyAt    time.Time
+	failures       int
+	availableCores float64         // in its last answer, less the jobs granted to it since
+	lastChallenge  cells.Challenge // last challenge received from the cell
 }
 
-// keptFence is a fence as it is in the state service.
-type keptFence struct {
-	record  cells.HolderRecord
-	version uint64
-	unsure  bool // its version is not known
+// cachedFence is a fence as recorded in the state service.
+type cachedFence struct {
+	record         cells.HolderRecord
+	version        uint64
+	versionUnknown bool // a write or read is in flight: the fence must not be used
 }
 
 func newCellSide(l *leader) *cellSide {
 	if l.c.op.Cell == nil {
 		return nil
 	}
-	s := &cellSide{leader: l, links: map[cells.Cell]*cellLink{}, fences: map[string]*keptFence{},
-		floors: map[cells.Cell]*keptFloor{}, told: map[cells.Cell]cells.Epoch{}, rewriting: map[string]bool{}, cameBack: map[string]time.Time{}, idle: map[string]time.Time{},
-		challenge: cells.Challenge(l.c.rng.Uint64() | 1), accepting: map[string]acceptance{}}
+	s := &cellSide{leader: l, links: map[cells.Cell]*cellLink{}, fences: map[string]*cachedFence{},
+		floors: map[cells.Cell]*cachedFloor{}, confirmedFloors: map[cells.Cell]cells.Epoch{}, headerWriteInFlight: map[string]bool{}, returnedAt: map[string]time.Time{}, idleSince: map[string]time.Time{},
+		challenge: cells.Challenge(l.c.rng.Uint64() | 1), pendingAcceptances: map[string]pendingAcceptance{}}
 	for _, p := range l.c.op.Cell.Peers {
 		s.links[cells.Cell(p.Name)] = &cellLink{name: cells.Cell(p.Name)}
 	}
 	return s
 }
 
-// leadingCell is the side of a leader that may record something now; nil: this controller is none.
-func (c *Core) leadingCell() *cellSide {
+// activeCellSide returns the cell side of this controller if it is a recovered leader that may write to the state
+// service now, and nil otherwise.
+func (c *Core) activeCellSide() *cellSide {
 	if l := c.lead; l != nil && l.recovered && c.entitled() && c.now.Before(l.authority) {
 		return l.cells
 	}
@@ -81,25 +86,26 @@
 
 func (s *cellSide) self() cells.Cell { return cells.Cell(s.c.op.Cell.Name) }
 
-// ready reports whether every controller of this cell knows that jobs go from cell to cell.
+// ready reports whether every controller of this cell runs a version that supports spillover.
 func (s *cellSide) ready() bool { return s.c.allRun(firstVersionWithCells) }
 
-// run asks the other cells for what is recorded here, and decides what else should go to them.
+// run reconciles the grants once per interval: it reclaims jobs from cells declared gone, grants a waiting job,
+// returns jobs that wait here in vain, and calls the other cells.
 func (s *cellSide) run() {
-	if s == nil || s.c.now.Sub(s.ranAt) < cellInterval || !s.c.now.Before(s.authority) || !s.ready() {
+	if s == nil || s.c.now.Sub(s.lastReconcile) < cellReconcileInterval || !s.c.now.Before(s.authority) || !s.ready() {
 		return
 	}
-	s.ranAt = s.c.now
+	s.lastReconcile = s.c.now
 	open := s.openGrants()
-	s.takeFromGone(open)
+	s.reclaimFromDeclaredGone(open)
 	s.spill()
-	s.giveBackWaiting()
+	s.returnWaitingJobs()
 	for _, name := range slices.Sorted(maps.Keys(s.links)) {
-		s.ask(s.links[name], open)
+		s.call(s.links[name], open)
 	}
 }
 
-// openGrants lists the home's records of jobs that are granted, oldest epoch first.
+// openGrants lists the home's records of the jobs that are granted to other cells, oldest epoch first.
 func (s *cellSide) openGrants() []cells.HomeRecord {
 	var open []cells.HomeRecord
 	for id := range s.c.control.cells.granted {
@@ -109,15 +115,15 @@
 	return open
 }
 
-// ask sends a cell what the records ask it for. A cell that doesn't answer is asked more seldom.
-func (s *cellSide) ask(link *cellLink, open []cells.HomeRecord) {
-	if link.asking || s.c.now.Before(link.askAt) {
+// call sends a cell the messages that follow from the open grants. After failed calls it backs off.
+func (s *cellSide) call(link *cellLink, open []cells.HomeRecord) {
+	if link.callInFlight || s.c.now.Before(link.nextCallAt) {
 		return
 	}
-	open = s.withoutGone(open)
-	call := CellCall{ID: s.c.id(), To: link.name, Floor: cells.Floor(open, link.name, s.c.control.epoch), Challenge: link.sent}
+	open = s.excludeDeclaredGone(open)
+	call := CellCall{ID: s.c.id(), To: link.name, Floor: cells.Floor(open, link.name, s.c.control.epoch), Challenge: link.lastChallenge}
 	for _, r := range open {
-		if m, due := r.Message(s.self()); due && r.Holder == link.name && len(call.Messages) < cellBatch {
+		if m, hasMessage := r.Message(s.self()); hasMessage && r.Holder == link.name && len(call.Messages) < maxCellMessages {
 			msg := CellMessage{Message: m}
 			if m.Kind == cells.KindOffer {
 				spec := s.c.control.headers[r.Job].Job
@@ -126,27 +132,27 @@
 			call.Messages = append(call.Messages, msg)
 		}
 	}
-	link.asking = true
+	link.callInFlight = true
 	s.c.cellCalls[call.ID] = func(r CellReply) {
 		if s.c.lead == s.leader {
-			s.answered(link, r)
+			s.handleReply(link, r)
 		}
 	}
 	s.c.emit(call)
 }
 
-// answered applies what another cell has on record.
-func (s *cellSide) answered(link *cellLink, r CellReply) {
-	link.asking = false
+// handleReply applies the statuses that another cell has recorded, or schedules a retry after a failed call.
+func (s *cellSide) handleReply(link *cellLink, r CellReply) {
+	link.callInFlight = false
 	if !r.OK {
 		link.failures++
-		pause := min(cellAskInterval<<min(link.failures, 5), cellRetryMost)
-		link.askAt = s.c.now.Add(pause/2 + time.Duration(s.c.rng.Int64N(int64(pause/2)+1)))
+		pause := min(cellCallInterval<<min(link.failures, 5), cellMaxBackoff)
+		link.nextCallAt = s.c.now.Add(pause/2 + time.Duration(s.c.rng.Int64N(int64(pause/2)+1)))
 		return
 	}
-	link.failures, link.answered, link.askAt, link.room = 0, s.c.now, s.c.now.Add(cellAskInterval), r.Room
-	if r.Challenge != link.sent { // another leader: it starts and lends nothing before it has this back
-		link.sent, link.askAt = r.Challenge, s.c.now
+	link.failures, link.lastReplyAt, link.nextCallAt, link.availableCores = 0, s.c.now, s.c.now.Add(cellCallInterval), r.Room
+	if r.Challenge != link.lastChallenge { // a new leader: it starts and lends nothing until it gets its challenge back
+		link.lastChallenge, link.nextCallAt = r.Challenge, s.c.now
 	}
 	for _, m := range r.Messages {
 		if h := s.c.control.headers[m.Job]; h != nil && h.Grant != nil && m.From == link.name && m.To == s.self() {
@@ -155,50 +161,51 @@
 	}
 }
 
-// applyStatus moves a grant on by what its holder has recorded.
+// applyStatus applies a holder's recorded status to the grant of a job.
 func (s *cellSide) applyStatus(m cells.Message, h *headerRecord) {
 	next, changed := homeRecord(m.Job, h).Apply(m)
 	j := s.jobs[m.Job]
-	if !changed || j == nil || next.State == cells.HomeHeld { // that it is held is not worth a write
+	if !changed || j == nil || next.State == cells.HomeHeld { // the transition to held is not recorded, to save a write
 		return
 	}
 	s.c.log(slog.LevelInfo, "grant over", "job", m.Job, "cell", m.From, "epoch", m.Epoch, "done", next.Done(), "cancelled", next.Cancelled())
-	if next.Done() { // its final record takes the place of the header, and of the grant in it
+	if next.Done() { // its final record replaces the header and the grant in it
 		for t := range j.spec.Tasks {
 			j.state.Accumulate(t, reduction.Succeeded)
 		}
 		s.settle(j)
 		return
 	}
-	s.cameBack[m.Job] = s.c.now
+	s.returnedAt[m.Job] = s.c.now
 	s.rewriteHeader(m.Job, withHome(*h, next), nil, nil)
 }
 
-// rewriteHeader writes a job's header anew, on the condition that it is as it was read. Its watch
-// tells what became of it; what is not written is decided again. It reports whether the write was sent.
-func (s *cellSide) rewriteHeader(id string, h headerRecord, conds []wire.Cond, more []wire.Change) bool {
-	if s.rewriting[id] {
+// rewriteHeader replaces a job's header, on the condition that its version is the one last observed. A confirmed
+// write is applied at once; otherwise the watch shows whether it was applied, and a step that was not written
+// is decided again. It reports whether the write was sent.
+func (s *cellSide) rewriteHeader(id string, h headerRecord, extraConds []wire.Cond, extraChanges []wire.Change) bool {
+	if s.headerWriteInFlight[id] {
 		return false
 	}
-	if !s.budget.allows(s.c.now, 1+len(more), true) {
-		s.ranAt = time.Time{} // again with the next step, before other writes use the budget up
+	if !s.budget.allows(s.c.now, 1+len(extraChanges), true) {
+		s.lastReconcile = time.Time{} // retry in the next step, before other writes use up the budget
 		return false
 	}
-	s.budget.spend(s.c.now, 1+len(more), true)
-	s.rewriting[id] = true
-	set := put(headerKey(id), h)
+	s.budget.spend(s.c.now, 1+len(extraChanges), true)
+	s.headerWriteInFlight[id] = true
+	headerPut := put(headerKey(id), h)
 	txn := wire.Txn{
-		If:   append([]wire.Cond{s.leadershipCondition(), {Key: headerKey(id), Version: s.c.control.versions[headerKey(id)]}}, conds...),
-		Then: append([]wire.Change{set}, more...),
+		If:   append([]wire.Cond{s.leadershipCondition(), {Key: headerKey(id), Version: s.c.control.versions[headerKey(id)]}}, extraConds...),
+		Then: append([]wire.Change{headerPut}, extraChanges...),
 	}
 	s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if s.c.lead != s.leader {
 			return
 		}
-		delete(s.rewriting, id)
-		s.acceptanceAnswered(id, r.Status)
+		delete(s.headerWriteInFlight, id)
+		s.handleAcceptanceReply(id, r.Status)
 		if r.Status == http.StatusOK {
-			s.ranAt = time.Time{} // the next job need not wait for the interval
+			s.lastReconcile = time.Time{} // the next job does not wait for the interval
 			for _, change := range txn.Then {
 				if change.Put != "" {
 					s.c.written(wire.Event{Put: change.Put, Value: change.Value, Version: r.Txn.Revision})
@@ -209,11 +216,11 @@
 	return true
 }
 
-// forget drops what is kept of a job that is over.
+// forget drops the in-memory state of a job that is over.
 func (s *cellSide) forget(id string) {
 	if s != nil {
-		delete(s.cameBack, id)
-		delete(s.idle, id)
-		delete(s.accepting, id)
+		delete(s.returnedAt, id)
+		delete(s.idleSince, id)
+		delete(s.pendingAcceptances, id)
 	}
 }
--- a/controller/cell_records.go
+++ b/controller/cell_records.go
@@ -5,10 +5,10 @@
 	"pumicefront/wire"
 )
 
-// Records of jobs that go from cell to cell. The header of a job tells who may run it: at home its
-// grant, at the holder its origin. What has ended at a holder leaves a fence.
+// Records of jobs transferred between cells. The header of a job says which cell may run it: at the home by its
+// grant, at the holder by its origin. When an epoch ends at a holder, it leaves a fence.
 
-// grantRecord says that another cell may run a job.
+// grantRecord records that another cell may run a job of this cell.
 type grantRecord struct {
 	Holder   cells.Cell  `cbor:"h"`
 	Epoch    cells.Epoch `cbor:"e"`
@@ -16,7 +16,7 @@
 	Cancel   bool        `cbor:"x,omitempty"`
 }
 
-// originRecord says whose a job is that runs here.
+// originRecord records the home of a job that this cell holds.
 type originRecord struct {
 	Home     cells.Cell  `cbor:"h"`
 	Epoch    cells.Epoch `cbor:"e"`
@@ -24,32 +24,33 @@
 	Cancel   bool        `cbor:"x,omitempty"`
 }
 
-// epochRecord is the counter that epochs come from.
+// epochRecord is the counter that numbers the grants of this cell, and also the form in which a home's floor is
+// recorded.
 type epochRecord struct {
 	Epoch cells.Epoch `cbor:"e"`
 }
 
-// fenceRecord is how an epoch has ended here.
+// fenceRecord records how an epoch has ended at this cell.
 type fenceRecord struct {
 	Epoch  cells.Epoch  `cbor:"e"`
 	Result cells.Result `cbor:"r"`
 }
 
-// floorKey names the floor of a home.
+// floorKey returns the key of a home's floor.
 func floorKey(home cells.Cell) string { return floorPrefix + string(home) }
 
-// goneRecord says that operators vouch for a cell's having ended all that was granted to it up to
-// an epoch: nothing of it runs any more.
+// goneRecord records an operator's assertion that a cell has ended every job granted to it up to an epoch, so that
+// nothing of these jobs runs there any more.
 type goneRecord struct {
 	Epoch cells.Epoch `cbor:"e"`
 	By    string      `cbor:"b"`
 	AtMS  int64       `cbor:"t"`
 }
 
-// fenceKey names the fence of a home's job.
+// fenceKey returns the key of the fence of a home's job.
 func fenceKey(home cells.Cell, job string) string { return fencePrefix + string(home) + "/" + job }
 
-// homeRecord is a header as its home's side of the transfer.
+// homeRecord returns the home's record of a transfer, as a job's header describes it.
 func homeRecord(id string, h *headerRecord) cells.HomeRecord {
 	r := cells.HomeRecord{Job: id, Team: h.Job.Team}
 	if g := h.Grant; g != nil {
@@ -61,7 +62,7 @@
 	return r
 }
 
-// withHome returns a header with the home's side of the transfer in it.
+// withHome returns a copy of a header that describes the home's record of a transfer.
 func withHome(h headerRecord, r cells.HomeRecord) headerRecord {
 	h.Grant = nil
 	switch r.State {
@@ -73,7 +74,7 @@
 	return h
 }
 
-// holderRecord is a header as its holder's side of the transfer.
+// holderRecord returns the holder's record of a transfer, as the header of a foreign job describes it.
 func holderRecord(id string, h *headerRecord) cells.HolderRecord {
 	o := h.Origin
 	r := cells.HolderRecord{Home: o.Home, Job: id, Team: h.Job.Team, Epoch: o.Epoch, State: cells.HolderHolding, Cancel: o.Cancel}
@@ -83,8 +84,8 @@
 	return r
 }
 
-// withHolder returns a header with the holder's side of the transfer in it. What stops here is
-// cancelled like any job.
+// withHolder returns a copy of a header that describes the holder's record of a transfer. A job that is being
+// stopped is marked as cancelled, so that it is stopped like any cancelled job.
 func withHolder(h headerRecord, r cells.HolderRecord) headerRecord {
 	stopping := r.State == cells.HolderStopping
 	h.Origin = &originRecord{Home: r.Home, Epoch: r.Epoch, Stopping: stopping, Cancel: r.Cancel}
@@ -98,40 +99,40 @@
 	Spec *wire.Job
 }
 
-// CellCall asks the shell to send messages to another cell.
+// CellCall asks the process around the core to send messages to another cell.
 type CellCall struct {
 	ID       uint64
 	To       cells.Cell
 	Floor    cells.Epoch
 	Messages []CellMessage
 
-	Challenge cells.Challenge // the last one that the other cell has sent
+	Challenge cells.Challenge // last challenge received from the other cell
 }
 
-// CellReply answers a CellCall; not OK: no leader of that cell has answered.
+// CellReply is the outcome of a CellCall. OK is false where no leader of that cell has answered.
 type CellReply struct {
 	ID       uint64
 	OK       bool
 	Messages []CellMessage
-	Room     float64 // in cores, that the other cell lends now
+	Room     float64 // available cores that the other cell lends now
 
-	Challenge cells.Challenge // of the leader that has answered
+	Challenge cells.Challenge // of the leader that answered
 }
 
-// CellRequest are messages from another cell, to be answered with the same Req by a CellAnswer.
+// CellRequest is a call from another cell, answered by an Answer with the same Req and a CellAnswer as its body.
 type CellRequest struct {
 	Req      uint64
 	From     cells.Cell
 	Floor    cells.Epoch
 	Messages []CellMessage
 
-	Challenge cells.Challenge // the last one that the home has received; 0: none
+	Challenge cells.Challenge // last challenge that the calling cell has received; 0: none
 }
 
-// CellAnswer is what is on record here for another cell.
+// CellAnswer is the body of the answer to another cell: the recorded statuses of its jobs and the cores lent to it.
 type CellAnswer struct {
 	Messages []CellMessage
 	Room     float64
 
-	Challenge cells.Challenge // to be carried back with the next call
+	Challenge cells.Challenge // to be sent back with the next call
 }
--- a/controller/cell_status.go
+++ b/controller/cell_status.go
@@ -8,59 +8,59 @@
 	"pumicefront/cells"
 )
 
-// CellStatusRequest asks for the state of the links to other cells, to be answered with the same
-// Req by a cells.Status.
+// CellStatusRequest asks for the state of the links to other cells. It is answered by an Answer with the same Req
+// and a cells.Status as its body.
 type CellStatusRequest struct{ Req uint64 }
 
-// cellStatus answers with what this controller knows: all of it if it leads.
+// cellStatus answers an operator's status request. Only the leader fills in more than its own and the leader's name.
 func (c *Core) cellStatus(r CellStatusRequest) {
 	s := cells.Status{Member: c.cfg.Member, Leader: c.leaderName()}
 	if l := c.lead; l != nil && l.recovered && l.cells != nil && c.entitled() {
-		s.Leading, s.Leader, s.Cell, s.Ready, s.Lends = true, c.cfg.Member, l.cells.self(), l.cells.ready(), l.cells.lends()
-		s.Links, s.Out, s.In = l.cells.linkStatus(), l.cells.teams(out), l.cells.teams(in)
+		s.Leading, s.Leader, s.Cell, s.Ready, s.Lends = true, c.cfg.Member, l.cells.self(), l.cells.ready(), l.cells.availableCores()
+		s.Links, s.Out, s.In = l.cells.linkStatus(), l.cells.teamStatus(outbound), l.cells.teamStatus(inbound)
 	}
 	c.emit(Answer{Req: r.Req, Status: http.StatusOK, Body: s})
 }
 
-// linkStatus describes the way to every other cell.
+// linkStatus describes the link to every other cell, ordered by name.
 func (s *cellSide) linkStatus() []cells.LinkStatus {
 	var all []cells.LinkStatus
 	open := s.openGrants()
 	for _, name := range slices.Sorted(maps.Keys(s.links)) {
 		link := s.links[name]
-		status := cells.LinkStatus{Cell: name, Failures: link.failures, Room: link.room, AnsweredS: -1}
-		if !link.answered.IsZero() {
-			status.AnsweredS = s.c.now.Sub(link.answered).Seconds()
+		status := cells.LinkStatus{Cell: name, Failures: link.failures, Room: link.availableCores, AnsweredS: -1}
+		if !link.lastReplyAt.IsZero() {
+			status.AnsweredS = s.c.now.Sub(link.lastReplyAt).Seconds()
 		}
 		for _, r := range open {
 			if r.Holder == name {
 				status.Granted++
-				if status.OldestEpoch == 0 { // they come oldest first
+				if status.OldestEpoch == 0 { // open grants are sorted by epoch
 					status.OldestEpoch = r.Epoch
 				}
 			}
 		}
-		if gone, is := s.c.control.gone[name]; is {
-			status.GoneEpoch, status.GoneBy = gone.Epoch, gone.By
+		if declaration, declared := s.c.control.gone[name]; declared {
+			status.GoneEpoch, status.GoneBy = declaration.Epoch, declaration.By
 		}
 		all = append(all, status)
 	}
 	return all
 }
 
-// direction is which way jobs went.
-type direction bool
+// transferDirection says whether jobs were granted to other cells or are held for them.
+type transferDirection bool
 
 const (
-	out direction = true
-	in  direction = false
+	outbound transferDirection = true
+	inbound  transferDirection = false
 )
 
-// teams counts the jobs that are elsewhere, or that are here for others, by team.
-func (s *cellSide) teams(way direction) []cells.TeamStatus {
+// teamStatus counts, by team, the jobs that are granted to other cells (outbound) or held for them (inbound).
+func (s *cellSide) teamStatus(direction transferDirection) []cells.TeamStatus {
 	byTeam := map[string]*cells.TeamStatus{}
 	for _, j := range s.order {
-		if way == out && j.grant == nil || way == in && j.origin == nil {
+		if direction == outbound && j.grant == nil || direction == inbound && j.origin == nil {
 			continue
 		}
 		t := byTeam[j.spec.Team]
--- a/controller/cells_test.go
+++ b/controller/cells_test.go
@@ -13,8 +13,8 @@
 	"pumicefront/wire"
 )
 
-// celled is a leader of a cell that spills over, with one job that waits.
-func celled(t testing.TB) (*Core, *leader, *job) {
+// newSpilloverLeader returns a leader of a cell with spillover configured, and one waiting job of it.
+func newSpilloverLeader(t testing.TB) (*Core, *leader, *job) {
 	t.Helper()
 	c, l, _ := leading(t)
 	c.op.Cell = &config.Cell{Name: "a", SpillAfter: 5 * time.Second, ReturnAfter: 5 * time.Second, LendCores: 10,
@@ -30,7 +30,7 @@
 	return c, l, l.jobs[spec.ID]
 }
 
-// headerWrites lists the transactions on headers that the core asks for.
+// headerWrites returns the writes of the waiting job's header that the core has emitted, and clears its output.
 func headerWrites(c *Core) []StateCall {
 	var calls []StateCall
 	for _, o := range c.out {
@@ -42,52 +42,52 @@
 	return calls
 }
 
-// run lets the cells' side act once more.
-func (s *cellSide) runNow() {
-	s.c.now = s.c.now.Add(cellInterval)
+// reconcileNow runs reconciliation once more, after its interval.
+func (s *cellSide) reconcileNow() {
+	s.c.now = s.c.now.Add(cellReconcileInterval)
 	s.run()
 }
 
-// A grant is written before it is offered, on the conditions that make a late copy of it harmless: no
-// placement on record, the header as it was, and an epoch that nobody has taken.
+// A grant is written before it is offered. The write is conditional on no placement on record, an unchanged
+// header and an unused epoch, so that a copy that is applied late changes nothing.
 func TestGrantIsConditional(t *testing.T) {
-	c, l, j := celled(t)
-	l.cells.links["b"].answered, l.cells.links["b"].room = c.now, 100
+	c, l, j := newSpilloverLeader(t)
+	l.cells.links["b"].lastReplyAt, l.cells.links["b"].availableCores = c.now, 100
 	c.out = nil
-	l.cells.runNow()
+	l.cells.reconcileNow()
 	for _, o := range c.out {
 		if call, ok := o.(CellCall); ok && len(call.Messages) > 0 {
-			t.Fatalf("offered before it is on record: %+v", call)
+			t.Fatalf("offered before the grant is recorded: %+v", call)
 		}
 	}
 	writes := headerWrites(c)
 	if len(writes) != 1 {
-		t.Fatalf("%d grants", len(writes))
+		t.Fatalf("%d writes of a grant, want 1", len(writes))
 	}
 	want := map[string]uint64{leaderKey: l.version, headerKey(j.id): 4, epochKey: 0, j.chunkKey(0): 0}
 	for _, cond := range writes[0].Txn.If {
 		if version, listed := want[cond.Key]; !listed || version != cond.Version {
-			t.Errorf("condition %+v", cond)
+			t.Errorf("unexpected condition %+v", cond)
 		}
 		delete(want, cond.Key)
 	}
 	if len(want) > 0 {
-		t.Errorf("no conditions on %v", want)
+		t.Errorf("missing conditions on %v", want)
 	}
 	resume(c.stateCalls, writes[0].ID, StateReply{ID: writes[0].ID, Status: http.StatusOK, Txn: wire.TxnAnswer{Revision: 50}})
 	if j.grant == nil || j.grant.Holder != "b" || c.control.epoch != 1 {
-		t.Fatalf("granted as %+v in epoch %d", j.grant, c.control.epoch)
+		t.Fatalf("grant %+v, epoch counter %d", j.grant, c.control.epoch)
 	}
-	if ds := l.demands(); len(ds) != 1 || ds[0].Job == j.id { // the other job is the fixture's
-		t.Errorf("%d demands while the job is elsewhere", len(ds))
+	if ds := l.demands(); len(ds) != 1 || ds[0].Job == j.id { // the fixture has another job
+		t.Errorf("%d demands while the job is granted to another cell", len(ds))
 	}
 	if used := l.teamUse()["red"]; used.CPUs != 3 {
-		t.Errorf("the job counts as %v cores for its team", used.CPUs)
+		t.Errorf("the granted job counts as %v cores for its team, want 3", used.CPUs)
 	}
 }
 
-// granted is a header of a job that cell b may run.
-func grantedHeader(c *Core) *headerRecord {
+// grantToCellB replaces the waiting job's header by one that grants the job to cell b, and returns it.
+func grantToCellB(c *Core) *headerRecord {
 	h := *c.control.headers["req-000077"]
 	h.Grant = &grantRecord{Holder: "b", Epoch: 3}
 	c.control.versions[headerKey("req-000077")] = 9
@@ -96,11 +96,11 @@
 	return &h
 }
 
-// A cancellation of what is elsewhere gets 503 at once, and is told only when the holder's word is on
-// record.
-func TestCancellationOfAGrantedJob(t *testing.T) {
-	c, l, _ := celled(t)
-	h := grantedHeader(c)
+// A request to cancel a granted job is recorded and answered with 503. The job counts as cancelled only after its
+// holder, and no other cell, has reported the recorded end.
+func TestCancelGrantedJob(t *testing.T) {
+	c, l, _ := newSpilloverLeader(t)
+	h := grantToCellB(c)
 	c.out = nil
 	c.abortGranted(UserRequest{Req: 8, Op: UserAbort, Job: "req-000077"}, *h)
 	writes := headerWrites(c)
@@ -110,38 +110,38 @@
 	resume(c.stateCalls, writes[0].ID, StateReply{ID: writes[0].ID, Status: http.StatusOK, Txn: wire.TxnAnswer{Revision: 60}})
 	answer, _ := c.out[len(c.out)-1].(Answer)
 	if answer.Status != http.StatusServiceUnavailable || answer.RetryAfter == 0 || c.withdrawn("req-000077") {
-		t.Fatalf("%+v, withdrawn %v", answer, c.withdrawn("req-000077"))
+		t.Fatalf("answer %+v, withdrawn %v", answer, c.withdrawn("req-000077"))
 	}
 	ended := cells.Message{Kind: cells.KindStatus, From: "b", To: "a", Job: "req-000077", Epoch: 3, State: cells.HolderEnded, Result: cells.ResultCancelled}
 	for from, status := range map[cells.Cell]cells.Message{"c": ended, "b": ended} {
 		status.From = from
-		l.cells.answered(l.cells.links[from], CellReply{OK: true, Messages: []CellMessage{{Message: status}}})
+		l.cells.handleReply(l.cells.links[from], CellReply{OK: true, Messages: []CellMessage{{Message: status}}})
 	}
 	writes = headerWrites(c)
 	if len(writes) != 1 {
-		t.Fatalf("%d writes after the holder's word", len(writes))
+		t.Fatalf("%d writes after the holder has reported the end, want 1", len(writes))
 	}
 	if h := decode[headerRecord](writes[0].Txn.Then[0].Value); !h.Cancelled || h.Grant != nil {
-		t.Errorf("written: %+v", h)
+		t.Errorf("header written after the holder has reported the end: %+v", h)
 	}
 }
 
-// A holder refuses a job whose id it knows, whose team it doesn't know or that is more than it lends,
-// and answers only its home, only as leader, and only what is recorded.
-func TestHolderRefuses(t *testing.T) {
-	for name, k := range map[string]struct {
-		change func(c *Core, spec *wire.Job)
-		taken  bool
+// A holder refuses an offer of a job whose ID it knows, whose team it doesn't know, that is larger than the cores it
+// lends, or that is not an array. Its answer contains no status before the decision is recorded.
+func TestHolderRefusesOffer(t *testing.T) {
+	for name, test := range map[string]struct {
+		change       func(c *Core, spec *wire.Job)
+		wantAccepted bool
 	}{
-		"a job that fits":    {func(*Core, *wire.Job) {}, true},
-		"a job that it has":  {func(_ *Core, spec *wire.Job) { spec.ID = "req-000077" }, false},
-		"an unknown team":    {func(_ *Core, spec *wire.Job) { spec.Team = "green" }, false},
-		"more than it lends": {func(_ *Core, spec *wire.Job) { spec.Tasks = 11 }, false},
-		"a service":          {func(_ *Core, spec *wire.Job) { spec.Kind = wire.KindService }, false},
+		"a job that fits":          {func(*Core, *wire.Job) {}, true},
+		"a known job ID":           {func(_ *Core, spec *wire.Job) { spec.ID = "req-000077" }, false},
+		"an unknown team":          {func(_ *Core, spec *wire.Job) { spec.Team = "green" }, false},
+		"more than the lent cores": {func(_ *Core, spec *wire.Job) { spec.Tasks = 11 }, false},
+		"a service":                {func(_ *Core, spec *wire.Job) { spec.Kind = wire.KindService }, false},
 	} {
-		c, _, _ := celled(t)
+		c, _, _ := newSpilloverLeader(t)
 		spec := wire.Job{ID: "req-000088", Team: "red", Class: "x", Kind: wire.KindArray, Priority: "high", Tasks: 2, CPUs: 1, Image: "i"}
-		k.change(c, &spec)
+		test.change(c, &spec)
 		c.out = nil
 		c.cellRequest(CellRequest{Req: 4, From: "b", Floor: 1, Messages: []CellMessage{{Spec: &spec, Message: cells.Message{Kind: cells.KindOffer,
 			From: "b", To: "a", Job: spec.ID, Epoch: 5, Team: spec.Team}}}})
@@ -153,64 +153,64 @@
 				refused = refused || o.Op == OpTxn && o.Txn.Then[0].Put == fenceKey("b", spec.ID)
 			case Answer:
 				if body := o.Body.(CellAnswer); o.Status != http.StatusOK || len(body.Messages) > 0 {
-					t.Errorf("%s: told before it is recorded: %+v", name, o)
+					t.Errorf("%s: status sent before the decision is recorded: %+v", name, o)
 				}
 			}
 		}
-		if accepted != k.taken || refused == k.taken {
+		if accepted != test.wantAccepted || refused == test.wantAccepted {
 			t.Errorf("%s: accepted %v, refused %v", name, accepted, refused)
 		}
 	}
 }
 
-// Another cell's job is nobody's here: its users are told elsewhere. It ranks below every own one, and
-// a new leader starts nothing of it before its home has said that the grant is open.
+// A job of another cell ranks below every own job, and is unknown to this cell's user API. A new leader starts
+// none of its tasks before the home has confirmed, with the leader's challenge, that the grant is open.
 func TestForeignJobs(t *testing.T) {
-	c, l, _ := celled(t)
+	c, l, _ := newSpilloverLeader(t)
 	h := &headerRecord{Job: wire.Job{ID: "req-000066", Team: "red", Kind: wire.KindArray, Priority: "prod", Tasks: 1, CPUs: 1}, PerChunk: 10,
 		Origin: &originRecord{Home: "b", Epoch: 6}}
 	c.headerChanged("req-000066", h)
 	j := l.jobs["req-000066"]
 	l.assignGuarantees()
 	if j.terms.Rank != len(wire.Priorities)-1 || !j.terms.Borrowed {
-		t.Errorf("ranks as %+v", j.terms)
+		t.Errorf("terms %+v", j.terms)
 	}
 	if l.cells.mayStart(j) {
-		t.Error("starts before its home was heard")
+		t.Error("may start before its home has confirmed the grant")
 	}
-	for _, copied := range []cells.Challenge{0, l.cells.challenge + 1} { // none known, and that of an earlier leader
-		c.cellRequest(CellRequest{From: "b", Floor: 5, Challenge: copied})
+	for _, stale := range []cells.Challenge{0, l.cells.challenge + 1} { // none, and that of an earlier leader
+		c.cellRequest(CellRequest{From: "b", Floor: 5, Challenge: stale})
 		if l.cells.mayStart(j) {
-			t.Error("starts on a call that may be a copy from before the election")
+			t.Error("may start after a call that may be a copy from before the election")
 		}
 	}
 	c.cellRequest(CellRequest{From: "b", Floor: 5, Challenge: l.cells.challenge})
 	if !l.cells.mayStart(j) {
-		t.Error("does not start though its grant is open")
+		t.Error("may not start though its grant is open")
 	}
 	c.cellRequest(CellRequest{From: "b", Floor: 6, Challenge: l.cells.challenge})
 	if l.cells.mayStart(j) {
-		t.Error("starts though its grant is over")
+		t.Error("may start though its grant is over")
 	}
 	c.control.loaded, c.out = true, nil
 	c.lookup("req-000066", func(k known) {
 		if k != knownNot {
-			t.Errorf("users are told of it: %d", k)
+			t.Errorf("the user API knows the job: %d", k)
 		}
 	})
 	_, _ = (&stateStub{}).serve(c)
 }
 
-// Without every controller's knowing of it, no job goes anywhere; and what is stored of jobs at home
-// has the form that earlier versions have written.
-func TestCellsWaitForAllMembers(t *testing.T) {
-	c, l, _ := celled(t)
+// No job is granted to another cell before every controller runs a version that supports spillover, and the
+// header of a job that is not transferred is encoded as by earlier versions.
+func TestCellsRequireAllMembersUpgraded(t *testing.T) {
+	c, l, _ := newSpilloverLeader(t)
 	members(c, thisVersion)
-	l.cells.links["b"].answered, l.cells.links["b"].room = c.now, 100
+	l.cells.links["b"].lastReplyAt, l.cells.links["b"].availableCores = c.now, 100
 	c.out = nil
-	l.cells.runNow()
+	l.cells.reconcileNow()
 	if len(c.out) > 0 {
-		t.Errorf("%+v with a controller of an earlier version", c.out)
+		t.Errorf("output %+v with a controller of an earlier version", c.out)
 	}
 	type earlier struct {
 		Job        wire.Job `cbor:"j"`
@@ -220,14 +220,14 @@
 	}
 	h := headerRecord{Job: wire.Job{ID: "req-1"}, AcceptedMS: 5, PerChunk: 3}
 	if string(wire.Marshal(h)) != string(wire.Marshal(earlier{Job: h.Job, AcceptedMS: 5, PerChunk: 3})) {
-		t.Error("the form of a header has changed")
+		t.Error("the encoding of a header has changed")
 	}
 }
 
-// An acceptance that is applied late must find that nothing has happened to the job here meanwhile: no
-// end of it on record, no fence of that epoch or a later one, and no floor that has taken a fence's place.
+// The write of an acceptance is conditional on an unchanged header, final record, fence and floor of the job, so that
+// a copy that is applied late fails if the job or its epoch has ended here meanwhile.
 func TestAcceptanceIsConditional(t *testing.T) {
-	c, l, _ := celled(t)
+	c, l, _ := newSpilloverLeader(t)
 	fence := fenceRecord{Epoch: 2, Result: cells.ResultReturned}
 	l.cells.restoreFloors([]wire.Item{{Key: floorKey("b"), Value: wire.Marshal(epochRecord{1}), Version: 30}})
 	l.cells.restoreFences([]wire.Item{{Key: fenceKey("b", "req-000088"), Value: wire.Marshal(fence), Version: 31}})
@@ -243,20 +243,20 @@
 		}
 		for _, cond := range call.Txn.If {
 			if version, listed := want[cond.Key]; !listed || version != cond.Version {
-				t.Errorf("condition %+v", cond)
+				t.Errorf("unexpected condition %+v", cond)
 			}
 			delete(want, cond.Key)
 		}
 	}
 	if len(want) > 0 {
-		t.Errorf("no conditions on %v", want)
+		t.Errorf("missing conditions on %v", want)
 	}
 }
 
-// A floor is recorded in one transaction with the removal of the fences that it stands for; until
-// then they count.
-func TestFloorTakesThePlaceOfFences(t *testing.T) {
-	c, l, _ := celled(t)
+// A floor is recorded, and the fences that it replaces are removed, in one transaction; until that is confirmed
+// the fences remain in force.
+func TestFloorReplacesFences(t *testing.T) {
+	c, l, _ := newSpilloverLeader(t)
 	key := fenceKey("b", "req-000088")
 	l.cells.restoreFences([]wire.Item{{Key: key, Value: wire.Marshal(fenceRecord{Epoch: 2, Result: cells.ResultDone}), Version: 31}})
 	c.out = nil
@@ -268,19 +268,19 @@
 		}
 	}
 	if len(call.Txn.Then) != 2 || call.Txn.Then[0].Put != floorKey("b") || call.Txn.Then[1].Delete != key || len(call.Txn.If) != 3 {
-		t.Fatalf("%+v", call.Txn)
+		t.Fatalf("transaction %+v, want a put of the floor and a delete of the fence", call.Txn)
 	}
 	if l.cells.floor("b").epoch != 0 || l.cells.fences[key] == nil {
-		t.Error("the floor holds before it is recorded")
+		t.Error("the floor replaces the fence before it is recorded")
 	}
 	resume(c.stateCalls, call.ID, StateReply{ID: call.ID, Status: http.StatusOK, Txn: wire.TxnAnswer{Revision: 70}})
 	if l.cells.floor("b").epoch != 4 || l.cells.floor("b").version != 70 || l.cells.fences[key] != nil {
-		t.Errorf("%+v, fences %v", l.cells.floor("b"), l.cells.fences)
+		t.Errorf("floor %+v, fences %v", l.cells.floor("b"), l.cells.fences)
 	}
 }
 
-// offers is a call of a home with one offer for each size, in cores; epochs and ids count from first.
-func offers(c *Core, home cells.Cell, first int, sizes ...int) CellRequest {
+// offerRequest returns a call of a home with one offer for each size, in cores. Epochs and job IDs count from first.
+func offerRequest(c *Core, home cells.Cell, first int, sizes ...int) CellRequest {
 	r := CellRequest{From: home, Challenge: c.lead.cells.challenge}
 	for i, size := range sizes {
 		spec := &wire.Job{ID: fmt.Sprintf("req-%06d", first+i), Team: "red", Class: "x", Kind: wire.KindArray, Priority: "high", Tasks: size, CPUs: 1, Image: "i"}
@@ -290,8 +290,9 @@
 	return r
 }
 
-// accepted lists the writes of acceptances that the core asks for, and how many cores they take together.
-func accepted(c *Core) (writes []StateCall, cores int) {
+// acceptanceWrites returns the writes of acceptances that the core has emitted and their total size in cores, and
+// clears its output.
+func acceptanceWrites(c *Core) (writes []StateCall, cores int) {
 	for _, o := range c.out {
 		if call, ok := o.(StateCall); ok && call.Op == OpTxn {
 			if h := decode[headerRecord](call.Txn.Then[0].Value); h != nil && h.Origin != nil {
@@ -304,53 +305,54 @@
 	return writes, cores
 }
 
-// The offers of one call together, doubled and reordered, and those of two homes at once, take no more
-// than is lent: each was once judged against the same room.
-func TestOffersTogetherKeepToWhatIsLent(t *testing.T) {
-	c, l, _ := celled(t) // which lends 10 cores
+// The offers of one call, duplicated and reordered, and those of two homes at once must together not exceed the lent
+// cores. Checking each offer against the same available cores would accept too many.
+func TestConcurrentOffersStayWithinLentCores(t *testing.T) {
+	c, l, _ := newSpilloverLeader(t) // lends 10 cores
 	c.out = nil
-	first := offers(c, "b", 100, 4, 4, 4, 2)
+	first := offerRequest(c, "b", 100, 4, 4, 4, 2)
 	doubled := CellRequest{From: "b", Challenge: first.Challenge}
 	for _, i := range []int{1, 0, 1, 3, 2, 0, 3} {
 		doubled.Messages = append(doubled.Messages, first.Messages[i])
 	}
 	c.cellRequest(doubled)
-	c.cellRequest(offers(c, "c", 200, 3, 1))
-	writes, cores := accepted(c)
+	c.cellRequest(offerRequest(c, "c", 200, 3, 1))
+	writes, cores := acceptanceWrites(c)
 	if cores != 10 || len(writes) != 3 {
-		t.Fatalf("%d jobs of %d cores are accepted, 10 cores are lent", len(writes), cores)
+		t.Fatalf("%d jobs with %d cores in total are accepted, want 3 jobs with the 10 lent cores", len(writes), cores)
 	}
-	// What got no answer may be applied later: its room stays taken, also when it is refused then.
+	// A write without an answer may be applied later: its cores stay reserved, even if a later write of the same
+	// acceptance is refused.
 	id := writes[0].Txn.Then[0].Put[len(headerPrefix):]
 	for _, status := range []int{0, http.StatusConflict} {
-		l.cells.acceptanceAnswered(id, status)
-		if l.cells.lends() > 0 {
-			t.Errorf("%v cores are lent after status %d of a write in doubt", l.cells.lends(), status)
+		l.cells.handleAcceptanceReply(id, status)
+		if l.cells.availableCores() > 0 {
+			t.Errorf("%v cores are available after status %d of a write whose outcome is unknown", l.cells.availableCores(), status)
 		}
 	}
-	// It is written again when it is offered again, in the room that it has.
-	delete(l.cells.rewriting, id)
+	// A repeated offer is accepted again, within the cores reserved for it.
+	delete(l.cells.headerWriteInFlight, id)
 	delete(l.cells.fences, fenceKey("b", id))
 	c.cellRequest(first)
-	if again, cores := accepted(c); len(again) != 1 || cores != 4 || l.cells.lends() > 0 {
-		t.Errorf("%d jobs of %d cores are accepted once more", len(again), cores)
+	if again, cores := acceptanceWrites(c); len(again) != 1 || cores != 4 || l.cells.availableCores() > 0 {
+		t.Errorf("after a repeated offer %d jobs with %d cores in total are accepted again, want 1 job with 4 cores", len(again), cores)
 	}
-	// What is refused for certain leaves its room to others.
-	l.cells.acceptanceAnswered(writes[2].Txn.Then[0].Put[len(headerPrefix):], http.StatusConflict)
-	if l.cells.lends() != 2 {
-		t.Errorf("%v cores are lent after a refused write", l.cells.lends())
+	// A write that is certainly refused releases its cores.
+	l.cells.handleAcceptanceReply(writes[2].Txn.Then[0].Put[len(headerPrefix):], http.StatusConflict)
+	if l.cells.availableCores() != 2 {
+		t.Errorf("%v cores are available after a refused write, want 2", l.cells.availableCores())
 	}
-	// Once the home says that it is over, its room is free.
+	// A floor of the home that ends the grants releases their cores.
 	c.cellRequest(CellRequest{From: "b", Floor: 150, Challenge: l.cells.challenge})
-	if l.cells.lends() != 10 {
-		t.Errorf("%v cores are lent after the end of all grants", l.cells.lends())
+	if l.cells.availableCores() != 10 {
+		t.Errorf("%v cores are available after the end of all grants, want 10", l.cells.availableCores())
 	}
 }
 
-// Nothing is lent to a home before it has carried the challenge of this leader back, and a home learns
-// of a new leader by its challenge and asks again at once.
-func TestRoomIsToldInAnswerToTheChallenge(t *testing.T) {
-	c, l, _ := celled(t)
+// A holder reports no available cores to a home that has not sent this leader's challenge back. A home recognizes a
+// new leader by its challenge and calls again at once.
+func TestCapacityRequiresCurrentChallenge(t *testing.T) {
+	c, l, _ := newSpilloverLeader(t)
 	c.out = nil
 	for challenge, room := range map[cells.Challenge]float64{0: 0, l.cells.challenge: 10} {
 		c.cellRequest(CellRequest{Req: 3, From: "b", Challenge: challenge})
@@ -360,62 +362,61 @@
 		}
 	}
 	link := l.cells.links["b"]
-	for _, answered := range []struct {
+	for _, reply := range []struct {
 		challenge cells.Challenge
 		soon      bool
 	}{{77, true}, {77, false}, {78, true}} {
-		l.cells.answered(link, CellReply{OK: true, Challenge: answered.challenge})
-		if soon := !c.now.Before(link.askAt); soon != answered.soon {
-			t.Errorf("challenge %d: asked again at once %v", answered.challenge, soon)
+		l.cells.handleReply(link, CellReply{OK: true, Challenge: reply.challenge})
+		if soon := !c.now.Before(link.nextCallAt); soon != reply.soon {
+			t.Errorf("challenge %d: next call due at once %v", reply.challenge, soon)
 		}
 		c.out = nil
-		link.askAt = c.now
-		l.cells.ask(link, nil)
-		if call, ok := c.out[len(c.out)-1].(CellCall); !ok || call.Challenge != answered.challenge {
-			t.Errorf("asked with %+v", c.out)
+		link.nextCallAt = c.now
+		l.cells.call(link, nil)
+		if call, ok := c.out[len(c.out)-1].(CellCall); !ok || call.Challenge != reply.challenge {
+			t.Errorf("output %+v, want a call with the challenge", c.out)
 		}
 	}
 }
 
-// A cell that was declared gone hears that all it had is over, although another cell still has an older
-// grant, and before the writes that take its grants back are made.
-func TestFloorOfACellDeclaredGone(t *testing.T) {
-	c, l, _ := celled(t)
+// A call to a cell that was declared gone carries a floor at which all its grants are over, even while another cell
+// holds an older grant, and before the writes that take the grants back are made.
+func TestFloorOfCellDeclaredGone(t *testing.T) {
+	c, l, _ := newSpilloverLeader(t)
 	open := []cells.HomeRecord{{Job: "x", State: cells.HomeOffered, Holder: "c", Epoch: 2}, {Job: "y", State: cells.HomeOffered, Holder: "b", Epoch: 5}}
 	c.control.epoch = 6
 	c.control.gone["b"] = goneRecord{Epoch: 6, By: "operator"}
 	for holder, want := range map[cells.Cell]CellCall{"b": {Floor: 6}, "c": {Floor: 1, Messages: make([]CellMessage, 1)}} {
 		c.control.headers["x"], c.control.headers["y"] = &headerRecord{}, &headerRecord{}
 		c.out = nil
-		l.cells.ask(l.cells.links[holder], open)
+		l.cells.call(l.cells.links[holder], open)
 		if call := c.out[len(c.out)-1].(CellCall); call.Floor != want.Floor || len(call.Messages) != len(want.Messages) {
-			t.Errorf("%s is told %+v", holder, call)
+			t.Errorf("call to %s is %+v", holder, call)
 		}
 	}
 }
 
-// A fence is written only where the header of its job is as it was read: an acceptance that was applied
-// and is not seen yet would run beside it.
+// The write of a fence is conditional on an unchanged header of its job. Otherwise it could end an epoch whose
+// acceptance was applied but is not observed yet, and the job would go on running here.
 func TestFenceIsConditionalOnTheHeader(t *testing.T) {
-	c, _, _ := celled(t)
+	c, _, _ := newSpilloverLeader(t)
 	c.out = nil
 	recall := cells.Message{Kind: cells.KindRecall, From: "b", To: "a", Job: "req-000088", Epoch: 5}
 	c.cellRequest(CellRequest{From: "b", Messages: []CellMessage{{Message: recall}}})
 	for _, o := range c.out {
 		if call, ok := o.(StateCall); ok && call.Op == OpTxn && call.Txn.Then[0].Put == fenceKey("b", "req-000088") {
 			if !slices.Contains(call.Txn.If, wire.Cond{Key: headerKey("req-000088")}) {
-				t.Errorf("conditions %+v", call.Txn.If)
+				t.Errorf("conditions %+v, want one on the header", call.Txn.If)
 			}
 			return
 		}
 	}
-	t.Error("no fence is written")
+	t.Error("no fence was written")
 }
 
-// The index of what is in other cells, or another cell's, is what a walk over all headers finds, whatever
-// changes.
+// After any sequence of header changes the index contains the same jobs as a scan of all headers.
 func TestCellIndex(t *testing.T) {
-	c, _, _ := celled(t)
+	c, _, _ := newSpilloverLeader(t)
 	rng := rand.New(rand.NewPCG(2, 7))
 	homes := []cells.Cell{"b", "c"}
 	for range 2000 {
@@ -436,27 +437,27 @@
 				granted++
 			}
 			if (h.Grant != nil) != c.control.cells.granted[id] {
-				t.Fatalf("%s is granted %v", id, h.Grant != nil)
+				t.Fatalf("%s: granted %v, which the index contradicts", id, h.Grant != nil)
 			}
 			if h.Origin != nil {
 				foreign[h.Origin.Home]++
 				if !c.control.cells.foreign[h.Origin.Home][id] {
-					t.Fatalf("%s of %s is not in the index", id, h.Origin.Home)
+					t.Fatalf("%s with home %s is not in the index", id, h.Origin.Home)
 				}
 			}
 		}
 		for _, home := range homes {
 			if len(c.control.cells.granted) != granted || len(c.control.cells.foreign[home]) != foreign[home] {
-				t.Fatalf("%d of %d granted, %d of %d of %s", len(c.control.cells.granted), granted, len(c.control.cells.foreign[home]), foreign[home], home)
+				t.Fatalf("index has %d of %d granted jobs and %d of %d jobs with home %s", len(c.control.cells.granted), granted, len(c.control.cells.foreign[home]), foreign[home], home)
 			}
 		}
 	}
 }
 
-// BenchmarkCellStep is a step of the cells' side and a call of another cell, beside 5,000 own jobs of which
-// 50 are elsewhere and 50 of that cell.
+// BenchmarkCellStep measures the parts of a reconciliation and of a call from another cell that go over jobs, with
+// 5,000 jobs of which 50 are granted to that cell and 50 are held for it.
 func BenchmarkCellStep(b *testing.B) {
-	c, l, _ := celled(b)
+	c, l, _ := newSpilloverLeader(b)
 	for i := range 5000 {
 		h := &headerRecord{Job: wire.Job{ID: fmt.Sprintf("req-%06d", 1000+i), Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1}, PerChunk: 10}
 		switch i % 100 {
@@ -471,7 +472,7 @@
 		c.out = nil
 		l.cells.openGrants()
 		l.cells.raiseFloor("b", 1)
-		l.cells.lends()
-		l.cells.giveBackWaiting()
+		l.cells.availableCores()
+		l.cells.returnWaitingJobs()
 	}
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	maxFrame    = 1 << 20
-	dialTimeout = time.Second
-	sendTimeout = time.Second
-	queueLen    = 64
+	maxFrameBytes = 1 << 20
+	dialTimeout   = time.Second
+	sendTimeout   = time.Second
+	queueLength   = 64
 )
 
 // Mesh sends to the other controllers and receives from them.
@@ -30,12 +30,12 @@
 // New starts to receive on ln, and a sender for every peer (name to address).
 func New(ctx context.Context, ln net.Listener, peers map[string]string, receive func(*Envelope)) *Mesh {
 	m := &Mesh{queues: map[string]chan *Envelope{}, receive: receive}
-	for name, peer := range peers {
-		q := make(chan *Envelope, queueLen)
-		m.queues[name] = q
-		go sender(ctx, peer, q)
+	for name, addr := range peers {
+		queue := make(chan *Envelope, queueLength)
+		m.queues[name] = queue
+		go sendLoop(ctx, addr, queue)
 	}
-	go m.accept(ln)
+	go m.acceptLoop(ln)
 	return m
 }
 
@@ -43,28 +43,28 @@
 // promise, or an answer that a worker waits for, is worth more than what is late
 // already.
 func (m *Mesh) Send(to string, e *Envelope) {
-	q, known := m.queues[to]
+	queue, known := m.queues[to]
 	for known {
 		select {
-		case q <- e:
+		case queue <- e:
 			return
 		default:
 		}
 		select {
-		case <-q:
+		case <-queue:
 			slog.Debug("mesh message dropped", "peer", to)
 		default:
 		}
 	}
 }
 
-func sender(ctx context.Context, addr string, q <-chan *Envelope) {
+func sendLoop(ctx context.Context, addr string, queue <-chan *Envelope) {
 	var conn net.Conn
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-q:
+		case e := <-queue:
 			if conn = deliver(conn, addr, e); conn == nil {
 				slog.Debug("mesh peer not reached", "addr", addr)
 			}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (m *Mesh) accept(ln net.Listener) {
+func (m *Mesh) acceptLoop(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -104,11 +104,11 @@
 			time.Sleep(dialTimeout)
 			continue
 		}
-		go m.read(conn)
+		go m.readLoop(conn)
 	}
 }
 
-func (m *Mesh) read(conn net.Conn) {
+func (m *Mesh) readLoop(conn net.Conn) {
 	defer conn.Close()
 	for {
 		var head [4]byte
@@ -116,7 +116,7 @@
 			return
 		}
 		size := binary.BigEndian.Uint32(head[:])
-		if size > maxFrame {
+		if size > maxFrameBytes {
 			return
 		}
 		body := make([]byte, size)
--- a/wire/size.go
+++ b/wire/size.go
@@ -6,9 +6,9 @@
 	"strconv"
 )
 
-// asciiEscape is how many characters JSON takes for a character outside ASCII where it is
+// escapedCharSize is how many characters JSON takes for a character outside ASCII where it is
 // escaped, which it may be.
-const asciiEscape = 6
+const escapedCharSize = 6
 
 // Size returns how many characters an encoded value takes as JSON, which is the form that
 // the state service's limits count. A value that can't be decoded counts its bytes.
@@ -27,13 +27,13 @@
 	case bool:
 		return len(strconv.FormatBool(v))
 	case string:
-		return jsonTextSize(v)
+		return jsonStringSize(v)
 	case uint64:
 		return len(strconv.FormatUint(v, 10))
 	case int64:
 		return len(strconv.FormatInt(v, 10))
 	case float64:
-		return jsonAmountSize(v)
+		return jsonFloatSize(v)
 	case []any:
 		size := listSize(len(v))
 		for _, element := range v {
@@ -53,8 +53,8 @@
 // listSize counts the brackets and the commas of a list or a map.
 func listSize(elements int) int { return len("[]") + max(0, elements-1) }
 
-// jsonAmountSize counts a decimal number, which keeps its point.
-func jsonAmountSize(amount float64) int {
+// jsonFloatSize counts a decimal number, which keeps its point.
+func jsonFloatSize(amount float64) int {
 	size := len(strconv.FormatFloat(amount, 'g', -1, 64))
 	if amount == math.Trunc(amount) {
 		size += len(".0")
@@ -62,17 +62,17 @@
 	return size
 }
 
-func jsonTextSize(text string) int {
+func jsonStringSize(text string) int {
 	quoted, err := json.Marshal(text)
 	if err != nil {
-		return asciiEscape * len(text)
+		return escapedCharSize * len(text)
 	}
 	size := 0
 	for _, r := range string(quoted) {
 		if r < 0x80 {
 			size++
 		} else {
-			size += asciiEscape
+			size += escapedCharSize
 		}
 	}
 	return size
--- a/wire/submit.go
+++ b/wire/submit.go
@@ -12,21 +12,21 @@
 // MaxTasks is the largest number of tasks of a job.
 const MaxTasks = 100_000
 
-var idForm = regexp.MustCompile(`^req-[0-9]{1,18}$`)
+var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,18}$`)
 
 // ValidID reports whether id has the form of a job's id.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+func ValidID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // TaskID names task n of a job.
 func TaskID(job string, n int) string { return job + "/" + strconv.Itoa(n) }
 
 // SplitTask takes a task's name apart.
 func SplitTask(id string) (job string, n int, ok bool) {
-	job, num, found := strings.Cut(id, "/")
+	job, number, found := strings.Cut(id, "/")
 	if !found {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(num)
+	n, err := strconv.Atoi(number)
 	return job, n, err == nil && n >= 0
 }
 
@@ -62,11 +62,11 @@
 func ParseJob(body []byte) (job Job, id string, err error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
-		var only struct {
+		var idOnly struct {
 			ID string `cbor:"uid"`
 		}
-		if Unmarshal(body, &only) == nil && ValidID(only.ID) {
-			id = only.ID
+		if Unmarshal(body, &idOnly) == nil && ValidID(idOnly.ID) {
+			id = idOnly.ID
 		}
 		return Job{}, id, err
 	}
@@ -77,11 +77,11 @@
 	job = Job{
 		ID: p.text("uid", s.ID), Class: p.text("lane", s.Class), Team: p.text("crew", s.Team),
 		Kind: p.text("shape", s.Kind), Priority: p.text("urgency", s.Priority),
-		CPUs: p.amount("cores", s.CPUs), GPUs: p.amount("gpus", s.GPUs), MemoryGB: p.amount("ram_gb", s.MemoryGB),
-		Image: p.text("bundle", s.Image), ImageGB: p.amount("size_gb", s.ImageGB),
+		CPUs: p.nonNegative("cores", s.CPUs), GPUs: p.nonNegative("gpus", s.GPUs), MemoryGB: p.nonNegative("ram_gb", s.MemoryGB),
+		Image: p.text("bundle", s.Image), ImageGB: p.nonNegative("size_gb", s.ImageGB),
 		Types: s.Types, OneZone: p.flag("one_zone", s.OneZone), Spread: p.flag("scatter", s.Spread),
-		Spot: p.flag("lendable", s.Spot), EstimateS: p.amount("reckon_s", s.EstimateS),
-		CheckpointS: p.amount("mark_s", s.CheckpointS), SaveS: p.amount("stash_s", s.SaveS), DeadlineS: s.DeadlineS,
+		Spot: p.flag("lendable", s.Spot), EstimateS: p.nonNegative("reckon_s", s.EstimateS),
+		CheckpointS: p.nonNegative("mark_s", s.CheckpointS), SaveS: p.nonNegative("stash_s", s.SaveS), DeadlineS: s.DeadlineS,
 	}
 	if s.Zone != nil {
 		job.Zone = *s.Zone
@@ -96,12 +96,12 @@
 	p.require("urgency", slices.Contains(Priorities, job.Priority))
 	p.require("cores", job.CPUs > 0 || job.GPUs > 0 || job.MemoryGB > 0)
 	if s.DeadlineS != nil {
-		p.amount("due_s", s.DeadlineS)
+		p.nonNegative("due_s", s.DeadlineS)
 	}
-	for _, id := range s.Needs {
-		p.require("waits_on", ValidID(id))
-		if !slices.Contains(job.Needs, id) { // a job named twice is needed once
-			job.Needs = append(job.Needs, id)
+	for _, needed := range s.Needs {
+		p.require("waits_on", ValidID(needed))
+		if !slices.Contains(job.Needs, needed) { // a job named twice is needed once
+			job.Needs = append(job.Needs, needed)
 		}
 	}
 	return job, id, p.err
@@ -143,7 +143,7 @@
 	return *v
 }
 
-func (p *parser) amount(field string, v *float64) float64 {
+func (p *parser) nonNegative(field string, v *float64) float64 {
 	if v == nil || !(*v >= 0 && *v < 1e12) {
 		p.fail(field)
 		return 0
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func sample() map[string]any {
+func sampleSubmission() map[string]any {
 	return map[string]any{
 		"uid": "req-000412", "lane": "train", "crew": "vision", "shape": "sweep", "urgency": "high", "pieces": 16,
 		"cores": 8.0, "gpus": 1, "ram_gb": 64.0, "bundle": "img-07", "size_gb": 6.2, "builds": []string{"g8"}, "yard": nil,
@@ -17,7 +17,7 @@
 }
 
 func TestParseJobAccepts(t *testing.T) {
-	job, id, err := ParseJob(Marshal(sample()))
+	job, id, err := ParseJob(Marshal(sampleSubmission()))
 	if err != nil || id != "req-000412" || job.GPUs != 1 || job.Zone != "" || job.Types[0] != "g8" || job.DeadlineS != nil {
 		t.Fatalf("%+v %q %v", job, id, err)
 	}
@@ -30,7 +30,7 @@
 		"uid": "job-1", "shape": "spiral", "urgency": "urgent", "pieces": 0, "cores": -1.0, "ram_gb": "much",
 		"one_zone": 1, "bundle": "", "reckon_s": nil, "due_s": -5.0, "builds": "g8",
 	} {
-		bad := maps.Clone(sample())
+		bad := maps.Clone(sampleSubmission())
 		bad[name] = v
 		_, id, err := ParseJob(Marshal(bad))
 		if err == nil {
@@ -40,7 +40,7 @@
 			t.Errorf("%s = %v: id %q", name, v, id)
 		}
 	}
-	missing := sample()
+	missing := sampleSubmission()
 	delete(missing, "mark_s")
 	if _, _, err := ParseJob(Marshal(missing)); err == nil {
 		t.Error("a missing field is accepted")
@@ -65,22 +65,22 @@
 
 // A submission may name the jobs that it needs; what is not a list of ids is refused.
 func TestParseJobNeeds(t *testing.T) {
-	with := func(v any) map[string]any {
-		m := maps.Clone(sample())
+	withNeeds := func(v any) map[string]any {
+		m := maps.Clone(sampleSubmission())
 		m["waits_on"] = v
 		return m
 	}
 	for _, none := range []any{nil, []string{}} {
-		if job, _, err := ParseJob(Marshal(with(none))); err != nil || len(job.Needs) != 0 {
+		if job, _, err := ParseJob(Marshal(withNeeds(none))); err != nil || len(job.Needs) != 0 {
 			t.Errorf("%v: %+v %v", none, job.Needs, err)
 		}
 	}
-	job, _, err := ParseJob(Marshal(with([]string{"req-2", "req-1", "req-2"})))
+	job, _, err := ParseJob(Marshal(withNeeds([]string{"req-2", "req-1", "req-2"})))
 	if err != nil || len(job.Needs) != 2 || job.Needs[0] != "req-2" || job.Needs[1] != "req-1" {
 		t.Errorf("%+v %v", job.Needs, err)
 	}
 	for _, bad := range []any{"req-1", 7, []any{1}, []string{"job-1"}, []string{"req-1", ""}, []any{nil}, map[string]any{"req-1": 1}} {
-		if _, id, err := ParseJob(Marshal(with(bad))); err == nil || id != "req-000412" {
+		if _, id, err := ParseJob(Marshal(withNeeds(bad))); err == nil || id != "req-000412" {
 			t.Errorf("%v is accepted, id %q", bad, id)
 		}
 	}
@@ -106,7 +106,7 @@
 
 // Each wrong field of a submission is a *FieldError that names it as the protocol spells it.
 func TestParseJobNamesWrongFields(t *testing.T) {
-	bad := maps.Clone(sample())
+	bad := maps.Clone(sampleSubmission())
 	bad["shape"], bad["pieces"] = "spiral", 0
 	_, _, err := ParseJob(Marshal(bad))
 	var wrong *FieldError
