--- a/celllink/celllink_test.go
+++ b/celllink/celllink_test.go
@@ -15,15 +15,15 @@
 	"pumicefront/wire"
 )
 
-// startPeer stands in for a controller of another cell.
+// startPeer starts an HTTP server in place of a controller of another cell and returns its address.
 func startPeer(t *testing.T, serve http.HandlerFunc) string {
 	server := httptest.NewServer(serve)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// Messages arrive as they were sent; a controller that doesn't lead is passed over, and the one that
-// answered is asked first the next time.
+// Messages arrive as they were sent. A controller that is not the leader is skipped, and the one that answered is
+// called first the next time.
 func TestCallFindsTheLeader(t *testing.T) {
 	spec := &wire.Job{ID: "req-000001", Team: "red", Tasks: 3}
 	sent := []controller.CellMessage{
@@ -40,7 +40,7 @@
 	leader := startPeer(t, func(w http.ResponseWriter, r *http.Request) {
 		got, err := ReadRequest(r.Body, "b")
 		if err != nil || r.URL.Path != cells.MessagesPath || got.From != "a" || got.Floor != 6 || got.Challenge != 12 || !reflect.DeepEqual(got.Messages, sent) {
-			t.Errorf("%+v %v", got, err)
+			t.Errorf("received %+v, error %v", got, err)
 		}
 		raw, err := WriteAnswer(controller.CellAnswer{Messages: []controller.CellMessage{status}, Room: 12, Challenge: 13})
 		if err != nil {
@@ -52,15 +52,15 @@
 	for range 2 {
 		got := client.Call(controller.CellCall{ID: 3, To: "b", Floor: 6, Messages: sent, Challenge: 12})
 		if !got.OK || got.ID != 3 || got.Room != 12 || got.Challenge != 13 || !reflect.DeepEqual(got.Messages, []controller.CellMessage{status}) {
-			t.Errorf("%+v", got)
+			t.Errorf("reply %+v", got)
 		}
 	}
 	if followerCalls != 1 {
-		t.Errorf("the one that doesn't lead is asked %d times", followerCalls)
+		t.Errorf("the follower is called %d times, want 1", followerCalls)
 	}
 }
 
-// A cell that listens and says nothing, or nonsense, is given up in time.
+// A call to a cell whose controllers do not answer, or answer with malformed data, fails within its timeout.
 func TestCallTimesOut(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
@@ -69,9 +69,9 @@
 	client := NewClient(&config.Cell{Name: "a", Peers: []config.CellPeer{{Name: "b", Addresses: []string{malformed, silent, silent, silent, silent}}}})
 	start := time.Now()
 	if r := client.Call(controller.CellCall{ID: 4, To: "b"}); r.OK || r.ID != 4 || time.Since(start) > callTimeout+addressTimeout {
-		t.Errorf("%+v after %v", r, time.Since(start))
+		t.Errorf("reply %+v after %v", r, time.Since(start))
 	}
 	if _, err := ReadRequest(strings.NewReader("\xff"), "b"); err == nil {
-		t.Error("nonsense is read")
+		t.Error("a malformed request is accepted")
 	}
 }
--- a/celllink/client.go
+++ b/celllink/client.go
@@ -17,22 +17,22 @@
 	"pumicefront/controller"
 )
 
-// Timeouts and bounds of the talk between cells.
+// Timeouts and limits of the calls between cells.
 const (
-	addressTimeout = time.Second     // for one controller of a cell
-	callTimeout    = 3 * time.Second // for all of them
-	MaxBodyBytes   = 1 << 20
+	addressTimeout = time.Second     // for a call to one controller of a cell
+	callTimeout    = 3 * time.Second // for the calls to all controllers of a cell together
+	MaxBodyBytes   = 1 << 20         // largest request or answer body that is read
 )
 
-// Client sends messages to other cells.
+// Client calls the controllers of other cells.
 type Client struct {
 	self  cells.Cell
 	http  *http.Client
 	mu    sync.Mutex
-	peers map[cells.Cell][]string // the address first that answered last
+	peers map[cells.Cell][]string // addresses of a cell's controllers, the one that answered last first
 }
 
-// NewClient returns a client of the cells that the settings name.
+// NewClient returns a client for the peers in the settings.
 func NewClient(settings *config.Cell) *Client {
 	c := &Client{self: cells.Cell(settings.Name), peers: map[cells.Cell][]string{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}}
@@ -42,7 +42,7 @@
 	return c
 }
 
-// Call asks the controllers of a cell in turn, until one that leads has answered.
+// Call sends the call to the controllers of a cell in turn, until the leader answers or the call times out.
 func (c *Client) Call(call controller.CellCall) controller.CellReply {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	for i, address := range c.addresses(call.To) {
 		reply, err := c.post(ctx, address, body)
 		if err != nil {
-			continue // the next controller may lead; without an answer the core asks again later
+			continue // the next controller may be the leader; without any answer the core calls again later
 		}
 		messages, err := decodeMessages(reply.Messages, call.To, c.self)
 		if err != nil {
@@ -65,13 +65,14 @@
 	return controller.CellReply{ID: call.ID}
 }
 
+// addresses returns a copy of a cell's controller addresses.
 func (c *Client) addresses(cell cells.Cell) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.peers[cell]...)
 }
 
-// prefer has the address come first that has answered.
+// prefer moves the address that answered, at index i, to the front for the next calls.
 func (c *Client) prefer(cell cells.Cell, i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,19 +81,20 @@
 	c.peers[cell] = list
 }
 
-var errNotLeading = errors.New("does not lead")
+var errNotLeading = errors.New("not the leader")
 
+// post sends an encoded request to one controller and decodes its reply.
 func (c *Client) post(ctx context.Context, address string, body []byte) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+cells.MessagesPath, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("ask cell at %s: %w", address, err)
+		return nil, fmt.Errorf("call cell at %s: %w", address, err)
 	}
-	req.GetBody = nil // a copy that the core doesn't know of is never sent
+	req.GetBody = nil // the HTTP client must not resend the body: the core would not know of the copy
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("ask cell at %s: %w", address, err)
+		return nil, fmt.Errorf("call cell at %s: %w", address, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -100,16 +102,16 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes))
 	if err != nil {
-		return nil, fmt.Errorf("answer of cell at %s: %w", address, err)
+		return nil, fmt.Errorf("read answer of cell at %s: %w", address, err)
 	}
 	reply := &Reply{}
 	if err := proto.Unmarshal(raw, reply); err != nil {
-		return nil, fmt.Errorf("answer of cell at %s: %w", address, err)
+		return nil, fmt.Errorf("read answer of cell at %s: %w", address, err)
 	}
 	return reply, nil
 }
 
-// ReadRequest reads a request that has come from another cell.
+// ReadRequest reads and decodes a request from another cell to this one, self.
 func ReadRequest(body io.Reader, self cells.Cell) (controller.CellRequest, error) {
 	raw, err := io.ReadAll(io.LimitReader(body, MaxBodyBytes))
 	if err != nil {
@@ -124,11 +126,11 @@
 	return controller.CellRequest{From: from, Floor: cells.Epoch(request.Floor), Messages: messages, Challenge: cells.Challenge(request.Challenge)}, err
 }
 
-// WriteAnswer spells the answer to another cell.
+// WriteAnswer encodes the answer to another cell.
 func WriteAnswer(a controller.CellAnswer) ([]byte, error) {
 	raw, err := proto.Marshal(&Reply{Messages: encodeMessages(a.Messages), Room: a.Room, Challenge: uint64(a.Challenge)})
 	if err != nil {
-		return nil, fmt.Errorf("answer a cell: %w", err)
+		return nil, fmt.Errorf("encode answer to a cell: %w", err)
 	}
 	return raw, nil
 }
--- a/celllink/convert.go
+++ b/celllink/convert.go
@@ -1,5 +1,6 @@
-// Package celllink carries messages between cells: protobuf over HTTP, one call at a time for each
-// cell, with an end to every wait. Nothing is promised; what matters is asked for again by the core.
+// Package celllink carries messages between cells as protobuf over HTTP, with one call at a time for each
+// cell and a timeout on every call. Delivery is not guaranteed: the core repeats its messages until they are
+// answered.
 package celllink
 
 import (
@@ -10,7 +11,7 @@
 	"pumicefront/wire"
 )
 
-// encodeMessages spells messages as they go over the wire.
+// encodeMessages converts messages to their protobuf form.
 func encodeMessages(messages []controller.CellMessage) []*Message {
 	var all []*Message
 	for _, m := range messages {
@@ -23,7 +24,8 @@
 	return all
 }
 
-// decodeMessages reads messages that came from a cell. The team is the one that the job's description names.
+// decodeMessages converts protobuf messages that the cell from has sent to the cell to. The team of a message is taken
+// from the job that it carries, if any.
 func decodeMessages(messages []*Message, from, to cells.Cell) ([]controller.CellMessage, error) {
 	var all []controller.CellMessage
 	for _, p := range messages {
--- a/cellview/cellview.go
+++ b/cellview/cellview.go
@@ -1,4 +1,4 @@
-// Package cellview shows operators the links between cells, and tells a cell of their decisions.
+// Package cellview shows operators the links between cells, and sends their declarations of gone cells to a cell.
 package cellview
 
 import (
@@ -15,7 +15,7 @@
 	"pumicefront/statusview"
 )
 
-// View shows a cell's links.
+// View shows the links of a cell to the other cells.
 var View = statusview.View[cells.Status]{Path: cells.StatusPath, Render: Render}
 
 // Render writes a status as lines of text.
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("up to %d by %s", l.GoneEpoch, l.GoneBy)
 }
 
-// DeclareGone tells a home that another cell has ended all that it was granted, and who vouches
-// for that. The controllers are asked in turn until the one that leads has recorded it.
+// DeclareGone declares to a home that another cell has ended every job granted to it, on the assertion of the operator
+// named by. The home's controllers are called in turn until the leader has recorded the declaration.
 func DeclareGone(ctx context.Context, addresses []string, cell, by string) error {
 	query := url.Values{"cell": {cell}, "by": {by}}.Encode()
 	var failures []error
--- a/cellview/cellview_test.go
+++ b/cellview/cellview_test.go
@@ -14,7 +14,8 @@
 	"pumicefront/statusclient"
 )
 
-// startController stands in for one: it answers with a status, and takes declarations only if it leads.
+// startController starts an HTTP server in place of a controller and returns its address. It answers with the status s,
+// and accepts declarations, into declared, only if s says that it leads.
 func startController(t *testing.T, s cells.Status, declared *string) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+cells.StatusPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -47,16 +48,16 @@
 	}
 	for _, part := range []string{"cell gent", "joburg   3 s ago   0", "up to 5 by an operator", "brussel  never     4", "red   out  2     30", "blue  in   1     4"} {
 		if !strings.Contains(out.String(), part) {
-			t.Errorf("no %q in\n%s", part, out.String())
+			t.Errorf("output lacks %q:\n%s", part, out.String())
 		}
 	}
 	if err := View.Print(context.Background(), &out, addresses[:1]); !errors.Is(err, statusclient.ErrNoLeader) {
-		t.Errorf("without a leader: %v", err)
+		t.Errorf("print without a leader: %v", err)
 	}
 	if err := DeclareGone(context.Background(), addresses, "joburg", "an operator"); err != nil || declared != "joburg by an operator" {
-		t.Errorf("%v, declared %q", err, declared)
+		t.Errorf("error %v, declared %q", err, declared)
 	}
 	if err := DeclareGone(context.Background(), addresses[:1], "joburg", "an operator"); err == nil {
-		t.Error("declared to nobody")
+		t.Error("a declaration succeeds without a leader")
 	}
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -1,6 +1,6 @@
 // Package mesh carries protobuf messages between the controllers over TCP.
-// Nothing is promised: where a peer takes nothing the oldest messages are dropped,
-// and what matters is asked again by the core.
+// Delivery is not guaranteed: when a peer does not keep up, the oldest messages
+// are dropped, and the core repeats the requests that matter.
 package mesh
 
 import (
@@ -21,13 +21,14 @@
 	queueLength   = 64
 )
 
-// Mesh sends to the other controllers and receives from them.
+// Mesh sends messages to the other controllers and receives messages from them.
 type Mesh struct {
 	queues  map[string]chan *Envelope
 	receive func(*Envelope)
 }
 
-// New starts to receive on ln, and a sender for every peer (name to address).
+// New starts receiving on ln, and one sending goroutine for each peer. peers maps
+// names to addresses; receive is called with every message, from several goroutines.
 func New(ctx context.Context, ln net.Listener, peers map[string]string, receive func(*Envelope)) *Mesh {
 	m := &Mesh{queues: map[string]chan *Envelope{}, receive: receive}
 	for name, addr := range peers {
@@ -39,9 +40,9 @@
 	return m
 }
 
-// Send queues a message to a peer. When the queue is full the oldest is dropped: a
-// promise, or an answer that a worker waits for, is worth more than what is late
-// already.
+// Send queues a message to a peer; a message to an unknown peer is ignored. When
+// the queue is full, its oldest message is dropped, because a new promise or an
+// answer that a worker waits for matters more than messages that are already late.
 func (m *Mesh) Send(to string, e *Envelope) {
 	queue, known := m.queues[to]
 	for known {
@@ -52,12 +53,13 @@
 		}
 		select {
 		case <-queue:
-			slog.Debug("mesh message dropped", "peer", to)
+			slog.Debug("mesh queue full: oldest message dropped", "peer", to)
 		default:
 		}
 	}
 }
 
+// sendLoop delivers the messages of one peer's queue until ctx is done.
 func sendLoop(ctx context.Context, addr string, queue <-chan *Envelope) {
 	var conn net.Conn
 	for {
@@ -66,14 +68,15 @@
 			return
 		case e := <-queue:
 			if conn = deliver(conn, addr, e); conn == nil {
-				slog.Debug("mesh peer not reached", "addr", addr)
+				slog.Debug("mesh message not sent: peer not reached", "addr", addr)
 			}
 		}
 	}
 }
 
-// deliver writes e on conn, dialling first where there is none; after an error
-// the connection is given up.
+// deliver writes e to conn, or to a new connection if conn is nil. It returns the
+// connection for the next message; after an error it closes the connection and
+// returns nil.
 func deliver(conn net.Conn, addr string, e *Envelope) net.Conn {
 	if conn == nil {
 		c, err := net.DialTimeout("tcp", addr, dialTimeout)
@@ -100,7 +103,7 @@
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
-			slog.Error("mesh accept", "err", err)
+			slog.Error("mesh listener failed to accept a connection", "err", err)
 			time.Sleep(dialTimeout)
 			continue
 		}
@@ -108,6 +111,9 @@
 	}
 }
 
+// readLoop receives messages from a connection until it fails, or sends a frame
+// that is too large or can't be decoded. A frame is a message behind its length
+// as four bytes, big-endian.
 func (m *Mesh) readLoop(conn net.Conn) {
 	defer conn.Close()
 	for {
--- a/wire/size.go
+++ b/wire/size.go
@@ -6,12 +6,12 @@
 	"strconv"
 )
 
-// escapedCharSize is how many characters JSON takes for a character outside ASCII where it is
-// escaped, which it may be.
+// escapedCharSize is the size of a non-ASCII character in JSON where it is escaped, as in \u00e9. The
+// state service may escape it, so it is counted as escaped.
 const escapedCharSize = 6
 
-// Size returns how many characters an encoded value takes as JSON, which is the form that
-// the state service's limits count. A value that can't be decoded counts its bytes.
+// Size returns the number of characters that an encoded value takes as JSON, the form to which
+// the state service's size limits apply. For a value that can't be decoded it returns the number of bytes.
 func Size(raw []byte) int {
 	var value any
 	if decMode.Unmarshal(raw, &value) != nil {
@@ -47,13 +47,13 @@
 		}
 		return size
 	}
-	return 0 // the messages of this package hold nothing else
+	return 0 // the messages of this package contain no other types
 }
 
-// listSize counts the brackets and the commas of a list or a map.
+// listSize returns the size of the brackets and commas of a list or a map.
 func listSize(elements int) int { return len("[]") + max(0, elements-1) }
 
-// jsonFloatSize counts a decimal number, which keeps its point.
+// jsonFloatSize returns the size of a float, which is written with ".0" where it is integral.
 func jsonFloatSize(amount float64) int {
 	size := len(strconv.FormatFloat(amount, 'g', -1, 64))
 	if amount == math.Trunc(amount) {
@@ -62,6 +62,7 @@
 	return size
 }
 
+// jsonStringSize returns the size of a quoted string with every non-ASCII character escaped.
 func jsonStringSize(text string) int {
 	quoted, err := json.Marshal(text)
 	if err != nil {
--- a/wire/submit.go
+++ b/wire/submit.go
@@ -9,18 +9,18 @@
 	"strings"
 )
 
-// MaxTasks is the largest number of tasks of a job.
+// MaxTasks is the largest number of tasks that a job may have.
 const MaxTasks = 100_000
 
 var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,18}$`)
 
-// ValidID reports whether id has the form of a job's id.
+// ValidID reports whether id has the form of a job ID.
 func ValidID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// TaskID names task n of a job.
+// TaskID returns the ID of task n of a job.
 func TaskID(job string, n int) string { return job + "/" + strconv.Itoa(n) }
 
-// SplitTask takes a task's name apart.
+// SplitTask splits a task ID into the job ID and the number of the task.
 func SplitTask(id string) (job string, n int, ok bool) {
 	job, number, found := strings.Cut(id, "/")
 	if !found {
@@ -30,7 +30,7 @@
 	return job, n, err == nil && n >= 0
 }
 
-// submission tells a field that is missing from one that is zero.
+// submission is the encoded form of a Job. Its pointers distinguish a missing field from a zero one.
 type submission struct {
 	ID          *string  `cbor:"uid"`
 	Class       *string  `cbor:"lane"`
@@ -55,10 +55,10 @@
 	Needs       []string `cbor:"waits_on"`
 }
 
-// ParseJob decodes and checks a submission. Where it fails, the id is still
-// returned if it could be read, so that a known job can be recognised. The error is
-// that of Unmarshal where the body can't be decoded, and otherwise joins a *FieldError
-// for each field that is wrong.
+// ParseJob decodes and validates a submission. If it fails, it still returns the job ID
+// where that could be read, so that a known job can be recognised. If the body can't be
+// decoded, the error is that of Unmarshal; otherwise it joins one *FieldError for each
+// missing or invalid field.
 func ParseJob(body []byte) (job Job, id string, err error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
@@ -100,41 +100,43 @@
 	}
 	for _, needed := range s.Needs {
 		p.require("waits_on", ValidID(needed))
-		if !slices.Contains(job.Needs, needed) { // a job named twice is needed once
+		if !slices.Contains(job.Needs, needed) { // duplicates are dropped
 			job.Needs = append(job.Needs, needed)
 		}
 	}
 	return job, id, p.err
 }
 
-// ErrInvalidField is the kind of every *FieldError.
+// ErrInvalidField is wrapped by every *FieldError.
 var ErrInvalidField = errors.New("missing or invalid")
 
-// FieldError tells of a field of a submission that is missing or invalid; it matches
+// FieldError reports a missing or invalid field of a submission. It wraps
 // ErrInvalidField.
 type FieldError struct {
-	Field string // as the protocol spells it: "pieces", "waits_on"
+	Field string // name of the field in the protocol, such as "pieces" or "waits_on"
 }
 
-// Error names the field: "field pieces is missing or invalid".
+// Error returns the message for users, such as "field pieces is missing or invalid".
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s is %v", e.Field, ErrInvalidField) }
 
 // Unwrap returns ErrInvalidField.
 func (e *FieldError) Unwrap() error { return ErrInvalidField }
 
-// parser collects what is wrong with a submission.
+// parser collects the errors of a submission's fields.
 type parser struct{ err error }
 
 func (p *parser) fail(field string) {
 	p.err = errors.Join(p.err, &FieldError{Field: field})
 }
 
+// require records an error for the field unless ok.
 func (p *parser) require(field string, ok bool) {
 	if !ok {
 		p.fail(field)
 	}
 }
 
+// text returns the value of a required string, which must not be empty.
 func (p *parser) text(field string, v *string) string {
 	if v == nil || *v == "" {
 		p.fail(field)
@@ -143,6 +145,7 @@
 	return *v
 }
 
+// nonNegative returns the value of a required number, which must be at least 0 and less than 1e12.
 func (p *parser) nonNegative(field string, v *float64) float64 {
 	if v == nil || !(*v >= 0 && *v < 1e12) {
 		p.fail(field)
@@ -151,6 +154,7 @@
 	return *v
 }
 
+// flag returns the value of a required boolean.
 func (p *parser) flag(field string, v *bool) bool {
 	if v == nil {
 		p.fail(field)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the messages of the protocol and is the only place that
-// knows how they are spelled: paths, field names and values. The rest of the
-// code uses the Go names below.
+// Package wire defines the messages of the protocols with users, workers, the cloud and
+// the state service. It is the only package that contains their outer names: paths, field
+// names and enumeration values. The rest of the code uses the Go names below.
 package wire
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Paths of the interfaces.
+// Paths of the HTTP APIs.
 const (
 	PathJobs     = "/v2/runs"
 	PathAbort    = "/abort"
@@ -26,10 +26,11 @@
 	PathWatch    = "/follow"
 )
 
-// MaxBody is the largest body of a request, and of an answer to workers and users.
+// MaxBody is the largest body, in bytes, of a request, and of an answer to workers and users.
 const MaxBody = 64 << 10
 
-// Values of the protocol's enumerations.
+// Values of the protocol's enumerations: job kinds, job states, task states, reasons why a task ended, operations of
+// commands, and machine states.
 const (
 	KindArray   = "sweep"
 	KindGang    = "ensemble"
@@ -64,7 +65,7 @@
 // Priorities from the highest to the lowest.
 var Priorities = []string{"prod", "high", "standard", "best_effort"}
 
-// Job is a submission that has passed Check.
+// Job is a validated submission, as ParseJob returns it.
 type Job struct {
 	ID          string   `cbor:"uid"`                // job id, "req-" and up to 18 digits; a repeated submission has the same
 	Class       string   `cbor:"lane"`               // class of jobs whose service-level objectives apply
@@ -89,7 +90,7 @@
 	Needs       []string `cbor:"waits_on,omitempty"` // jobs that must be done before any task of this one starts
 }
 
-// JobState answers a user about a job.
+// JobState answers a user's request for the state of a job.
 type JobState struct {
 	ID      string `cbor:"uid"`      // job id
 	State   string `cbor:"standing"` // StateQueued, StateRunning, StateDone or StateCancelled
@@ -99,10 +100,10 @@
 
 // Error is the body of an answer that refuses a request.
 type Error struct {
-	Error string `cbor:"error"` // what is wrong, in words
+	Error string `cbor:"error"` // description of the error
 }
 
-// Task is a task as a worker reports it.
+// Task is the state of a task as reported by a worker.
 type Task struct {
 	ID      string `cbor:"piece"`            // task id: the job's id, "/" and the task's number (TaskID)
 	Attempt uint64 `cbor:"try"`              // attempt of the task, from 1
@@ -111,26 +112,26 @@
 	Saved   bool   `cbor:"stored,omitempty"` // a stopped task saved a checkpoint
 }
 
-// Report is a worker's view of its machine.
+// Report is a worker's report on its machine.
 type Report struct {
 	Machine string   `cbor:"host"`      // machine id
 	Addr    string   `cbor:"addr"`      // address of the worker, host:port
 	Type    string   `cbor:"build"`     // machine type
 	Zone    string   `cbor:"yard"`      // zone
 	Spot    bool     `cbor:"lendable"`  // a spot instance
-	Session uint64   `cbor:"stint"`     // agent epoch: from 1, one more each time the worker's lease expires
-	Seq     uint64   `cbor:"tally"`     // one more with every report and every answer of the worker; the larger (Session, Seq) is newer
+	Session uint64   `cbor:"stint"`     // agent epoch: starts at 1, incremented each time the worker's lease expires
+	Seq     uint64   `cbor:"tally"`     // incremented with every report and every answer of the worker; the message with the larger (Session, Seq) is newer
 	Token   uint64   `cbor:"baton"`     // highest fencing token that the worker has seen
-	NoticeS *float64 `cbor:"warning_s"` // seconds until the cloud takes a spot instance back; nil: no notice
-	Tasks   []Task   `cbor:"pieces"`    // every task on the machine, exited ones too until they are forgotten
+	NoticeS *float64 `cbor:"warning_s"` // seconds until the cloud reclaims the spot instance; nil: no notice
+	Tasks   []Task   `cbor:"pieces"`    // every task on the machine, including exited ones until an OpForget command removes them
 }
 
-// Newer reports whether r was made after the message with session and seq.
+// Newer reports whether r is newer than the message with the given session and seq.
 func (r *Report) Newer(session, seq uint64) bool {
 	return r.Session > session || r.Session == session && r.Seq > seq
 }
 
-// Command tells a worker what to do with one attempt.
+// Command instructs a worker to run, stop or forget one attempt of a task.
 type Command struct {
 	Op      string  `cbor:"verb"`               // OpRun, OpStop or OpForget
 	Task    string  `cbor:"piece"`              // task id
@@ -138,25 +139,25 @@
 	GraceS  float64 `cbor:"leeway_s,omitempty"` // seconds that a stopped task may take to save a checkpoint; 0: it stops at once
 }
 
-// ReportAnswer answers a report that this controller may answer.
+// ReportAnswer is the leader's answer to a report.
 type ReportAnswer struct {
 	Token    uint64    `cbor:"baton"`  // fencing token of the leader
 	Commands []Command `cbor:"orders"` // executed in order
 }
 
-// Redirect sends a worker to the leader, where it is known.
+// Redirect refers a worker to the leader, where the leader is known.
 type Redirect struct {
 	Leader string `cbor:"steward,omitempty"` // member that leads; empty: not known
 }
 
-// Commands is the body of a direct command.
+// Commands is the body of direct commands, which the leader sends to a worker outside of its answers to reports.
 type Commands struct {
 	Token    uint64    `cbor:"baton"`  // fencing token of the leader
 	Session  uint64    `cbor:"stint"`  // agent epoch that the commands are for
 	Commands []Command `cbor:"orders"` // executed in order
 }
 
-// MachineType is what the cloud says of a type.
+// MachineType describes a machine type that the cloud offers.
 type MachineType struct {
 	Name      string   `cbor:"sku"`            // type name
 	CPUs      float64  `cbor:"cores"`          // cores
@@ -170,21 +171,21 @@
 	Zones     []string `cbor:"yards"`          // zones that have the type
 }
 
-// MachineTypes answers the question for the types.
+// MachineTypes is the cloud's list of machine types.
 type MachineTypes struct {
 	Types []MachineType `cbor:"builds"` // every type that the cloud offers
 }
 
-// Rent asks for machines.
+// Rent is a request to the cloud to rent machines.
 type Rent struct {
-	Request string `cbor:"hire"`     // idempotency key: a repeat with the same rents nothing more; never reused
+	Request string `cbor:"hire"`     // idempotency key: a repeated request with the same key rents no further machines; never reused
 	Type    string `cbor:"build"`    // machine type
 	Zone    string `cbor:"yard"`     // zone
 	Spot    bool   `cbor:"lendable"` // spot instances
-	Count   int    `cbor:"how_many"` // machines asked for, at most 50
+	Count   int    `cbor:"how_many"` // number of machines requested, at most 50
 }
 
-// Names lists machines by name.
+// Names lists machines by ID.
 type Names struct {
 	Machines []string `cbor:"hosts"` // machine ids
 }
@@ -197,12 +198,12 @@
 	Zone  string  `cbor:"yard"`     // zone
 	Spot  bool    `cbor:"lendable"` // a spot instance
 	State string  `cbor:"standing"` // MachineBooting, MachineRunning or MachineFailed
-	AgeS  float64 `cbor:"age_s"`    // seconds since it was asked for, at the time that the list describes
+	AgeS  float64 `cbor:"age_s"`    // seconds since the machine was requested, at the time that the list describes
 }
 
 // MachinePage is a page of the cloud's list.
 type MachinePage struct {
-	Machines []Machine `cbor:"hosts"` // in the order of their ids
+	Machines []Machine `cbor:"hosts"` // ordered by machine id
 	More     bool      `cbor:"more"`  // another page follows
 }
 
@@ -218,7 +219,7 @@
 type Page struct {
 	Items    []Item `cbor:"pairs"`  // in key order
 	More     bool   `cbor:"more"`   // another page follows
-	Revision uint64 `cbor:"ledger"` // revision of the store when it was read
+	Revision uint64 `cbor:"ledger"` // revision of the store at the time of the read
 }
 
 // Cond requires a version of a key; 0: the key does not exist.
@@ -227,7 +228,7 @@
 	Version uint64 `cbor:"stamp"` // revision of its last change that is required; 0: the key must not exist
 }
 
-// Change sets or drops a key.
+// Change sets or deletes a key.
 type Change struct {
 	Put    string          `cbor:"set,omitempty"`    // key to set; empty where Delete is set
 	Value  cbor.RawMessage `cbor:"data,omitempty"`   // value to set
@@ -245,20 +246,20 @@
 type TxnAnswer struct {
 	Revision uint64   `cbor:"ledger"`           // revision after the transaction, or of the store where it failed
 	Failed   []string `cbor:"failed,omitempty"` // keys whose conditions failed
-	Error    string   `cbor:"error,omitempty"`  // why it was refused, as "no such lease"
+	Error    string   `cbor:"error,omitempty"`  // why the transaction was refused, such as "no such lease"
 }
 
-// LeaseAsk asks for a lease.
+// LeaseAsk is a request to grant a lease.
 type LeaseAsk struct {
 	TTLms int64 `cbor:"life_ms"` // time to live of the lease, in milliseconds, 100 to 600,000
 }
 
-// LeaseAnswer names a lease.
+// LeaseAnswer answers a LeaseAsk with the new lease.
 type LeaseAnswer struct {
 	Lease uint64 `cbor:"tenure"` // lease id
 }
 
-// Event is one change that a watch tells of.
+// Event is one change delivered by a watch.
 type Event struct {
 	Put     string          `cbor:"set,omitempty"`  // key that was set
 	Delete  string          `cbor:"drop,omitempty"` // key that was deleted
@@ -266,9 +267,9 @@
 	Version uint64          `cbor:"stamp"`          // revision of the change
 }
 
-// Watch answers a watch.
+// Watch answers a watch request.
 type Watch struct {
-	Revision uint64  `cbor:"ledger"` // revision up to which changes are told
+	Revision uint64  `cbor:"ledger"` // revision up to which the changes are complete
 	Events   []Event `cbor:"news"`   // changes in the order of their revisions
 }
 
@@ -290,8 +291,8 @@
 // Marshal encodes a message. The types of this module always encode.
 func Marshal(v any) []byte { return must(encMode.Marshal(v)) }
 
-// Unmarshal decodes a message; fields that it does not know are ignored. Its error names the Go
-// type and wraps that of the decoder.
+// Unmarshal decodes a message; unknown fields are ignored. The error names the Go
+// type and wraps the decoder's error.
 func Unmarshal(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("decode %T: %w", v, err)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// sampleSubmission returns a valid submission in its encoded form, with one unknown field.
 func sampleSubmission() map[string]any {
 	return map[string]any{
 		"uid": "req-000412", "lane": "train", "crew": "vision", "shape": "sweep", "urgency": "high", "pieces": 16,
@@ -19,12 +20,12 @@
 func TestParseJobAccepts(t *testing.T) {
 	job, id, err := ParseJob(Marshal(sampleSubmission()))
 	if err != nil || id != "req-000412" || job.GPUs != 1 || job.Zone != "" || job.Types[0] != "g8" || job.DeadlineS != nil {
-		t.Fatalf("%+v %q %v", job, id, err)
+		t.Fatalf("job %+v, id %q, error %v", job, id, err)
 	}
 }
 
-// TestParseJobRefuses also checks that the id is still told where it can be
-// read: a known job must not get 400.
+// An invalid submission is refused, and its job ID is still returned where it can be read: without the ID, a
+// resubmission of a known job would be answered with 400.
 func TestParseJobRefuses(t *testing.T) {
 	for name, v := range map[string]any{
 		"uid": "job-1", "shape": "spiral", "urgency": "urgent", "pieces": 0, "cores": -1.0, "ram_gb": "much",
@@ -63,7 +64,7 @@
 	}
 }
 
-// A submission may name the jobs that it needs; what is not a list of ids is refused.
+// A submission may list the jobs that it depends on, by ID; anything else in that field is refused.
 func TestParseJobNeeds(t *testing.T) {
 	withNeeds := func(v any) map[string]any {
 		m := maps.Clone(sampleSubmission())
@@ -72,12 +73,12 @@
 	}
 	for _, none := range []any{nil, []string{}} {
 		if job, _, err := ParseJob(Marshal(withNeeds(none))); err != nil || len(job.Needs) != 0 {
-			t.Errorf("%v: %+v %v", none, job.Needs, err)
+			t.Errorf("%v: needs %+v, error %v", none, job.Needs, err)
 		}
 	}
 	job, _, err := ParseJob(Marshal(withNeeds([]string{"req-2", "req-1", "req-2"})))
 	if err != nil || len(job.Needs) != 2 || job.Needs[0] != "req-2" || job.Needs[1] != "req-1" {
-		t.Errorf("%+v %v", job.Needs, err)
+		t.Errorf("needs %+v, error %v", job.Needs, err)
 	}
 	for _, bad := range []any{"req-1", 7, []any{1}, []string{"job-1"}, []string{"req-1", ""}, []any{nil}, map[string]any{"req-1": 1}} {
 		if _, id, err := ParseJob(Marshal(withNeeds(bad))); err == nil || id != "req-000412" {
@@ -86,7 +87,8 @@
 	}
 }
 
-// The limits of the state service count the JSON form, which is longer than what is sent.
+// Size counts the characters of the JSON form, to which the state service's limits apply. It is longer than the encoding
+// that is sent.
 func TestSizeCountsTheJSONForm(t *testing.T) {
 	for want, value := range map[string]any{
 		`{"uid":"req-000412","waits_on":["req-000398","req-000405"]}`: map[string]any{"uid": "req-000412", "waits_on": []string{"req-000398", "req-000405"}},
@@ -96,26 +98,26 @@
 	} {
 		raw := Marshal(value)
 		if got := Size(raw); got != len(want) {
-			t.Errorf("%s counts %d, want %d", want, got, len(want))
+			t.Errorf("size of %s is %d, want %d", want, got, len(want))
 		}
 		if len(raw) >= len(want) {
-			t.Errorf("%s takes %d bytes", want, len(raw))
+			t.Errorf("%s is encoded in %d bytes, want fewer than its JSON form has", want, len(raw))
 		}
 	}
 }
 
-// Each wrong field of a submission is a *FieldError that names it as the protocol spells it.
+// Each invalid field of a submission yields a *FieldError with the name that the field has in the protocol.
 func TestParseJobNamesWrongFields(t *testing.T) {
 	bad := maps.Clone(sampleSubmission())
 	bad["shape"], bad["pieces"] = "spiral", 0
 	_, _, err := ParseJob(Marshal(bad))
 	var wrong *FieldError
 	if !errors.As(err, &wrong) || !errors.Is(err, ErrInvalidField) {
-		t.Fatalf("%T %v", err, err)
+		t.Fatalf("error of type %T: %v", err, err)
 	}
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
-		t.Fatalf("%T joins nothing", err)
+		t.Fatalf("error of type %T is not a joined error", err)
 	}
 	var named []string
 	for _, each := range joined.Unwrap() {
@@ -124,9 +126,9 @@
 		}
 	}
 	if !slices.Equal(named, []string{"pieces", "shape"}) || err.Error() != "field pieces is missing or invalid\nfield shape is missing or invalid" {
-		t.Errorf("names %v: %q", named, err.Error())
+		t.Errorf("named fields %v, message %q", named, err.Error())
 	}
 	if _, _, err := ParseJob([]byte("not cbor")); err == nil || errors.Is(err, ErrInvalidField) {
-		t.Errorf("a body that can't be decoded: %v", err)
+		t.Errorf("error for a body that can't be decoded: %v", err)
 	}
 }
