--- a/celllink/client.go
+++ b/celllink/client.go
@@ -72,7 +72,7 @@
 	return append([]string(nil), c.peers[cell]...)
 }
 
-// prefer moves the address that answered, at index i, to the front for the next calls.
+// prefer swaps the address at index i, which has answered, with the first, so that the next call tries it first.
 func (c *Client) prefer(cell cells.Cell, i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -78,8 +78,8 @@
 	return cells.Message{}, false
 }
 
-// finished reports whether a job with this ID is known to have ended here. The answer may be incomplete, since
-// not every final record is in memory: the write of an acceptance is conditional on there being none.
+// finished reports whether an own job with this ID is known to have ended. Not every final record is in memory, so
+// the write of an acceptance is also conditional on there being no final record.
 func (s *cellSide) finished(id string) bool {
 	_, found := s.c.finals.jobs[id]
 	return found
@@ -190,7 +190,7 @@
 	if s.rewriteHeader(m.Job, h, conds, extraChanges) {
 		s.pendingAcceptances[m.Job] = pendingAcceptance{home: m.From, epoch: m.Epoch, size: s.size(m.Spec), outcomeUnknown: s.pendingAcceptances[m.Job].outcomeUnknown}
 	}
-	s.rereadFence(key) // the fence remains if the acceptance is not written
+	s.rereadFence(key) // a fence is still recorded if the acceptance is not written
 }
 
 func (s *cellSide) fenceVersion(key string) uint64 {
@@ -301,21 +301,21 @@
 			s.rewriteHeader(id, withHolder(*h, next), nil, nil)
 		}
 	}
-	var below []string
+	var droppableFences []string
 	for _, key := range slices.Sorted(maps.Keys(s.fences)) {
 		f := s.fences[key]
-		if !f.versionUnknown && f.record.Home == home && f.record.Droppable(epoch) && len(below) < s.c.cfg.Facts.State.Tightest().TxnOps-1 {
-			below = append(below, key)
+		if !f.versionUnknown && f.record.Home == home && f.record.Droppable(epoch) && len(droppableFences) < s.c.cfg.Facts.State.Tightest().TxnOps-1 {
+			droppableFences = append(droppableFences, key)
 		}
 	}
-	if floor := s.floor(home); !floor.writeInFlight && epoch > floor.epoch && len(below) > 0 {
-		s.writeFloor(home, floor, epoch, below)
+	if floor := s.floor(home); !floor.writeInFlight && epoch > floor.epoch && len(droppableFences) > 0 {
+		s.writeFloor(home, floor, epoch, droppableFences)
 	}
 }
 
 // writeFloor records a floor and removes the given fences, which it makes redundant.
-func (s *cellSide) writeFloor(home cells.Cell, floor *cachedFloor, epoch cells.Epoch, below []string) {
-	changes := 1 + len(below)
+func (s *cellSide) writeFloor(home cells.Cell, floor *cachedFloor, epoch cells.Epoch, droppableFences []string) {
+	changes := 1 + len(droppableFences)
 	if !s.budget.allows(s.c.now, changes, false) {
 		return
 	}
@@ -323,7 +323,7 @@
 	floor.writeInFlight = true
 	key := floorKey(home)
 	txn := wire.Txn{If: []wire.Cond{s.leadershipCondition(), {Key: key, Version: floor.version}}, Then: []wire.Change{put(key, epochRecord{epoch})}}
-	for _, fence := range below {
+	for _, fence := range droppableFences {
 		txn.If = append(txn.If, wire.Cond{Key: fence, Version: s.fences[fence].version})
 		txn.Then = append(txn.Then, wire.Change{Delete: fence})
 		s.fences[fence].versionUnknown = true
@@ -334,13 +334,13 @@
 		}
 		if r.Status == http.StatusOK {
 			*floor = cachedFloor{epoch: epoch, version: r.Txn.Revision}
-			for _, fence := range below {
+			for _, fence := range droppableFences {
 				delete(s.fences, fence)
 			}
 			return
 		}
 		s.rereadFloor(home, floor)
-		for _, fence := range below {
+		for _, fence := range droppableFences {
 			s.rereadFence(fence)
 		}
 	})
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -17,9 +17,9 @@
 // returnCooldown is how long a returned job stays at home, so that two full cells do not pass it back and forth.
 const returnCooldown = 2 * time.Minute
 
-// canSpill reports whether a job may be granted to another cell at all. It must be an array without dependencies,
-// dependents or a required zone, none of whose tasks has run, is in force or has a placement on record or in flight.
-// Its chunks must fit into the conditions of one transaction.
+// canSpill reports whether a job may be granted to another cell at all. It must be an own array that is neither
+// granted nor cancelled, without dependencies, dependents or a required zone. None of its tasks may have run, be in
+// force, or have a placement on record or in flight, and its chunks must fit into the conditions of one transaction.
 func (s *cellSide) canSpill(j *job) bool {
 	return j.spec.Kind == wire.KindArray && j.origin == nil && j.grant == nil && !j.cancelled && !j.begun &&
 		len(j.attempts) == 0 && j.write == nil && !j.dirty && j.state.Count(reduction.Pending) == j.spec.Tasks &&
@@ -28,8 +28,8 @@
 }
 
 // spill grants the longest waiting job that fits into the available cores of another cell. A job is granted as a
-// whole and counts against its team's limit as if it ran here, so the limit must allow that. It
-// grants one job at a time, because the next epoch is known only once this one is written.
+// whole and counts against its team's limit as if it ran here, so the limit must allow that. Only one job is
+// granted at a time, because the next epoch is known only once this one is written.
 func (s *cellSide) spill() {
 	for _, transfer := range cells.Plan(s.spillCandidates(), s.peerCapacity()) {
 		j, link := s.jobs[transfer.Job], s.links[transfer.To]
@@ -62,13 +62,13 @@
 
 // peerCapacity returns the available cores of each cell that answered the last call to it, and did so recently.
 func (s *cellSide) peerCapacity() map[cells.Cell]float64 {
-	room := map[cells.Cell]float64{}
+	capacity := map[cells.Cell]float64{}
 	for name, link := range s.links {
 		if link.failures == 0 && !link.lastReplyAt.IsZero() && s.c.now.Sub(link.lastReplyAt) <= cellReplyMaxAge {
-			room[name] = link.availableCores
+			capacity[name] = link.availableCores
 		}
 	}
-	return room
+	return capacity
 }
 
 // grant records that another cell may run a job. The job is offered to that cell once the grant is recorded.
@@ -95,8 +95,8 @@
 	return true
 }
 
-// granted handles a change of a job's grant. Attempts that were planned here meanwhile were never sent, because
-// their write fails on the header's version; they are dropped.
+// granted handles a change of a job's grant. Attempts that were planned here meanwhile are stopped; they were never
+// sent, because their write fails on the header's version.
 func (l *leader) granted(j *job, grant *grantRecord) {
 	j.grant = grant
 	l.guaranteesAt = time.Time{}
--- a/controller/cell_links.go
+++ b/controller/cell_links.go
@@ -22,7 +22,7 @@
 // Intervals and limits of the calls between cells.
 const (
 	cellReconcileInterval = 500 * time.Millisecond
-	cellCallInterval      = 2 * time.Second  // between calls to a cell, each of which repeats the messages of all open grants
+	cellCallInterval      = 2 * time.Second  // between calls to a cell, which repeat the messages of open grants
 	cellMaxBackoff        = 30 * time.Second // longest backoff after failed calls
 	cellReplyMaxAge       = 10 * time.Second // a cell that last answered longer ago is granted nothing
 	maxCellMessages       = 100              // in one call
--- a/controller/cell_status.go
+++ b/controller/cell_status.go
@@ -24,7 +24,7 @@
 
 // linkStatus describes the link to every other cell, ordered by name.
 func (s *cellSide) linkStatus() []cells.LinkStatus {
-	var all []cells.LinkStatus
+	var links []cells.LinkStatus
 	open := s.openGrants()
 	for _, name := range slices.Sorted(maps.Keys(s.links)) {
 		link := s.links[name]
@@ -43,9 +43,9 @@
 		if declaration, declared := s.c.control.gone[name]; declared {
 			status.GoneEpoch, status.GoneBy = declaration.Epoch, declaration.By
 		}
-		all = append(all, status)
+		links = append(links, status)
 	}
-	return all
+	return links
 }
 
 // transferDirection says whether jobs were granted to other cells or are held for them.
@@ -71,9 +71,9 @@
 		t.Jobs++
 		t.Tasks += j.spec.Tasks
 	}
-	var all []cells.TeamStatus
+	var teams []cells.TeamStatus
 	for _, team := range slices.Sorted(maps.Keys(byTeam)) {
-		all = append(all, *byTeam[team])
+		teams = append(teams, *byTeam[team])
 	}
-	return all
+	return teams
 }
--- a/controller/cells_test.go
+++ b/controller/cells_test.go
@@ -128,7 +128,7 @@
 
 // A holder refuses an offer of a job whose ID it knows, whose team it doesn't know, that is larger than the cores it
 // lends, or that is not an array. Its answer contains no status before the decision is recorded.
-func TestHolderRefusesOffer(t *testing.T) {
+func TestHolderAcceptsOnlyFittingOffers(t *testing.T) {
 	for name, test := range map[string]struct {
 		change       func(c *Core, spec *wire.Job)
 		wantAccepted bool
