--- a/celllink/convert.go
+++ b/celllink/convert.go
@@ -1,5 +1,6 @@
-// Package celllink carries messages between cells: protobuf over HTTP, one call at a time for each
-// cell, with an end to every wait. Nothing is promised; what matters is asked for again by the core.
+// Package celllink carries messages between cells as protobuf over HTTP, with one call at a time for each
+// cell and a timeout on every call. Delivery is not guaranteed: the core repeats its messages until they are
+// answered.
 package celllink
 
 import (
@@ -10,8 +11,8 @@
 	"pumicefront/wire"
 )
 
-// encode spells messages as they go over the wire.
-func encode(messages []controller.CellMessage) []*Message {
+// encodeMessages converts messages to their protobuf form.
+func encodeMessages(messages []controller.CellMessage) []*Message {
 	var all []*Message
 	for _, m := range messages {
 		p := &Message{Kind: Kind(m.Kind), Job: m.Job, Epoch: uint64(m.Epoch), Cancel: m.Cancel, State: State(m.State), Result: Result(m.Result)}
@@ -23,8 +24,9 @@
 	return all
 }
 
-// decode reads messages that came from a cell. The team is the one that the job's description names.
-func decode(messages []*Message, from, to cells.Cell) ([]controller.CellMessage, error) {
+// decodeMessages converts protobuf messages that the cell from has sent to the cell to. The team of a message is taken
+// from the job that it carries, if any.
+func decodeMessages(messages []*Message, from, to cells.Cell) ([]controller.CellMessage, error) {
 	var all []controller.CellMessage
 	for _, p := range messages {
 		m := controller.CellMessage{Message: cells.Message{Kind: cells.Kind(p.Kind), From: from, To: to, Job: p.Job,
--- a/cellview/cellview.go
+++ b/cellview/cellview.go
@@ -1,4 +1,4 @@
-// Package cellview shows operators the links between cells, and tells a cell of their decisions.
+// Package cellview shows operators the links between cells, and sends their declarations of gone cells to a cell.
 package cellview
 
 import (
@@ -15,7 +15,7 @@
 	"pumicefront/statusview"
 )
 
-// View shows a cell's links.
+// View shows the links of a cell to the other cells.
 var View = statusview.View[cells.Status]{Path: cells.StatusPath, Render: Render}
 
 // Render writes a status as lines of text.
@@ -25,7 +25,7 @@
 	table := tabwriter.NewWriter(&out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CELL\tANSWERED\tFAILURES\tROOM\tGRANTED\tOLDEST EPOCH\tDECLARED GONE")
 	for _, l := range s.Links {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%.0f\t%d\t%d\t%s\n", l.Cell, answeredText(l.AnsweredS), l.Failures, l.Room, l.Granted, l.OldestEpoch, goneText(l))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%.0f\t%d\t%d\t%s\n", l.Cell, lastReplyText(l.AnsweredS), l.Failures, l.Room, l.Granted, l.OldestEpoch, declaredGoneText(l))
 	}
 	fmt.Fprintln(table, "\nTEAM\tWAY\tJOBS\tTASKS")
 	for _, t := range s.Out {
@@ -40,22 +40,22 @@
 	return out.String()
 }
 
-func answeredText(ago float64) string {
+func lastReplyText(ago float64) string {
 	if ago < 0 {
 		return "never"
 	}
 	return fmt.Sprintf("%.0f s ago", ago)
 }
 
-func goneText(l cells.LinkStatus) string {
+func declaredGoneText(l cells.LinkStatus) string {
 	if l.GoneBy == "" {
 		return "-"
 	}
 	return fmt.Sprintf("up to %d by %s", l.GoneEpoch, l.GoneBy)
 }
 
-// DeclareGone tells a home that another cell has ended all that it was granted, and who vouches
-// for that. The controllers are asked in turn until the one that leads has recorded it.
+// DeclareGone declares to a home that another cell has ended every job granted to it, on the assertion of the operator
+// named by. The home's controllers are called in turn until the leader has recorded the declaration.
 func DeclareGone(ctx context.Context, addresses []string, cell, by string) error {
 	query := url.Values{"cell": {cell}, "by": {by}}.Encode()
 	var failures []error
--- a/cellview/cellview_test.go
+++ b/cellview/cellview_test.go
@@ -14,8 +14,9 @@
 	"pumicefront/statusclient"
 )
 
-// controller stands in for one: it answers with a status, and takes declarations only if it leads.
-func controller(t *testing.T, s cells.Status, declared *string) string {
+// startController starts an HTTP server in place of a controller and returns its address. It answers with the status s,
+// and accepts declarations, into declared, only if s says that it leads.
+func startController(t *testing.T, s cells.Status, declared *string) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+cells.StatusPath, func(w http.ResponseWriter, _ *http.Request) {
 		if err := json.NewEncoder(w).Encode(s); err != nil {
@@ -39,24 +40,24 @@
 	leader := cells.Status{Member: "n1", Leading: true, Cell: "gent", Ready: true, Lends: 40,
 		Links: []cells.LinkStatus{{Cell: "joburg", AnsweredS: 3, Granted: 2, OldestEpoch: 7, GoneEpoch: 5, GoneBy: "an operator"}, {Cell: "brussel", AnsweredS: -1, Failures: 4}},
 		Out:   []cells.TeamStatus{{Team: "red", Jobs: 2, Tasks: 30}}, In: []cells.TeamStatus{{Team: "blue", Jobs: 1, Tasks: 4}}}
-	follower := controller(t, cells.Status{Member: "n0", Leader: "n1"}, nil)
-	addresses := []string{follower, controller(t, leader, &declared)}
+	follower := startController(t, cells.Status{Member: "n0", Leader: "n1"}, nil)
+	addresses := []string{follower, startController(t, leader, &declared)}
 	var out bytes.Buffer
 	if err := View.Print(context.Background(), &out, addresses); err != nil {
 		t.Fatal(err)
 	}
 	for _, part := range []string{"cell gent", "joburg   3 s ago   0", "up to 5 by an operator", "brussel  never     4", "red   out  2     30", "blue  in   1     4"} {
 		if !strings.Contains(out.String(), part) {
-			t.Errorf("no %q in\n%s", part, out.String())
+			t.Errorf("output lacks %q:\n%s", part, out.String())
 		}
 	}
 	if err := View.Print(context.Background(), &out, addresses[:1]); !errors.Is(err, statusclient.ErrNoLeader) {
-		t.Errorf("without a leader: %v", err)
+		t.Errorf("print without a leader: %v", err)
 	}
 	if err := DeclareGone(context.Background(), addresses, "joburg", "an operator"); err != nil || declared != "joburg by an operator" {
-		t.Errorf("%v, declared %q", err, declared)
+		t.Errorf("error %v, declared %q", err, declared)
 	}
 	if err := DeclareGone(context.Background(), addresses[:1], "joburg", "an operator"); err == nil {
-		t.Error("declared to nobody")
+		t.Error("a declaration succeeds without a leader")
 	}
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -1,6 +1,6 @@
 // Package mesh carries protobuf messages between the controllers over TCP.
-// Nothing is promised: where a peer takes nothing the oldest messages are dropped,
-// and what matters is asked again by the core.
+// Delivery is not guaranteed: when a peer does not keep up, the oldest messages
+// are dropped, and the core repeats the requests that matter.
 package mesh
 
 import (
@@ -15,65 +15,68 @@
 )
 
 const (
-	maxFrame    = 1 << 20
-	dialTimeout = time.Second
-	sendTimeout = time.Second
-	queueLen    = 64
+	maxFrameBytes = 1 << 20
+	dialTimeout   = time.Second
+	sendTimeout   = time.Second
+	queueLength   = 64
 )
 
-// Mesh sends to the other controllers and receives from them.
+// Mesh sends messages to the other controllers and receives messages from them.
 type Mesh struct {
 	queues  map[string]chan *Envelope
 	receive func(*Envelope)
 }
 
-// New starts to receive on ln, and a sender for every peer (name to address).
+// New starts receiving on ln, and one sending goroutine for each peer. peers maps
+// names to addresses; receive is called with every message, from several goroutines.
 func New(ctx context.Context, ln net.Listener, peers map[string]string, receive func(*Envelope)) *Mesh {
 	m := &Mesh{queues: map[string]chan *Envelope{}, receive: receive}
-	for name, peer := range peers {
-		q := make(chan *Envelope, queueLen)
-		m.queues[name] = q
-		go sender(ctx, peer, q)
+	for name, addr := range peers {
+		queue := make(chan *Envelope, queueLength)
+		m.queues[name] = queue
+		go sendLoop(ctx, addr, queue)
 	}
-	go m.accept(ln)
+	go m.acceptLoop(ln)
 	return m
 }
 
-// Send queues a message to a peer. When the queue is full the oldest is dropped: a
-// promise, or an answer that a worker waits for, is worth more than what is late
-// already.
+// Send queues a message to a peer; a message to an unknown peer is ignored. When
+// the queue is full, its oldest message is dropped, because a new promise or an
+// answer that a worker waits for matters more than messages that are already late.
 func (m *Mesh) Send(to string, e *Envelope) {
-	q, known := m.queues[to]
+	queue, known := m.queues[to]
 	for known {
 		select {
-		case q <- e:
+		case queue <- e:
 			return
 		default:
 		}
 		select {
-		case <-q:
-			slog.Debug("mesh message dropped", "peer", to)
+		case <-queue:
+			slog.Debug("mesh queue full: oldest message dropped", "peer", to)
 		default:
 		}
 	}
 }
 
-func sender(ctx context.Context, addr string, q <-chan *Envelope) {
+// sendLoop delivers the messages of one peer's queue until ctx is done.
+func sendLoop(ctx context.Context, addr string, queue <-chan *Envelope) {
 	var conn net.Conn
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-q:
+		case e := <-queue:
 			if conn = deliver(conn, addr, e); conn == nil {
-				slog.Debug("mesh peer not reached", "addr", addr)
+				slog.Debug("mesh message not sent: peer not reached", "addr", addr)
 			}
 		}
 	}
 }
 
-// deliver writes e on conn, dialling first where there is none; after an error
-// the connection is given up.
+// deliver writes e to conn, or to a new connection if conn is nil. It returns the
+// connection for the next message; after an error it closes the connection and
+// returns nil.
 func deliver(conn net.Conn, addr string, e *Envelope) net.Conn {
 	if conn == nil {
 		c, err := net.DialTimeout("tcp", addr, dialTimeout)
@@ -96,19 +99,22 @@
 	return nil
 }
 
-func (m *Mesh) accept(ln net.Listener) {
+func (m *Mesh) acceptLoop(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
-			slog.Error("mesh accept", "err", err)
+			slog.Error("mesh listener failed to accept a connection", "err", err)
 			time.Sleep(dialTimeout)
 			continue
 		}
-		go m.read(conn)
+		go m.readLoop(conn)
 	}
 }
 
-func (m *Mesh) read(conn net.Conn) {
+// readLoop receives messages from a connection until it fails, or sends a frame
+// that is too large or can't be decoded. A frame is a message behind its length
+// as four bytes, big-endian.
+func (m *Mesh) readLoop(conn net.Conn) {
 	defer conn.Close()
 	for {
 		var head [4]byte
@@ -116,7 +122,7 @@
 			return
 		}
 		size := binary.BigEndian.Uint32(head[:])
-		if size > maxFrame {
+		if size > maxFrameBytes {
 			return
 		}
 		body := make([]byte, size)
--- a/wire/size.go
+++ b/wire/size.go
@@ -6,12 +6,12 @@
 	"strconv"
 )
 
-// asciiEscape is how many characters JSON takes for a character outside ASCII where it is
-// escaped, which it may be.
-const asciiEscape = 6
+// escapedCharSize is the size of a non-ASCII character in JSON where it is escaped, as in \u00e9. The
+// state service may escape it, so it is counted as escaped.
+const escapedCharSize = 6
 
-// Size returns how many characters an encoded value takes as JSON, which is the form that
-// the state service's limits count. A value that can't be decoded counts its bytes.
+// Size returns the number of characters that an encoded value takes as JSON, the form to which
+// the state service's size limits apply. For a value that can't be decoded it returns the number of bytes.
 func Size(raw []byte) int {
 	var value any
 	if decMode.Unmarshal(raw, &value) != nil {
@@ -27,13 +27,13 @@
 	case bool:
 		return len(strconv.FormatBool(v))
 	case string:
-		return jsonTextSize(v)
+		return jsonStringSize(v)
 	case uint64:
 		return len(strconv.FormatUint(v, 10))
 	case int64:
 		return len(strconv.FormatInt(v, 10))
 	case float64:
-		return jsonAmountSize(v)
+		return jsonFloatSize(v)
 	case []any:
 		size := listSize(len(v))
 		for _, element := range v {
@@ -47,14 +47,14 @@
 		}
 		return size
 	}
-	return 0 // the messages of this package hold nothing else
+	return 0 // the messages of this package contain no other types
 }
 
-// listSize counts the brackets and the commas of a list or a map.
+// listSize returns the size of the brackets and commas of a list or a map.
 func listSize(elements int) int { return len("[]") + max(0, elements-1) }
 
-// jsonAmountSize counts a decimal number, which keeps its point.
-func jsonAmountSize(amount float64) int {
+// jsonFloatSize returns the size of a float, which is written with ".0" where it is integral.
+func jsonFloatSize(amount float64) int {
 	size := len(strconv.FormatFloat(amount, 'g', -1, 64))
 	if amount == math.Trunc(amount) {
 		size += len(".0")
@@ -62,17 +62,18 @@
 	return size
 }
 
-func jsonTextSize(text string) int {
+// jsonStringSize returns the size of a quoted string with every non-ASCII character escaped.
+func jsonStringSize(text string) int {
 	quoted, err := json.Marshal(text)
 	if err != nil {
-		return asciiEscape * len(text)
+		return escapedCharSize * len(text)
 	}
 	size := 0
 	for _, r := range string(quoted) {
 		if r < 0x80 {
 			size++
 		} else {
-			size += asciiEscape
+			size += escapedCharSize
 		}
 	}
 	return size
--- a/wire/submit.go
+++ b/wire/submit.go
@@ -9,28 +9,28 @@
 	"strings"
 )
 
-// MaxTasks is the largest number of tasks of a job.
+// MaxTasks is the largest number of tasks that a job may have.
 const MaxTasks = 100_000
 
-var idForm = regexp.MustCompile(`^req-[0-9]{1,18}$`)
+var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,18}$`)
 
-// ValidID reports whether id has the form of a job's id.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+// ValidID reports whether id has the form of a job ID.
+func ValidID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// TaskID names task n of a job.
+// TaskID returns the ID of task n of a job.
 func TaskID(job string, n int) string { return job + "/" + strconv.Itoa(n) }
 
-// SplitTask takes a task's name apart.
+// SplitTask splits a task ID into the job ID and the number of the task.
 func SplitTask(id string) (job string, n int, ok bool) {
-	job, num, found := strings.Cut(id, "/")
+	job, number, found := strings.Cut(id, "/")
 	if !found {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(num)
+	n, err := strconv.Atoi(number)
 	return job, n, err == nil && n >= 0
 }
 
-// submission tells a field that is missing from one that is zero.
+// submission is the encoded form of a Job. Its pointers distinguish a missing field from a zero one.
 type submission struct {
 	ID          *string  `cbor:"uid"`
 	Class       *string  `cbor:"lane"`
@@ -55,18 +55,18 @@
 	Needs       []string `cbor:"waits_on"`
 }
 
-// ParseJob decodes and checks a submission. Where it fails, the id is still
-// returned if it could be read, so that a known job can be recognised. The error is
-// that of Unmarshal where the body can't be decoded, and otherwise joins a *FieldError
-// for each field that is wrong.
+// ParseJob decodes and validates a submission. If it fails, it still returns the job ID
+// where that could be read, so that a known job can be recognised. If the body can't be
+// decoded, the error is that of Unmarshal; otherwise it joins one *FieldError for each
+// missing or invalid field.
 func ParseJob(body []byte) (job Job, id string, err error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
-		var only struct {
+		var idOnly struct {
 			ID string `cbor:"uid"`
 		}
-		if Unmarshal(body, &only) == nil && ValidID(only.ID) {
-			id = only.ID
+		if Unmarshal(body, &idOnly) == nil && ValidID(idOnly.ID) {
+			id = idOnly.ID
 		}
 		return Job{}, id, err
 	}
@@ -77,11 +77,11 @@
 	job = Job{
 		ID: p.text("uid", s.ID), Class: p.text("lane", s.Class), Team: p.text("crew", s.Team),
 		Kind: p.text("shape", s.Kind), Priority: p.text("urgency", s.Priority),
-		CPUs: p.amount("cores", s.CPUs), GPUs: p.amount("gpus", s.GPUs), MemoryGB: p.amount("ram_gb", s.MemoryGB),
-		Image: p.text("bundle", s.Image), ImageGB: p.amount("size_gb", s.ImageGB),
+		CPUs: p.nonNegative("cores", s.CPUs), GPUs: p.nonNegative("gpus", s.GPUs), MemoryGB: p.nonNegative("ram_gb", s.MemoryGB),
+		Image: p.text("bundle", s.Image), ImageGB: p.nonNegative("size_gb", s.ImageGB),
 		Types: s.Types, OneZone: p.flag("one_zone", s.OneZone), Spread: p.flag("scatter", s.Spread),
-		Spot: p.flag("lendable", s.Spot), EstimateS: p.amount("reckon_s", s.EstimateS),
-		CheckpointS: p.amount("mark_s", s.CheckpointS), SaveS: p.amount("stash_s", s.SaveS), DeadlineS: s.DeadlineS,
+		Spot: p.flag("lendable", s.Spot), EstimateS: p.nonNegative("reckon_s", s.EstimateS),
+		CheckpointS: p.nonNegative("mark_s", s.CheckpointS), SaveS: p.nonNegative("stash_s", s.SaveS), DeadlineS: s.DeadlineS,
 	}
 	if s.Zone != nil {
 		job.Zone = *s.Zone
@@ -96,45 +96,47 @@
 	p.require("urgency", slices.Contains(Priorities, job.Priority))
 	p.require("cores", job.CPUs > 0 || job.GPUs > 0 || job.MemoryGB > 0)
 	if s.DeadlineS != nil {
-		p.amount("due_s", s.DeadlineS)
+		p.nonNegative("due_s", s.DeadlineS)
 	}
-	for _, id := range s.Needs {
-		p.require("waits_on", ValidID(id))
-		if !slices.Contains(job.Needs, id) { // a job named twice is needed once
-			job.Needs = append(job.Needs, id)
+	for _, needed := range s.Needs {
+		p.require("waits_on", ValidID(needed))
+		if !slices.Contains(job.Needs, needed) { // duplicates are dropped
+			job.Needs = append(job.Needs, needed)
 		}
 	}
 	return job, id, p.err
 }
 
-// ErrInvalidField is the kind of every *FieldError.
+// ErrInvalidField is wrapped by every *FieldError.
 var ErrInvalidField = errors.New("missing or invalid")
 
-// FieldError tells of a field of a submission that is missing or invalid; it matches
+// FieldError reports a missing or invalid field of a submission. It wraps
 // ErrInvalidField.
 type FieldError struct {
-	Field string // as the protocol spells it: "pieces", "waits_on"
+	Field string // name of the field in the protocol, such as "pieces" or "waits_on"
 }
 
-// Error names the field: "field pieces is missing or invalid".
+// Error returns the message for users, such as "field pieces is missing or invalid".
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s is %v", e.Field, ErrInvalidField) }
 
 // Unwrap returns ErrInvalidField.
 func (e *FieldError) Unwrap() error { return ErrInvalidField }
 
-// parser collects what is wrong with a submission.
+// parser collects the errors of a submission's fields.
 type parser struct{ err error }
 
 func (p *parser) fail(field string) {
 	p.err = errors.Join(p.err, &FieldError{Field: field})
 }
 
+// require records an error for the field unless ok.
 func (p *parser) require(field string, ok bool) {
 	if !ok {
 		p.fail(field)
 	}
 }
 
+// text returns the value of a required string, which must not be empty.
 func (p *parser) text(field string, v *string) string {
 	if v == nil || *v == "" {
 		p.fail(field)
@@ -143,7 +145,8 @@
 	return *v
 }
 
-func (p *parser) amount(field string, v *float64) float64 {
+// nonNegative returns the value of a required number, which must be at least 0 and less than 1e12.
+func (p *parser) nonNegative(field string, v *float64) float64 {
 	if v == nil || !(*v >= 0 && *v < 1e12) {
 		p.fail(field)
 		return 0
@@ -151,6 +154,7 @@
 	return *v
 }
 
+// flag returns the value of a required boolean.
 func (p *parser) flag(field string, v *bool) bool {
 	if v == nil {
 		p.fail(field)
