--- a/failureclass/failureclass.go
+++ b/failureclass/failureclass.go
@@ -1,15 +1,15 @@
-// Package failureclass tells a job whose tasks fail on every machine, because it was
-// submitted with a mistake, apart from a machine that is faulty.
+// Package failureclass distinguishes a job whose tasks fail on every machine, because it was
+// submitted with a mistake, from a machine that is faulty.
 //
-// A task that ends with an error says little by itself: the protocol's workers report
-// `error` both for a faulty machine and for a job that can't run anywhere. The leader keeps
-// one Job value for each job and feeds it every task failure and every success. Once the
-// job has failed on BrokenAfterMachines different machines without a single success, it is
-// broken: its tasks are retried with a longer backoff. A success of any task ends the
-// verdict, and tells that the job can run, so that its failures elsewhere were the
-// machines' (HasSucceeded).
+// A single failed task does not show the cause: workers report `error` both for a faulty
+// machine and for a job that can't run anywhere. The leader keeps one Job value for each job
+// and records every task failure and every success in it. A job that has failed on
+// BrokenAfterMachines different machines without a single success is classified as broken, and
+// its tasks are retried with a longer backoff. A success of any task ends that classification.
+// It shows that the job can run, so its failures elsewhere were caused by the machines
+// (HasSucceeded).
 //
-// The package is pure: it does no I/O and reads no clock; durations are handed in.
+// The package does no I/O and reads no clock; durations are passed in.
 package failureclass
 
 import (
@@ -18,72 +18,72 @@
 )
 
 const (
-	// BrokenAfterMachines is how many different machines a job must have failed on, without
-	// a success, before it is taken for broken. Two could be two faulty machines; a third
-	// that fails the same job makes a mistake in the job far more likely than three faults.
+	// BrokenAfterMachines is the number of different machines on which a job must have
+	// failed, without a success, to be classified as broken. Two could be two faulty machines;
+	// with a third one, a mistake in the job is far more likely than three faults.
 	BrokenAfterMachines = 3
 
-	// RetryBase is the pause before a failed task's first retry. It doubles with each
+	// BaseRetryDelay is the delay before a failed task's first retry. It doubles with each
 	// further failure of the same task.
-	RetryBase = 500 * time.Millisecond
-	// retryDoublings bounds how often the pause of a job that is not broken doubles
-	// (500 ms to 16 s): its failures are most likely faults of machines, and it should
-	// soon run elsewhere.
-	retryDoublings = 5
-	// BrokenRetryMost is the longest pause of a broken job's task. It stays well below the
-	// 90 s for which no accepted job may wait while a fitting machine has room, so that a
-	// job whose user mends nothing is still tried, and one that works after all is seen to.
-	BrokenRetryMost = 30 * time.Second
+	BaseRetryDelay = 500 * time.Millisecond
+	// maxRetryDoublings limits how often the delay of a job that is not broken doubles
+	// (500 ms to 16 s): its failures are most likely faults of machines, so it should
+	// soon be retried on another one.
+	maxRetryDoublings = 5
+	// MaxBrokenRetryDelay is the longest retry delay of a broken job's task. It stays well below
+	// 90 s, the longest time that an accepted job may wait while a suitable machine has room.
+	// So a job whose user changes nothing is still retried, and one that can run after all is
+	// recognized.
+	MaxBrokenRetryDelay = 30 * time.Second
 )
 
-// Job is what is known of the failures of one job's tasks. The zero value is a job
-// without failures.
+// Job records the failures of one job's tasks. The zero value is a job without failures.
 type Job struct {
-	machines  []string // where its tasks failed, each once, in the order of their first failure
-	succeeded bool
+	machines  []string // IDs of the machines where its tasks failed, each once, in the order of their first failure
+	succeeded bool     // a task has succeeded
 	failures  int
-	lost      time.Duration
+	lostTime  time.Duration
 }
 
-// Failed records that one of the job's tasks failed on machine after it had run for ran
-// (zero where that is not known). It reports whether this failure made the job broken.
-func (j *Job) Failed(machine string, ran time.Duration) (becameBroken bool) {
+// Failed records that one of the job's tasks failed on machine after it had run for runTime
+// (zero where that is not known). It reports whether the job became broken through this failure.
+func (j *Job) Failed(machine string, runTime time.Duration) (becameBroken bool) {
 	wasBroken := j.Broken()
 	j.failures++
-	j.lost += max(ran, 0)
+	j.lostTime += max(runTime, 0)
 	if !slices.Contains(j.machines, machine) {
 		j.machines = append(j.machines, machine)
 	}
 	return !wasBroken && j.Broken()
 }
 
-// Succeeded records that a task of the job ended well: whatever failed before was the
-// machines', and the job is not broken.
+// Succeeded records that a task of the job succeeded: its earlier failures were caused by the
+// machines, and the job is not broken.
 func (j *Job) Succeeded() { j.succeeded = true }
 
-// HasSucceeded reports whether a task of the job has ended well.
+// HasSucceeded reports whether a task of the job has succeeded.
 func (j *Job) HasSucceeded() bool { return j.succeeded }
 
-// Broken reports whether the job fails on every machine it is tried on.
+// Broken reports whether the job has failed on BrokenAfterMachines machines and no task of it has succeeded.
 func (j *Job) Broken() bool {
 	return !j.succeeded && len(j.machines) >= BrokenAfterMachines
 }
 
-// Machines lists the machines on which the job's tasks failed, each once, in the order of
+// Machines returns the machines on which the job's tasks failed, each once, in the order of
 // their first failure. The caller must not change the slice.
 func (j *Job) Machines() []string { return j.machines }
 
-// Lost is how many attempts of the job failed and how much machine time they took, as far
-// as it was handed to Failed.
-func (j *Job) Lost() (attempts int, machineTime time.Duration) { return j.failures, j.lost }
+// Lost returns how many attempts of the job failed and the machine time that they took, as far
+// as it was passed to Failed.
+func (j *Job) Lost() (attempts int, machineTime time.Duration) { return j.failures, j.lostTime }
 
-// RetryDelay is how long a task waits before it is tried again after its failures-th
-// failure (0 for the first). A broken job's pause keeps doubling up to BrokenRetryMost.
+// RetryDelay returns how long a task waits before it is retried after its failures-th
+// failure (0 for the first). A broken job's delay keeps doubling up to MaxBrokenRetryDelay.
 func (j *Job) RetryDelay(failures int) time.Duration {
 	failures = max(failures, 0)
 	if !j.Broken() {
-		return RetryBase << min(failures, retryDoublings)
+		return BaseRetryDelay << min(failures, maxRetryDoublings)
 	}
-	// RetryBase << 6 is 32 s, past the bound: no more doublings are needed.
-	return min(RetryBase<<min(failures, 6), BrokenRetryMost)
+	// BaseRetryDelay << 6 is 32 s, beyond the limit: no more doublings are needed.
+	return min(BaseRetryDelay<<min(failures, 6), MaxBrokenRetryDelay)
 }
--- a/failureclass/failureclass_test.go
+++ b/failureclass/failureclass_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A job is broken only once it has failed on three different machines without a success;
-// failures on the same machine again are the machine's.
+// A job is broken only after it has failed on three different machines without a success.
+// Repeated failures on the same machine count once.
 func TestBrokenAfterThreeMachines(t *testing.T) {
 	var j Job
 	for i, machine := range []string{"i-1", "i-1", "i-2", "i-2"} {
@@ -18,7 +18,7 @@
 		t.Fatal("a failure on a third machine did not make the job broken")
 	}
 	if j.Failed("i-4", time.Second) {
-		t.Fatal("becameBroken told twice")
+		t.Fatal("becameBroken was reported twice")
 	}
 	if !j.Broken() {
 		t.Fatal("not broken after four machines")
@@ -31,8 +31,8 @@
 	}
 }
 
-// One success shows that the job can run: its failures were the machines'.
-func TestSuccessEndsTheVerdict(t *testing.T) {
+// One success shows that the job can run, so its failures were caused by the machines.
+func TestSuccessClearsBroken(t *testing.T) {
 	var j Job
 	for _, machine := range []string{"i-1", "i-2", "i-3"} {
 		j.Failed(machine, 0)
@@ -46,8 +46,8 @@
 	}
 }
 
-// A job that is not broken keeps the backoff it always had, 500 ms doubling up to 16 s; a
-// broken one doubles on to 30 s and no further.
+// The retry delay of a job that is not broken doubles from 500 ms up to 16 s; that of a broken job
+// doubles further, up to 30 s.
 func TestRetryDelay(t *testing.T) {
 	var healthy Job
 	want := []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second,
@@ -68,10 +68,10 @@
 			t.Errorf("broken, failure %d: %v, want %v", n, got, w)
 		}
 	}
-	if got := broken.RetryDelay(1000); got != BrokenRetryMost {
-		t.Errorf("broken, failure 1000: %v, want %v", got, BrokenRetryMost)
+	if got := broken.RetryDelay(1000); got != MaxBrokenRetryDelay {
+		t.Errorf("broken, failure 1000: %v, want %v", got, MaxBrokenRetryDelay)
 	}
-	if got := healthy.RetryDelay(-1); got != RetryBase {
-		t.Errorf("failure -1: %v, want %v", got, RetryBase)
+	if got := healthy.RetryDelay(-1); got != BaseRetryDelay {
+		t.Errorf("failure -1: %v, want %v", got, BaseRetryDelay)
 	}
 }
--- a/reduction/dynamic.go
+++ b/reduction/dynamic.go
@@ -2,23 +2,25 @@
 
 import "slices"
 
-// DynamicGraph is a graph whose nodes come one by one, each with the nodes that it needs,
-// and go when they are over and nothing needs them. A node may be named before it comes
-// itself. Outcomes accumulate and failures close as on a fixed graph; since every edge
-// is seen when its later end comes, each call costs as much as it changes.
+// DynamicGraph is a graph whose nodes are added one by one, each with its predecessors, and
+// are removed when they are dropped and no other node needs them. A node may be named as a
+// predecessor before it is added itself. Outcomes accumulate and failures propagate as on a
+// fixed graph. All edges of a node are recorded when the node is added, so the cost of a
+// call is proportional to what it changes.
 type DynamicGraph struct{ nodes map[string]*dynamicNode }
 
-// dynamicNode is one node. Once added it has its edges.
+// dynamicNode is one node. Its predecessors are known once it has been added.
 type dynamicNode struct {
 	status     Status
 	added      bool
-	pred, succ []string
-	open       int // predecessors that are not completed
+	pred, succ []string // IDs of its predecessors and successors
+	incomplete int      // number of predecessors that are not completed
 }
 
 // NewDynamicGraph returns a graph without nodes.
 func NewDynamicGraph() *DynamicGraph { return &DynamicGraph{nodes: map[string]*dynamicNode{}} }
 
+// node returns the node with an ID and creates it if it does not exist.
 func (g *DynamicGraph) node(id string) *dynamicNode {
 	n := g.nodes[id]
 	if n == nil {
@@ -28,7 +30,8 @@
 	return n
 }
 
-// Add brings a node with its predecessors. It returns the nodes that fail by it.
+// Add adds a node with its predecessors. If one of these has failed, the node and its pending
+// descendants fail too; Add returns all nodes that it made fail.
 func (g *DynamicGraph) Add(id string, pred []string) []string {
 	n := g.node(id)
 	if n.added {
@@ -41,7 +44,7 @@
 		from.succ = append(from.succ, id)
 		failed = failed || from.status == Failed
 		if from.status != Completed {
-			n.open++
+			n.incomplete++
 		}
 	}
 	if !failed || n.status != Pending {
@@ -51,9 +54,10 @@
 	return append([]string{id}, g.close(n)...)
 }
 
-// Accumulate applies the outcome of a node to it, and closes failures downstream. It
-// returns the nodes that are ready or failed by it. A node that nothing needs and that
-// needs nothing is not kept.
+// Accumulate applies the outcome of a pending node, and propagates a failure downstream. It
+// returns the other nodes that become ready or fail through it. It ignores a node that is
+// not in the graph, as is any node without predecessors that no added node needs, and a
+// node that is not pending.
 func (g *DynamicGraph) Accumulate(id string, o Outcome) []string {
 	n := g.nodes[id]
 	if n == nil || n.status != Pending {
@@ -67,15 +71,15 @@
 	var ready []string
 	for _, s := range n.succ {
 		to := g.nodes[s]
-		if to.open--; to.open == 0 && to.status == Pending {
+		if to.incomplete--; to.incomplete == 0 && to.status == Pending {
 			ready = append(ready, s)
 		}
 	}
 	return ready
 }
 
-// close fails every pending descendant of a failed node and lists them. It goes on only
-// from what it fails: the rest is closed already.
+// close fails every pending descendant of a failed node and returns them. It descends only
+// into nodes that it fails itself: below the others, failures have been propagated already.
 func (g *DynamicGraph) close(n *dynamicNode) []string {
 	var failed []string
 	for _, s := range n.succ {
@@ -87,7 +91,7 @@
 	return failed
 }
 
-// Status returns the status of a node; one that is not there is pending.
+// Status returns the status of a node. A node that the graph does not hold counts as pending.
 func (g *DynamicGraph) Status(id string) Status {
 	if n := g.nodes[id]; n != nil {
 		return n.status
@@ -95,10 +99,11 @@
 	return Pending
 }
 
-// Classify reports whether a node can be released, waits for its predecessors or is settled.
+// Classify reports whether a node can be released (Progressing), waits for its predecessors
+// (Waiting) or is settled.
 func (g *DynamicGraph) Classify(id string) Verdict {
 	switch n := g.nodes[id]; {
-	case n == nil || n.status == Pending && n.open == 0:
+	case n == nil || n.status == Pending && n.incomplete == 0:
 		return Progressing
 	case n.status == Pending:
 		return Waiting
@@ -106,7 +111,7 @@
 	return Settled
 }
 
-// Successors lists the nodes that need a node.
+// Successors returns the nodes that have this node as a predecessor.
 func (g *DynamicGraph) Successors(id string) []string {
 	if n := g.nodes[id]; n != nil {
 		return n.succ
@@ -114,8 +119,8 @@
 	return nil
 }
 
-// Drop marks a node as over: it needs its predecessors no more. Its status
-// stays for as long as something needs it.
+// Drop marks a node as finished: it no longer needs its predecessors. The graph keeps its
+// status for as long as another node needs it.
 func (g *DynamicGraph) Drop(id string) {
 	n := g.nodes[id]
 	if n == nil {
@@ -128,7 +133,7 @@
 			delete(g.nodes, p)
 		}
 	}
-	n.added, n.pred, n.open = false, nil, 0
+	n.added, n.pred, n.incomplete = false, nil, 0
 	if len(n.succ) == 0 {
 		delete(g.nodes, id)
 	}
--- a/reduction/dynamic_test.go
+++ b/reduction/dynamic_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A dynamic graph agrees with the fixed one at every moment: which nodes are ready, and
-// which have failed, whatever the order in which nodes and outcomes become known.
+// A dynamic graph has the same ready and failed nodes as the fixed graph of the nodes added so
+// far, in whatever order nodes and outcomes arrive.
 func TestDynamicAgreesWithFixed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "nodes")
@@ -21,45 +21,45 @@
 				}
 			}
 		}
-		// Nodes come in any order; outcomes come once a node is there, in any order too.
+		// Nodes are added in any order. Outcomes arrive in any order too, each after its node was added.
 		order := rapid.Permutation(upTo(n)).Draw(t, "order")
 		g := NewDynamicGraph()
 		outcome := map[int]Outcome{}
-		there := map[int]bool{}
-		told := map[string]bool{} // what Add and Accumulate have said
-		note := func(ids []string) {
+		added := map[int]bool{}
+		reported := map[string]bool{} // nodes that Add and Accumulate have returned
+		markReported := func(ids []string) {
 			for _, id := range ids {
-				told[id] = true
+				reported[id] = true
 			}
 		}
-		for len(order) > 0 || len(there) > len(outcome) {
+		for len(order) > 0 || len(added) > len(outcome) {
 			if len(order) > 0 && rapid.Bool().Draw(t, "add") {
 				v := order[0]
 				order = order[1:]
-				there[v] = true
-				note(g.Add(name(v), names(pred[v])))
-			} else if open := undecided(there, outcome); len(open) > 0 {
+				added[v] = true
+				markReported(g.Add(name(v), names(pred[v])))
+			} else if open := undecided(added, outcome); len(open) > 0 {
 				v := rapid.SampledFrom(open).Draw(t, "node")
 				outcome[v] = rapid.SampledFrom([]Outcome{Succeeded, Cancelled}).Draw(t, "outcome")
-				note(g.Accumulate(name(v), outcome[v]))
+				markReported(g.Accumulate(name(v), outcome[v]))
 			}
-			agree(t, g, n, pred, there, outcome, told)
+			compareWithFixed(t, g, n, pred, added, outcome, reported)
 		}
 		for _, v := range rapid.Permutation(upTo(n)).Draw(t, "drops") {
 			g.Drop(name(v))
 		}
 		if len(g.nodes) > 0 {
-			t.Fatalf("%d nodes are kept though nothing needs them", len(g.nodes))
+			t.Fatalf("%d nodes are kept after all were dropped", len(g.nodes))
 		}
 	})
 }
 
-// agree compares with a fixed graph of the nodes that have come.
-func agree(t *rapid.T, g *DynamicGraph, n int, pred [][]int, there map[int]bool, outcome map[int]Outcome, told map[string]bool) {
+// compareWithFixed compares the dynamic graph with a fixed graph of the nodes added so far.
+func compareWithFixed(t *rapid.T, g *DynamicGraph, n int, pred [][]int, added map[int]bool, outcome map[int]Outcome, reported map[string]bool) {
 	var edges [][2]int
 	for v := range n {
 		for _, p := range pred[v] {
-			if there[v] {
+			if added[v] {
 				edges = append(edges, [2]int{p, v})
 			}
 		}
@@ -68,8 +68,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A success that comes after the node has failed by closure changes nothing, so
-	// outcomes are replayed on the fixed graph only where the dynamic one took them.
+	// A success of a node that has already failed through a predecessor has no effect, so
+	// outcomes are replayed on the fixed graph only where the dynamic graph applied them.
 	s := NewState(fixed)
 	for v, o := range outcome {
 		if o == Cancelled || g.Status(name(v)) == Completed {
@@ -79,7 +79,7 @@
 	Close(fixed, s)
 	ready := Ready(fixed, s)
 	for v := range n {
-		if !there[v] {
+		if !added[v] {
 			continue
 		}
 		failed := s.Status(v) == Failed
@@ -90,15 +90,16 @@
 		if got := g.Classify(name(v)) == Progressing; got != waits {
 			t.Fatalf("node %d: ready %v, on the fixed graph %v", v, got, waits)
 		}
-		if _, own := outcome[v]; failed && !own && !told[name(v)] {
-			t.Fatalf("node %d has failed and nobody was told", v)
+		if _, own := outcome[v]; failed && !own && !reported[name(v)] {
+			t.Fatalf("node %d has failed, but no call returned it", v)
 		}
 	}
 }
 
-func undecided(there map[int]bool, outcome map[int]Outcome) []int {
+// undecided returns the added nodes without an outcome, sorted.
+func undecided(added map[int]bool, outcome map[int]Outcome) []int {
 	var open []int
-	for v := range there {
+	for v := range added {
 		if _, decided := outcome[v]; !decided {
 			open = append(open, v)
 		}
@@ -107,6 +108,7 @@
 	return open
 }
 
+// upTo returns the numbers below n.
 func upTo(n int) []int {
 	vs := make([]int, n)
 	for i := range vs {
--- a/reduction/reduction.go
+++ b/reduction/reduction.go
@@ -1,7 +1,7 @@
-// Package reduction is the staged reduction of "Staged Reduction for Durable
+// Package reduction implements the staged reduction of "Staged Reduction for Durable
 // Workflow Execution": a pipeline is a fixed acyclic graph of nodes, outcomes
-// are accumulated as point updates, failures are closed downstream, and the
-// closed state is classified. Everything here is pure.
+// are accumulated as updates of single nodes, failures are propagated downstream
+// (closure), and the closed state is classified. The package does no I/O.
 package reduction
 
 import "fmt"
@@ -14,11 +14,11 @@
 	Pending   Status = iota // not started, or reset
 	Running                 // started, with no outcome yet
 	Completed               // finished by Succeeded
-	Failed                  // by Failure or Cancelled, or by Close below a failed node
+	Failed                  // finished by Failure or Cancelled, or by Close downstream of a failed node
 	Skipped                 // finished by Skip
 )
 
-// Outcome is what an execution of a node came to.
+// Outcome is the result of one execution of a node.
 type Outcome uint8
 
 // Forward outcomes advance a node; reset outcomes return it to Pending.
@@ -26,8 +26,8 @@
 	Succeeded Outcome = iota // forward
 	Skip                     // forward
 	Failure                  // forward
-	Cancelled                // forward: counts as failed, where the paper resets
-	Reset                    // reset: lost, stopped, refused or in error
+	Cancelled                // forward: counts as failed; the paper resets instead
+	Reset                    // reset: the execution was lost, stopped, refused or ended in an error
 )
 
 // Graph is a fixed acyclic graph over the nodes 0..n-1.
@@ -37,29 +37,30 @@
 	topological []int
 }
 
-// Independent is the graph of n nodes without edges.
+// Independent returns the graph of n nodes without edges.
 func Independent(n int) *Graph { return &Graph{n: n} }
 
-// NewGraph checks that the edges (from, to) form an acyclic graph over n nodes.
+// NewGraph returns the graph of the edges (from, to) over n nodes. It returns an error if an edge refers to a
+// node that does not exist, or if the edges form a cycle.
 func NewGraph(n int, edges [][2]int) (*Graph, error) {
 	g := &Graph{n: n, pred: make([][]int, n), succ: make([][]int, n)}
 	for _, e := range edges {
 		if e[0] < 0 || e[0] >= n || e[1] < 0 || e[1] >= n {
-			return nil, fmt.Errorf("edge %v leaves the graph of %d nodes", e, n)
+			return nil, fmt.Errorf("edge %v refers to a node outside the graph of %d nodes", e, n)
 		}
 		g.succ[e[0]] = append(g.succ[e[0]], e[1])
 		g.pred[e[1]] = append(g.pred[e[1]], e[0])
 	}
-	waiting := make([]int, n)
+	unmet := make([]int, n)
 	for v := range n {
-		waiting[v] = len(g.pred[v])
-		if waiting[v] == 0 {
+		unmet[v] = len(g.pred[v])
+		if unmet[v] == 0 {
 			g.topological = append(g.topological, v)
 		}
 	}
 	for i := 0; i < len(g.topological); i++ {
 		for _, w := range g.succ[g.topological[i]] {
-			if waiting[w]--; waiting[w] == 0 {
+			if unmet[w]--; unmet[w] == 0 {
 				g.topological = append(g.topological, w)
 			}
 		}
@@ -76,7 +77,7 @@
 	count  [Skipped + 1]int
 }
 
-// NewState has every node of g pending.
+// NewState returns a state in which every node of g is pending.
 func NewState(g *Graph) *State {
 	s := &State{status: make([]Status, g.n)}
 	s.count[Pending] = g.n
@@ -86,7 +87,7 @@
 // Status returns the status of node v.
 func (s *State) Status(v int) Status { return s.status[v] }
 
-// Count returns how many nodes have the status.
+// Count returns the number of nodes with the given status.
 func (s *State) Count(st Status) int { return s.count[st] }
 
 // Clone returns an independent copy.
@@ -109,8 +110,8 @@
 	}
 }
 
-// Accumulate applies the outcome of node v to its own status and nothing else.
-// Finished nodes keep their status: a late outcome changes nothing.
+// Accumulate applies the outcome of node v to the status of v and changes no other node.
+// Finished nodes keep their status: a late outcome has no effect.
 func (s *State) Accumulate(v int, o Outcome) {
 	if s.status[v] == Completed || s.status[v] == Skipped || s.status[v] == Failed {
 		return
@@ -136,11 +137,11 @@
 		if s.status[v] != Failed {
 			continue
 		}
-		fail(g, s, v)
+		failSuccessors(g, s, v)
 	}
 }
 
-func fail(g *Graph, s *State, v int) {
+func failSuccessors(g *Graph, s *State, v int) {
 	for _, w := range g.succ[v] {
 		if s.status[w] == Pending {
 			s.set(w, Failed)
@@ -148,7 +149,7 @@
 	}
 }
 
-// Recover normalizes a state read back after a crash: what was running is
+// Recover normalizes a state that was read back after a crash: running nodes become
 // pending again.
 func Recover(s *State) {
 	for v, st := range s.status {
@@ -159,21 +160,21 @@
 }
 
 // Ready lists the frontier: pending nodes whose predecessors are all completed
-// or skipped. No two of them are comparable.
+// or skipped. None of them can be reached from another.
 func Ready(g *Graph, s *State) []int {
 	if s.count[Pending] == 0 {
 		return nil
 	}
 	frontier := make([]int, 0, s.count[Pending])
 	for v, st := range s.status {
-		if st == Pending && released(g, s, v) {
+		if st == Pending && isReady(g, s, v) {
 			frontier = append(frontier, v)
 		}
 	}
 	return frontier
 }
 
-func released(g *Graph, s *State, v int) bool {
+func isReady(g *Graph, s *State, v int) bool {
 	if g.pred == nil {
 		return true
 	}
@@ -185,19 +186,19 @@
 	return true
 }
 
-// Verdict is the classification of a closed state.
+// Verdict is the classification of a closed state, in which failures have been propagated.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Progressing Verdict = iota // the frontier can be released
 	Settled                    // nothing is pending or running
-	Waiting                    // nodes run and none is ready
-	Stuck                      // pending nodes that can never be released
+	Waiting                    // nodes are running and none is ready
+	Stuck                      // some nodes are pending and can never be released
 )
 
-// Classify closes the state and decides what follows; with Progressing comes
-// the frontier.
+// Classify closes the state and classifies it. With Progressing it also returns the
+// frontier, the nodes to release.
 func Classify(g *Graph, s *State) (Verdict, []int) {
 	Close(g, s)
 	if frontier := Ready(g, s); len(frontier) > 0 {
--- a/reduction/reduction_test.go
+++ b/reduction/reduction_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawGraph draws an acyclic graph that has edges: each goes from a lower to a
+// drawGraph draws an acyclic graph with at least one edge: every edge goes from a lower to a
 // higher node.
 func drawGraph(t *rapid.T) (*Graph, [][2]int) {
 	n := rapid.IntRange(2, 12).Draw(t, "nodes")
@@ -24,8 +24,8 @@
 	return g, edges
 }
 
-// drawState draws a state that an execution can reach: rounds of frontiers with
-// random outcomes, the last of them partly applied.
+// drawState draws a state that an execution can reach: several rounds, in each of which some
+// nodes of the frontier start and some of those get a random outcome.
 func drawState(t *rapid.T, g *Graph) *State {
 	s := NewState(g)
 	for range rapid.IntRange(0, 5).Draw(t, "rounds") {
@@ -72,12 +72,13 @@
 	})
 }
 
-// results draws an outcome for each node of the running frontier.
+// result is the outcome of one node.
 type result struct {
 	node    int
 	outcome Outcome
 }
 
+// drawResults starts every node of the frontier and draws an outcome for each.
 func drawResults(t *rapid.T, s *State, g *Graph) []result {
 	var rs []result
 	for _, v := range Ready(g, s) {
@@ -87,6 +88,8 @@
 	return rs
 }
 
+// The order in which outcomes arrive, and whether the state is classified after each or once after all,
+// makes no difference.
 func TestResultsCommuteAndBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, _ := drawGraph(t)
@@ -111,11 +114,12 @@
 			v2, f2 = Classify(g, single)
 		}
 		if verdict != v2 || !reflect.DeepEqual(frontier, f2) || !reflect.DeepEqual(statuses(batch), statuses(single)) {
-			t.Fatalf("batch %v %v %v, one by one %v %v %v", verdict, frontier, batch.status, v2, f2, single.status)
+			t.Fatalf("in a batch: verdict %v, frontier %v, statuses %v; one by one: %v, %v, %v", verdict, frontier, batch.status, v2, f2, single.status)
 		}
 	})
 }
 
+// Closure is idempotent, keeps what has failed, and only grows with further failures.
 func TestClosureLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, edges := drawGraph(t)
@@ -125,7 +129,7 @@
 		twice := once.Clone()
 		Close(g, twice)
 		if !reflect.DeepEqual(once.status, twice.status) {
-			t.Fatal("not idempotent")
+			t.Fatal("closing a closed state changes it")
 		}
 		more := s.Clone() // one more failure
 		if f := Ready(g, more); len(f) > 0 {
@@ -134,10 +138,10 @@
 		Close(g, more)
 		for v := range once.status {
 			if s.status[v] == Failed && once.status[v] != Failed {
-				t.Fatal("not extensive")
+				t.Fatal("closing the state revives a failed node")
 			}
 			if once.status[v] == Failed && more.status[v] != Failed {
-				t.Fatal("not monotone")
+				t.Fatal("one more failure leaves fewer nodes failed")
 			}
 			for w := range once.status {
 				if once.status[v] == Failed && once.status[w] == Pending && reaches(edges, v, w) {
@@ -156,13 +160,13 @@
 		Recover(s)
 		verdict, frontier := Classify(g, s)
 		if s.Count(Running) != 0 || s.Count(Completed) != done {
-			t.Fatal("recovery left something running or lost what was completed")
+			t.Fatal("a node is running after recovery, or a completed node is not completed any more")
 		}
 		if (verdict == Progressing) != (len(frontier) > 0) || verdict == Waiting || verdict == Stuck {
 			t.Fatalf("recovered state is %v with frontier %v", verdict, frontier)
 		}
 		if (verdict == Settled) != (s.Count(Pending) == 0) {
-			t.Fatal("settled with pending nodes")
+			t.Fatal("settled with pending nodes, or not settled without any")
 		}
 	})
 }
@@ -183,10 +187,10 @@
 
 func TestNewGraphRefuses(t *testing.T) {
 	for name, edges := range map[string][][2]int{
-		"cycle": {{0, 1}, {1, 2}, {2, 0}}, "outside": {{0, 3}}, "self": {{1, 1}},
+		"cycle": {{0, 1}, {1, 2}, {2, 0}}, "node outside the graph": {{0, 3}}, "edge to itself": {{1, 1}},
 	} {
 		if _, err := NewGraph(3, edges); err == nil {
-			t.Errorf("%s is accepted", name)
+			t.Errorf("%s: edges are accepted", name)
 		}
 	}
 }
--- a/scheduler/balance.go
+++ b/scheduler/balance.go
@@ -6,33 +6,34 @@
 	"math"
 )
 
-// Balance has the tasks of a round placed evenly: where the image is as long as that machine does not
-// become hot, and the emptiest machine first.
+// Balance spreads the tasks of a placement round evenly over machines. Machines with the image come
+// first as long as the task does not make them hot; among equals the least loaded machine comes first.
 type Balance struct {
-	HotShare float64 // the dominant share above which a machine is hot
-	UseEmpty bool    // machines without tasks are used like others; otherwise only after all others
+	HotShare float64 // dominant share above which a machine is hot
+	UseEmpty bool    // machines without tasks rank like all others; if false, they are used only after all others
 }
 
-// evenness orders a machine for a balanced demand, the least first.
-type evenness struct {
+// balanceRank is the sort key of a machine for a balanced demand; lower values are preferred.
+type balanceRank struct {
 	empty, hot int
-	share      float64 // its dominant share with one more task
+	share      float64 // dominant share of the machine with one more task
 }
 
-// evenness returns how a machine would do.
-func (d *Demand) evenness(m *Machine) evenness {
+// balanceRank returns the rank of a machine with one more task of the demand; all ranks are equal if load
+// is not balanced.
+func (d *Demand) balanceRank(m *Machine) balanceRank {
 	if d.Balance == nil {
-		return evenness{}
+		return balanceRank{}
 	}
 	share := dominantShare(m, m.Free.Add(d.Each, -1))
-	return evenness{
-		empty: flag(!d.Balance.UseEmpty && m.Free == m.Cap),
-		hot:   flag(share > d.Balance.HotShare+epsilon),
+	return balanceRank{
+		empty: boolToInt(!d.Balance.UseEmpty && m.Free == m.Cap),
+		hot:   boolToInt(share > d.Balance.HotShare+epsilon),
 		share: share,
 	}
 }
 
-// dominantShare is the largest share that is used of a resource of a machine, with so much free.
+// dominantShare returns the largest used fraction over a machine's resources, given its free resources.
 func dominantShare(m *Machine, free Resources) float64 {
 	share := 0.0
 	for _, r := range [...]struct{ free, all float64 }{{free.CPUs, m.Cap.CPUs}, {free.GPUs, m.Cap.GPUs}, {free.MemoryGB, m.Cap.MemoryGB}} {
@@ -43,13 +44,14 @@
 	return share
 }
 
-// compare orders machines before their images count.
-func (e evenness) compare(o evenness) int {
+// compare orders machines by the criteria that take precedence over image locality.
+func (e balanceRank) compare(o balanceRank) int {
 	return cmp.Or(cmp.Compare(e.empty, o.empty), cmp.Compare(e.hot, o.hot))
 }
 
-// coolRoom is how many tasks fit on a machine before it is hot.
-func (d *Demand) coolRoom(m *Machine) int {
+// roomBelowHot returns how many tasks of the demand fit on a machine before it becomes hot, or how many fit
+// at all if load is not balanced.
+func (d *Demand) roomBelowHot(m *Machine) int {
 	room := m.Free.Fits(d.Each)
 	if d.Balance == nil {
 		return room
@@ -64,26 +66,27 @@
 	return room
 }
 
-// hasImage reports whether a machine has the demand's image or fetches it already.
+// hasImage reports whether a machine has the demand's image or is already fetching it.
 func (d *Demand) hasImage(m *Machine) bool { return m.Images[d.Image] || m.Fetching[d.Image] }
 
-// noteFetch notes that a machine fetches the demand's image from now on: for what comes after it counts
-// as there, or the image would go to one more machine with each task.
-func (d *Demand) noteFetch(m *Machine) {
+// markFetching records that a machine is fetching the demand's image. Later placements of the round count the
+// image as present there; otherwise each further task could send the image to one more machine.
+func (d *Demand) markFetching(m *Machine) {
 	if d.Balance == nil || d.hasImage(m) {
 		return
 	}
-	fetching := map[string]bool{d.Image: true} // a new one: the old one is the leader's
+	fetching := map[string]bool{d.Image: true} // a copy: the original map belongs to the leader
 	maps.Copy(fetching, m.Fetching)
 	m.Fetching = fetching
 }
 
-// Fits reports whether a machine has room for one more task, and all that the demand asks of it.
+// Fits reports whether a machine has room for one more task of the demand and meets all its constraints.
 func (d *Demand) Fits(m *Machine) bool {
-	return d.takes(m) && d.zoneRoom(m.Zone) > 0 && m.Free.Fits(d.Each) > 0
+	return d.accepts(m) && d.zoneRoom(m.Zone) > 0 && m.Free.Fits(d.Each) > 0
 }
 
-// PlaceOn places one of the demand's tasks on a machine and takes its room, if it may start there now.
+// PlaceOn assigns one of the demand's tasks to a machine and subtracts its resources there. It reports false
+// and changes nothing but StartLimit.HeldBack if the task does not fit or may not start there now.
 func PlaceOn(m *Machine, d *Demand, task int) (Assignment, bool) {
 	if !d.Fits(m) || !d.mayStart(m) {
 		return Assignment{}, false
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Demand is what one job wants placed; its tasks are alike.
+// Demand describes the pending tasks of one job. All its tasks have the same resources and constraints.
 type Demand struct {
 	Job, Class, Team string
-	Tasks            []int // pending, in order
+	Tasks            []int // indexes of the pending tasks, in order
 	Total            int
 	Each             Resources
 	Measure          Measure
@@ -14,40 +14,40 @@
 	OneZone, Spread  bool
 	Spot             bool
 	Image            string
-	CachedOnly       bool // only where the image is
-	KeepOffSpot      bool // ordinary machines first, wherever its image is: a lost task delays more than its job
+	CachedOnly       bool // only machines that have the image
+	KeepOffSpot      bool // prefer non-spot machines even over image locality: losing a task delays other jobs too
 	Rank             int
 	Service          bool
-	Gang             bool           // all tasks at once or none
-	WaitForBooting   bool           // too late for its aim on starting: what suits others counts before speed
-	SpreadImages     bool           // emptiest machines first, to have images in many places
-	OtherClasses     []Resources    // what tasks of other classes take
-	WithinGuarantee  bool           // within its team's guarantee
-	AgeS             float64        // since submission
-	Begun            bool           // a task has run
-	Aged             bool           // for so long that waiting wins, see OrderWithAging
-	Late             int            // aims on finishing that it can't meet any more
-	WorkS            float64        // what is left of it: sizes of tasks times seconds
-	InZone           map[string]int // tasks in force by zone
-	RoomInTeam       int            // tasks that the team's limit still allows
-	Avoid            map[string]bool
-	Phase            RestartPhase           // while work of a failed zone restarts
-	OnlyZone         string                 // the only one that has machines for it, as far as that was asked
-	Limits           map[string]*StartLimit // by zone; none: anything may start there
-	Balance          *Balance               // nil: the fullest machine first
+	Gang             bool                   // all tasks are placed at once or none is
+	WaitForBooting   bool                   // its start objective is missed: leaving room to other classes outranks a fast start
+	SpreadImages     bool                   // least loaded machines first, so that many machines get the image
+	OtherClasses     []Resources            // resources of one task of each other class
+	WithinGuarantee  bool                   // the job runs within its team's guarantee
+	AgeS             float64                // seconds since the job became ready
+	Begun            bool                   // a task of the job has run
+	Aged             bool                   // it has waited long enough to be ordered by age, see OrderWithAging
+	Late             int                    // objectives on its finishing time that it can no longer meet
+	WorkS            float64                // remaining work: the sum of task sizes times seconds
+	InZone           map[string]int         // tasks with an active attempt, by zone
+	RoomInTeam       int                    // further tasks that the team's limit allows
+	Avoid            map[string]bool        // IDs of machines that must not be used
+	Phase            RestartPhase           // restart priority while work of a failed zone restarts
+	OnlyZone         string                 // the only zone with machines that fit; empty if there are several or it was not determined
+	Limits           map[string]*StartLimit // limits on starts by zone; a zone without an entry is unlimited
+	Balance          *Balance               // nil: the most loaded machine first
 }
 
-// Allows reports whether the demand's fixed constraints accept a machine.
+// Allows reports whether the demand's fixed constraints permit a machine of the given type and zone.
 func (d *Demand) Allows(typ, zone string, spot bool) bool {
 	return (len(d.Types) == 0 || slices.Contains(d.Types, typ)) && (d.Zone == "" || d.Zone == zone) && (d.Spot || !spot)
 }
 
-// takes reports whether the demand may go to a machine now.
-func (d *Demand) takes(m *Machine) bool {
+// accepts reports whether the demand's tasks may be placed on a machine now, regardless of free resources.
+func (d *Demand) accepts(m *Machine) bool {
 	return d.Allows(m.Type, m.Zone, m.Spot) && !d.Avoid[m.ID] && (!d.CachedOnly || m.Images[d.Image])
 }
 
-// zoneRoom is how many more tasks may go to a zone.
+// zoneRoom returns how many more of the demand's tasks may be placed in a zone.
 func (d *Demand) zoneRoom(zone string) int {
 	room := d.spreadRoom(zone)
 	if limit := d.Limits[zone]; limit != nil {
@@ -56,7 +56,7 @@
 	return room
 }
 
-// spreadRoom is how many more tasks a job's own constraints allow in a zone.
+// spreadRoom returns how many more tasks the job's own zone constraints (OneZone, Spread) allow in a zone.
 func (d *Demand) spreadRoom(zone string) int {
 	if d.OneZone {
 		for z, n := range d.InZone {
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,4 +1,4 @@
-// Package scheduler holds the pure decisions: which jobs come first, in which
-// hashed part and on which machine a task goes, what is preempted, and which
-// machines are rented or returned.
+// Package scheduler holds the scheduling decisions as pure functions: the order of
+// jobs, the hashed shard and the machine for each task, which tasks are preempted,
+// and which machines are rented.
 package scheduler
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// Offer is a kind of machine that can be rented.
+// Offer is a kind of machine that can be rented from the cloud.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
@@ -10,24 +10,24 @@
 	Price      float64
 }
 
-// Want is a number of machines to rent.
-type Want struct {
+// RentalRequest asks for a number of machines of one kind.
+type RentalRequest struct {
 	Offer Offer
 	Count int
 }
 
-// Fleet decides what to rent for demands that no machine, booting ones
-// included, has room for, in up to most kinds of machine. The cheapest offer for
-// each task that it can hold wins.
-func Fleet(machines []*Machine, demands []*Demand, offers []Offer, most int) []Want {
-	var wants []Want
+// Fleet decides which machines to rent for tasks that fit on no machine, booting ones
+// included. It rents at most maxKinds kinds of machine and picks, each time, the offer
+// with the lowest cost per task that it can hold.
+func Fleet(machines []*Machine, demands []*Demand, offers []Offer, maxKinds int) []RentalRequest {
+	var requests []RentalRequest
 	kinds := map[Offer]bool{}
 	Order(demands)
 	for _, d := range demands {
 		left := min(len(d.Tasks), d.RoomInTeam) - len(Place(machines, d))
 		for left > 0 {
-			best := cheapest(offers, d, left)
-			if best == nil || !kinds[*best] && len(kinds) == most {
+			best := cheapestOffer(offers, d, left)
+			if best == nil || !kinds[*best] && len(kinds) == maxKinds {
 				break
 			}
 			m := &Machine{ID: "wanted", Type: best.Type, Zone: best.Zone, Spot: best.Spot, Cap: best.Cap, Free: best.Cap, Virtual: true}
@@ -38,15 +38,17 @@
 			}
 			machines = append(machines, m)
 			kinds[*best] = true
-			wants = append(wants, Want{*best, 1})
+			requests = append(requests, RentalRequest{*best, 1})
 		}
 	}
-	return merge(wants)
+	return mergeRequests(requests)
 }
 
-func cheapest(offers []Offer, d *Demand, left int) *Offer {
+// cheapestOffer returns the offer with the lowest cost per task for the remaining tasks of a demand, or nil
+// if none fits.
+func cheapestOffer(offers []Offer, d *Demand, left int) *Offer {
 	var best *Offer
-	least := 0.0
+	leastCost := 0.0
 	for i, o := range offers {
 		if !d.Allows(o.Type, o.Zone, o.Spot) || d.zoneRoom(o.Zone) <= 0 {
 			continue
@@ -55,28 +57,29 @@
 		if n == 0 {
 			continue
 		}
-		// What the job leaves free on a larger machine still serves others:
-		// it counts at half its worth.
+		// Capacity that the job leaves free on a larger machine can serve other jobs:
+		// it counts at half its value.
 		used := float64(min(n, left))
-		each := o.Price / (used + (float64(n)-used)/2)
-		if best == nil || cmp.Less(each, least) {
-			best, least = &offers[i], each
+		costPerTask := o.Price / (used + (float64(n)-used)/2)
+		if best == nil || cmp.Less(costPerTask, leastCost) {
+			best, leastCost = &offers[i], costPerTask
 		}
 	}
 	return best
 }
 
-func merge(wants []Want) []Want {
-	var out []Want
+// mergeRequests adds up the counts of requests for the same offer.
+func mergeRequests(requests []RentalRequest) []RentalRequest {
+	var merged []RentalRequest
 next:
-	for _, w := range wants {
-		for i := range out {
-			if out[i].Offer == w.Offer {
-				out[i].Count++
+	for _, request := range requests {
+		for i := range merged {
+			if merged[i].Offer == request.Offer {
+				merged[i].Count++
 				continue next
 			}
 		}
-		out = append(out, w)
+		merged = append(merged, request)
 	}
-	return out
+	return merged
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -5,38 +5,39 @@
 	"slices"
 )
 
-// Order sorts demands: services and prod first, then work within its team's
-// guarantee, then by priority. When more is asked than can be done, the oldest
-// first would make every job late: so those come first that can still meet their
-// class's aims, and of them the least work. What has waited its turn comes before
-// the others, the oldest first.
+// Order sorts demands in place. Services and demands of the highest priority come first.
+// Next are aged demands, the oldest first, then work within its team's guarantee, then
+// higher priority. Under overload, oldest first would make every job late; so within a
+// priority the demands that can still meet their objectives come first, and among those
+// the ones with the least remaining work.
 func Order(ds []*Demand) {
 	slices.SortStableFunc(ds, func(a, b *Demand) int {
-		return cmp.Or(cmp.Compare(urgent(a), urgent(b)), cmp.Compare(b.agedBy(), a.agedBy()), cmp.Compare(a.servicePhase(), b.servicePhase()),
-			cmp.Compare(flag(!a.WithinGuarantee), flag(!b.WithinGuarantee)), cmp.Compare(a.Phase, b.Phase), cmp.Compare(flag(!a.limitedTo()), flag(!b.limitedTo())),
+		return cmp.Or(cmp.Compare(urgencyTier(a), urgencyTier(b)), cmp.Compare(b.agedSeconds(), a.agedSeconds()), cmp.Compare(a.servicePhase(), b.servicePhase()),
+			cmp.Compare(boolToInt(!a.WithinGuarantee), boolToInt(!b.WithinGuarantee)), cmp.Compare(a.Phase, b.Phase), cmp.Compare(boolToInt(!a.pinnedToLimitedZone()), boolToInt(!b.pinnedToLimitedZone())),
 			cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Late, b.Late), cmp.Compare(a.WorkS, b.WorkS), cmp.Compare(b.AgeS, a.AgeS), cmp.Compare(a.Job, b.Job))
 	})
 }
 
-// agedBy is the age of a demand that has waited its turn.
-func (d *Demand) agedBy() float64 {
+// agedSeconds returns the age of an aged demand, and 0 for all others.
+func (d *Demand) agedSeconds() float64 {
 	if d.Aged {
 		return d.AgeS
 	}
 	return 0
 }
 
-// OrderWithAging orders demands so that nobody is starved: least work first would put off
-// the largest jobs for as long as smaller ones come. What has waited for too long
-// comes first, but takes no more than the reserve, a size, that is left for
-// such work, or one task to begin with; the rest of it keeps its place.
+// OrderWithAging orders demands so that no job starves: ordering by least work alone would
+// delay the largest jobs for as long as smaller ones arrive. Aged demands come first, but
+// together take no more than the reserve, a size as Measure has it. A job of which no task
+// has run gets one task even beyond the reserve. Tasks beyond that are split off into a
+// demand that is not aged and keeps its usual place. Gangs are never split.
 func OrderWithAging(ds []*Demand, reserve float64) []*Demand {
 	var out []*Demand
-	slices.SortStableFunc(ds, func(a, b *Demand) int { return cmp.Compare(b.agedBy(), a.agedBy()) })
+	slices.SortStableFunc(ds, func(a, b *Demand) int { return cmp.Compare(b.agedSeconds(), a.agedSeconds()) })
 	for _, d := range ds {
 		n, size := len(d.Tasks), d.Measure.Of(d.Each)
-		if d.Aged && urgent(d) > 0 && !d.Gang && size > 0 {
-			n = min(n, max(int(reserve/size), 1-flag(d.Begun)))
+		if d.Aged && urgencyTier(d) > 0 && !d.Gang && size > 0 {
+			n = min(n, max(int(reserve/size), 1-boolToInt(d.Begun)))
 			reserve -= float64(n) * size
 		}
 		if n < len(d.Tasks) {
@@ -53,9 +54,9 @@
 	return out
 }
 
-// ReserveFor keeps machines free of other work until a demand that can't start
-// piecemeal, all tasks of a gang or one task that needs most of a machine, fits:
-// smaller work would take every core as it comes free.
+// ReserveFor reserves machines until a demand fits that cannot start bit by bit: a gang, or a
+// task that needs most of a machine. Without it, smaller tasks would take every core as it
+// becomes free. A reserved machine has no free resources for later demands of the round.
 func ReserveFor(machines []*Machine, d *Demand) {
 	want := 1
 	if d.Gang {
@@ -63,11 +64,12 @@
 	}
 	var fit []*Machine
 	for _, m := range machines {
-		if !m.Virtual && d.takes(m) && m.Cap.Fits(d.Each) > 0 && d.zoneRoom(m.Zone) > 0 {
+		if !m.Virtual && d.accepts(m) && m.Cap.Fits(d.Each) > 0 && d.zoneRoom(m.Zone) > 0 {
 			fit = append(fit, m)
 		}
 	}
-	// The freest first: what is held only becomes freer, so the choice stays.
+	// The least loaded machines first: a reserved machine only gains free resources, so the choice stays
+	// the same in later rounds.
 	slices.SortStableFunc(fit, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(d.Measure.Of(b.Free), d.Measure.Of(a.Free)), cmp.Compare(a.ID, b.ID))
 	})
@@ -85,9 +87,10 @@
 	}
 }
 
-func urgent(d *Demand) int { return flag(d.Rank > 0 && !d.Service) }
+// urgencyTier returns 0 for services and demands of the highest priority, and 1 for all others.
+func urgencyTier(d *Demand) int { return boolToInt(d.Rank > 0 && !d.Service) }
 
-func flag(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -8,18 +8,18 @@
 	"slices"
 )
 
-// Machine is a machine as a round of placement sees it.
+// Machine is the state of a machine during one placement round.
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool
 	Part           string
 	Cap, Free      Resources
-	Soon           Resources // becomes free when stopped tasks are gone
+	Soon           Resources // resources that become free once stopping tasks have ended
 	Images         map[string]bool
-	Fetching       map[string]bool // images that are being fetched; counted where load is balanced alone
-	Penalty        int             // suspected faulty: taken last
-	Virtual        bool            // booting, or only thought of: counts for the fleet alone
-	Tasks          []Victim
+	Fetching       map[string]bool // images being fetched; filled in only if load is balanced
+	Penalty        int             // above 0 if the machine is suspected faulty: used last
+	Virtual        bool            // booting, or assumed while rentals are planned: nothing can start on it yet
+	Tasks          []Victim        // tasks on it that could be preempted
 }
 
 // Assignment puts a task on a machine.
@@ -28,22 +28,23 @@
 	Machine *Machine
 }
 
-// PartOf hashes a machine to one of the live controllers (highest weight wins,
-// so that a controller's end moves only its own machines).
-func PartOf(machine string, live []string) string {
-	best, most := "", uint64(0)
-	for _, l := range live {
-		sum := sha256.Sum256([]byte(l + "/" + machine)) // plainer hashes favour one name
-		if w := binary.BigEndian.Uint64(sum[:]); best == "" || w > most {
-			best, most = l, w
+// PartOf assigns a machine to the shard of one of the live controllers by rendezvous
+// hashing: the controller with the highest hash wins, so a controller that stops moves
+// only its own machines to other shards.
+func PartOf(machine string, controllers []string) string {
+	best, highest := "", uint64(0)
+	for _, controller := range controllers {
+		sum := sha256.Sum256([]byte(controller + "/" + machine)) // simpler hashes favour one name
+		if w := binary.BigEndian.Uint64(sum[:]); best == "" || w > highest {
+			best, highest = controller, w
 		}
 	}
 	return best
 }
 
-// Place decides on machines for the tasks of one job and takes their room. The
-// job goes whole to the part with most room, rooms with its image first; what
-// fits no part goes to the leader's lane, which spans all machines.
+// Place assigns the tasks of one job to machines and subtracts their resources there. The
+// job goes whole to the shard with the most room, preferring room on machines with its
+// image; a job that fits into no single shard is placed over all machines.
 func Place(machines []*Machine, d *Demand) []Assignment {
 	want := min(len(d.Tasks), d.RoomInTeam)
 	if want <= 0 || d.Gang && want < len(d.Tasks) {
@@ -51,20 +52,20 @@
 	}
 	var eligible []*Machine
 	for _, m := range machines {
-		if d.takes(m) && m.Free.Fits(d.Each) > 0 {
+		if d.accepts(m) && m.Free.Fits(d.Each) > 0 {
 			eligible = append(eligible, m)
 		}
 	}
 	if len(eligible) == 0 {
 		return nil
 	}
-	if part := roomiest(eligible, d, want); part != nil {
-		eligible = part
+	if shard := bestShard(eligible, d, want); shard != nil {
+		eligible = shard
 	}
 	if d.OneZone {
 		eligible = bestZone(eligible, d, want)
 	}
-	out := fill(eligible, d, want)
+	out := assignTasks(eligible, d, want)
 	if d.Gang && len(out) < want {
 		for _, p := range out {
 			p.Machine.Free = p.Machine.Free.Add(d.Each, 1)
@@ -75,50 +76,53 @@
 	return out
 }
 
-// candidate is a machine that a demand may take, with what decides how well it
-// would do; unwanted is spot or not, whichever the demand had better leave to others.
+// candidate is a machine that a demand may use, with its sort keys; lower values are preferred.
+// unwanted is 1 for the kind of machine, spot or not, that the demand should leave to others.
 type candidate struct {
 	*Machine
-	uncached, unwanted, displaced int
-	even                          evenness
+	uncached, unwanted, costToOthers int
+	balance                          balanceRank
 }
 
 func (d *Demand) candidate(m *Machine) candidate {
-	return candidate{m, flag(!d.hasImage(m)), flag(d.Spot && m.Spot == d.KeepOffSpot), d.displaced(m), d.evenness(m)}
+	return candidate{m, boolToInt(!d.hasImage(m)), boolToInt(d.Spot && m.Spot == d.KeepOffSpot), d.costToOthers(m), d.balanceRank(m)}
 }
 
-// prefer orders machines for one task. Alike otherwise, the one comes first where
-// it costs other classes least room; of those the fullest, so that empty ones can
-// be returned, or for a demand that spreads images the emptiest. Where load is balanced, a
-// machine that would be hot comes after all that would not, and the smallest share first.
-func (d *Demand) prefer(a, b candidate) int {
+// compare orders machines for one task. All else being equal, the machine comes first
+// where the task costs other classes the least room. Among those the most loaded machine comes
+// first, so that empty ones can be returned, or the least loaded one for a demand that spreads
+// images. If load is balanced, machines that the task would make hot come after all others, and
+// the last criterion is the smallest share.
+func (d *Demand) compare(a, b candidate) int {
 	c := cmp.Compare(a.Penalty, b.Penalty)
 	if d.KeepOffSpot {
 		c = cmp.Or(c, cmp.Compare(a.unwanted, b.unwanted))
 	}
 	if d.WaitForBooting {
-		c = cmp.Or(c, cmp.Compare(a.displaced, b.displaced))
+		c = cmp.Or(c, cmp.Compare(a.costToOthers, b.costToOthers))
 	}
-	c = cmp.Or(c, a.even.compare(b.even), cmp.Compare(a.uncached, b.uncached), cmp.Compare(a.unwanted, b.unwanted),
-		cmp.Compare(a.displaced, b.displaced))
+	c = cmp.Or(c, a.balance.compare(b.balance), cmp.Compare(a.uncached, b.uncached), cmp.Compare(a.unwanted, b.unwanted),
+		cmp.Compare(a.costToOthers, b.costToOthers))
 	fuller := cmp.Compare(d.Measure.Of(a.Free), d.Measure.Of(b.Free))
 	if d.SpreadImages {
 		fuller = -fuller
 	}
 	if d.Balance != nil {
-		fuller = cmp.Compare(a.even.share, b.even.share)
+		fuller = cmp.Compare(a.balance.share, b.balance.share)
 	}
 	return cmp.Or(c, fuller, cmp.Compare(a.ID, b.ID))
 }
 
-// displaced counts the tasks of other classes that no longer fit on a machine once
-// it has one more of this demand: two small services side by side leave room
-// for one more large task than the same two on two machines. Where the image is
-// missing it had better come to many machines, of a type that others can't use.
-func (d *Demand) displaced(m *Machine) int {
+// costToOthers counts the tasks of other classes that no longer fit on a machine once
+// it has one more task of this demand: two small services on one machine leave room
+// for one more large task than the same two on two machines. For a demand that waits for
+// booting machines, and for one that spreads images where the image is missing, it is 1
+// on machines that other classes can use and 0 on the rest: such an image should come to
+// many machines of a type that other classes can't use.
+func (d *Demand) costToOthers(m *Machine) int {
 	n := 0
 	if d.WaitForBooting || d.SpreadImages && !m.Images[d.Image] {
-		return flag(d.suitsOthers(m.Cap))
+		return boolToInt(d.suitsOthers(m.Cap))
 	}
 	after := m.Free.Add(d.Each, -1)
 	for _, o := range d.OtherClasses {
@@ -127,66 +131,66 @@
 	return n
 }
 
-// suitsOthers reports whether a machine of that size takes tasks of other classes.
+// suitsOthers reports whether an empty machine of that size has room for a task of any other class.
 func (d *Demand) suitsOthers(size Resources) bool {
 	return slices.ContainsFunc(d.OtherClasses, func(o Resources) bool { return size.Fits(o) > 0 })
 }
 
-// ranking is a heap of candidates, the preferred one on top.
-type ranking struct {
-	d  *Demand
-	cs []candidate
+// candidateHeap is a heap of candidates with the preferred one on top.
+type candidateHeap struct {
+	demand *Demand
+	items  []candidate
 }
 
-func (r *ranking) Len() int { return len(r.cs) }
+func (r *candidateHeap) Len() int { return len(r.items) }
 
-func (r *ranking) Less(i, j int) bool { return r.d.prefer(r.cs[i], r.cs[j]) < 0 }
+func (r *candidateHeap) Less(i, j int) bool { return r.demand.compare(r.items[i], r.items[j]) < 0 }
 
-func (r *ranking) Swap(i, j int) { r.cs[i], r.cs[j] = r.cs[j], r.cs[i] }
+func (r *candidateHeap) Swap(i, j int) { r.items[i], r.items[j] = r.items[j], r.items[i] }
 
-func (r *ranking) Push(x any) { r.cs = append(r.cs, x.(candidate)) }
+func (r *candidateHeap) Push(x any) { r.items = append(r.items, x.(candidate)) }
 
-func (r *ranking) Pop() any {
-	last := len(r.cs) - 1
-	c := r.cs[last]
-	r.cs = r.cs[:last]
+func (r *candidateHeap) Pop() any {
+	last := len(r.items) - 1
+	c := r.items[last]
+	r.items = r.items[:last]
 	return c
 }
 
-// fill takes room task by task, each time on the machine preferred then. Taking
-// room changes the place of that machine alone.
-func fill(eligible []*Machine, d *Demand, want int) []Assignment {
-	r := &ranking{d: d, cs: make([]candidate, 0, len(eligible))}
+// assignTasks assigns tasks one by one, each to the machine preferred at that point. An
+// assignment changes only the position of its own machine in the heap.
+func assignTasks(eligible []*Machine, d *Demand, want int) []Assignment {
+	r := &candidateHeap{demand: d, items: make([]candidate, 0, len(eligible))}
 	for _, m := range eligible {
-		r.cs = append(r.cs, d.candidate(m))
+		r.items = append(r.items, d.candidate(m))
 	}
 	heap.Init(r)
 	var out []Assignment
-	for len(out) < want && len(r.cs) > 0 {
-		m := r.cs[0].Machine
+	for len(out) < want && len(r.items) > 0 {
+		m := r.items[0].Machine
 		if d.spreadRoom(m.Zone) <= 0 || m.Free.Fits(d.Each) == 0 || !d.mayStart(m) {
 			heap.Pop(r)
 			continue
 		}
 		m.Free = m.Free.Add(d.Each, -1)
 		d.countStarts(m, 1)
-		d.noteFetch(m)
+		d.markFetching(m)
 		out = append(out, Assignment{d.Tasks[len(out)], m})
-		r.cs[0] = d.candidate(m)
+		r.items[0] = d.candidate(m)
 		heap.Fix(r, 0)
 	}
 	return out
 }
 
-// room is how many tasks fit on some machines.
-type room struct {
-	apart  int // where no other class could use the room, and the image is or need not be
-	cached int // where the image is
-	all    int
+// capacity counts the tasks of a demand that fit on a set of machines.
+type capacity struct {
+	exclusive int // on machines that no other class can use and that have the image, or need not have it
+	cached    int // on machines that have the image or fetch it, as long as they are not hot
+	all       int // on all machines
 }
 
-func (d *Demand) room(machines []*Machine, want int) room {
-	var r room
+func (d *Demand) capacity(machines []*Machine, want int) capacity {
+	var r capacity
 	for _, m := range machines {
 		n := m.Free.Fits(d.Each)
 		r.all += n
@@ -194,38 +198,39 @@
 			continue
 		}
 		if d.hasImage(m) {
-			r.cached += d.coolRoom(m)
+			r.cached += d.roomBelowHot(m)
 		}
 		if len(d.OtherClasses) > 0 && (d.WaitForBooting || m.Images[d.Image]) && !d.suitsOthers(m.Cap) {
-			r.apart += n
+			r.exclusive += n
 		}
 	}
-	r.apart, r.cached = min(r.apart, want), min(r.cached, want)
+	r.exclusive, r.cached = min(r.exclusive, want), min(r.cached, want)
 	return r
 }
 
-// roomiest returns the machines of the part with most room, or nil where the
-// job fits no single part.
-func roomiest(eligible []*Machine, d *Demand, want int) []*Machine {
-	parts := map[string][]*Machine{}
+// bestShard returns the machines of the shard with the most room, or nil if the job
+// fits into no single shard.
+func bestShard(eligible []*Machine, d *Demand, want int) []*Machine {
+	shards := map[string][]*Machine{}
 	for _, m := range eligible {
-		parts[m.Part] = append(parts[m.Part], m)
+		shards[m.Part] = append(shards[m.Part], m)
 	}
 	var best []*Machine
-	bestName, most := "", room{-1, -1, -1}
-	for name, ms := range parts {
-		r := d.room(ms, want)
+	bestName, largest := "", capacity{-1, -1, -1}
+	for name, ms := range shards {
+		r := d.capacity(ms, want)
 		if r.all < want {
 			continue
 		}
-		if cmp.Or(cmp.Compare(r.apart, most.apart), cmp.Compare(r.cached, most.cached), cmp.Compare(r.all, most.all),
+		if cmp.Or(cmp.Compare(r.exclusive, largest.exclusive), cmp.Compare(r.cached, largest.cached), cmp.Compare(r.all, largest.all),
 			cmp.Compare(bestName, name)) > 0 {
-			best, bestName, most = ms, name, r
+			best, bestName, largest = ms, name, r
 		}
 	}
 	return best
 }
 
+// bestZone returns the machines of the zone with the most room for the demand.
 func bestZone(eligible []*Machine, d *Demand, want int) []*Machine {
 	zones := map[string][]*Machine{}
 	for _, m := range eligible {
@@ -234,11 +239,11 @@
 		}
 	}
 	var best []*Machine
-	bestName, most := "", -1
+	bestName, largest := "", -1
 	for name, ms := range zones {
-		all := d.room(ms, want).all
-		if all > most || all == most && name < bestName {
-			best, bestName, most = ms, name, all
+		all := d.capacity(ms, want).all
+		if all > largest || all == largest && name < bestName {
+			best, bestName, largest = ms, name, all
 		}
 	}
 	return best
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -8,81 +8,81 @@
 	"time"
 )
 
-// Terms are what a job's tasks have in common when something must give way.
+// Terms are the properties that decide on the preemption of a job's tasks.
 type Terms struct {
 	Job, Team   string
-	Rank        int  // index of its priority, 0 is the highest
-	Borrowed    bool // beyond its team's guarantee
+	Rank        int  // index of the job's priority; 0 is the highest
+	Borrowed    bool // runs beyond its team's guarantee
 	Each        Resources
-	CheckpointS float64
+	CheckpointS float64 // seconds between checkpoints; 0: none
 }
 
 // Victim is a task that could be preempted.
 type Victim struct {
 	*Terms
 	Task        int
-	Since       time.Time // running since; zero: not running
-	PlacedByAge bool      // came after waiting its turn: gives way to higher priority alone
+	Since       time.Time // when it began to run; zero if it is not running
+	PlacedByAge bool      // placed because its job had aged: only a higher priority may preempt it
 }
 
-// lost is the work, in seconds, that stopping the task now loses.
-func (v *Victim) lost(now time.Time) float64 {
+// lostWork returns how many seconds of work stopping the task now would lose.
+func (v *Victim) lostWork(now time.Time) float64 {
 	if v.Since.IsZero() {
 		return 0
 	}
-	s := now.Sub(v.Since).Seconds()
+	seconds := now.Sub(v.Since).Seconds()
 	if v.CheckpointS > 0 {
-		s = math.Min(s, v.CheckpointS)
+		seconds = math.Min(seconds, v.CheckpointS)
 	}
-	return s
+	return seconds
 }
 
-// preemption is what a machine would lose by taking one more task.
-type preemption struct {
-	m    *Machine
-	loss float64
+// preemptionCost is the loss on a machine, as chooseVictims counts it, that makes room for one more task.
+type preemptionCost struct {
+	machine *Machine
+	loss    float64
 }
 
-// Excess is what each team's running tasks use beyond its guarantee: no more than that
-// may be stopped to give others theirs.
+// Excess holds what each team's running tasks use beyond the team's guarantee. No more than
+// that may be stopped to give other teams their guarantees.
 type Excess map[string]Resources
 
-// covers reports whether a team would still have its guarantee, in each resource that
-// the task takes, once it is stopped and the chosen ones with it.
+// covers reports whether the task's team would still have its guarantee, in each resource that
+// the task uses, after the task and the tasks chosen so far are stopped.
 func (e Excess) covers(chosen []Victim, t *Terms) bool {
-	left := e[t.Team]
-	left.MemoryGB = math.Inf(1) // nobody is guaranteed memory
+	remaining := e[t.Team]
+	remaining.MemoryGB = math.Inf(1) // memory is never guaranteed
 	for _, v := range chosen {
 		if v.Team == t.Team {
-			left = left.Add(v.Each, -1)
+			remaining = remaining.Add(v.Each, -1)
 		}
 	}
-	return left.Fits(t.Each) > 0
+	return remaining.Fits(t.Each) > 0
 }
 
-// Use counts a running task.
+// Use adds a running task to its team's excess.
 func (e Excess) Use(t *Terms) { e[t.Team] = e[t.Team].Add(t.Each, 1) }
 
-// spend takes a stopped task off.
-func (e Excess) spend(t *Terms) { e[t.Team] = e[t.Team].Add(t.Each, -1) }
+// remove subtracts a stopped task from its team's excess.
+func (e Excess) remove(t *Terms) { e[t.Team] = e[t.Team].Add(t.Each, -1) }
 
-// Preempt picks tasks to stop so that up to missing tasks of d fit, and counts
-// those that get room: by it, or because it is becoming free already. What it stops
-// is taken off the excess.
+// Preempt picks tasks to stop so that up to missing tasks of d fit. It returns these victims
+// and how many tasks of d get room, be it through them or through resources that stopping
+// tasks already release. The victims are subtracted from the excess.
 func Preempt(machines []*Machine, d *Demand, missing int, excess Excess, now time.Time) (victims []Victim, room int) {
-	var yields []preemption
+	var costs []preemptionCost
 	consider := func(m *Machine) {
-		if vs, loss := choose(m, d, m.Free.Add(m.Soon, 1), excess, now); vs != nil {
-			yields = append(yields, preemption{m, loss})
+		if vs, loss := chooseVictims(m, d, m.Free.Add(m.Soon, 1), excess, now); vs != nil {
+			costs = append(costs, preemptionCost{m, loss})
 		}
 	}
 	inZone := maps.Clone(d.InZone)
-	defer func() { d.InZone = inZone }() // none of these is placed yet
+	defer func() { d.InZone = inZone }() // restored, since none of these tasks is placed yet
 	for _, m := range machines {
-		if m.Virtual || !d.takes(m) {
+		if m.Virtual || !d.accepts(m) {
 			continue
 		}
-		// Room that is on its way is kept for these tasks.
+		// Resources that stopping tasks will release are set aside for these tasks first.
 		for room < missing && d.zoneRoom(m.Zone) > 0 && m.Free.Add(m.Soon, 1).Fits(d.Each) > 0 {
 			m.Soon = m.Soon.Add(d.Each, -1)
 			d.InZone[m.Zone]++
@@ -92,39 +92,40 @@
 	}
 	for room < missing {
 		best := -1
-		for i, y := range yields {
-			if d.zoneRoom(y.m.Zone) > 0 && (best < 0 || y.loss < yields[best].loss) {
+		for i, cost := range costs {
+			if d.zoneRoom(cost.machine.Zone) > 0 && (best < 0 || cost.loss < costs[best].loss) {
 				best = i
 			}
 		}
 		if best < 0 {
 			break
 		}
-		y := yields[best]
-		yields = slices.Delete(yields, best, best+1)
-		// What was stopped elsewhere since may have used up a team's excess.
-		vs, loss := choose(y.m, d, y.m.Free.Add(y.m.Soon, 1), excess, now)
-		if loss > y.loss {
-			yields = append(yields, preemption{y.m, loss})
+		cheapest := costs[best]
+		costs = slices.Delete(costs, best, best+1)
+		// Victims chosen on other machines since then may have used up a team's excess.
+		vs, loss := chooseVictims(cheapest.machine, d, cheapest.machine.Free.Add(cheapest.machine.Soon, 1), excess, now)
+		if loss > cheapest.loss {
+			costs = append(costs, preemptionCost{cheapest.machine, loss})
 		}
-		if vs == nil || loss > y.loss {
+		if vs == nil || loss > cheapest.loss {
 			continue
 		}
-		take(y.m, vs, d)
+		recordEvictions(cheapest.machine, vs, d)
 		for _, v := range vs {
-			excess.spend(v.Terms)
+			excess.remove(v.Terms)
 		}
-		d.InZone[y.m.Zone]++
+		d.InZone[cheapest.machine.Zone]++
 		victims = append(victims, vs...)
 		room++
-		consider(y.m)
+		consider(cheapest.machine)
 	}
 	return victims, room
 }
 
-// choose picks what a machine stops first: of those that d may stop, the lowest
-// priority, then the least work lost.
-func choose(m *Machine, d *Demand, free Resources, excess Excess, now time.Time) ([]Victim, float64) {
+// chooseVictims returns the tasks to stop on a machine so that one task of d fits, and the loss: the
+// seconds of work lost plus one for each victim. It returns nil if that can't be done. Of the tasks that d may stop, those of the lowest priority come first,
+// then those that lose the least work.
+func chooseVictims(m *Machine, d *Demand, free Resources, excess Excess, now time.Time) ([]Victim, float64) {
 	var vs []Victim
 	for _, v := range m.Tasks {
 		if v.Rank > d.Rank || d.WithinGuarantee && v.Borrowed && !v.PlacedByAge && v.Team != d.Team {
@@ -132,7 +133,7 @@
 		}
 	}
 	slices.SortFunc(vs, func(a, b Victim) int {
-		return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(a.lost(now), b.lost(now)), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(a.lostWork(now), b.lostWork(now)), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 	})
 	var chosen []Victim
 	loss := 0.0
@@ -141,7 +142,7 @@
 			continue
 		}
 		chosen = append(chosen, v)
-		loss += v.lost(now) + 1
+		loss += v.lostWork(now) + 1
 		if free = free.Add(v.Each, 1); free.Fits(d.Each) > 0 {
 			return chosen, loss
 		}
@@ -149,15 +150,15 @@
 	return nil, 0
 }
 
-// take moves the victims' room to what is soon free, less what d will use.
-func take(m *Machine, victims []Victim, d *Demand) {
-	left := make([]Victim, 0, len(m.Tasks))
+// recordEvictions adds the victims' resources to those that become free soon, less one task of d.
+func recordEvictions(m *Machine, victims []Victim, d *Demand) {
+	remaining := make([]Victim, 0, len(m.Tasks))
 	for _, t := range m.Tasks {
 		if !slices.Contains(victims, t) {
-			left = append(left, t)
+			remaining = append(remaining, t)
 		}
 	}
-	m.Tasks = left // a new list: the old one is the leader's
+	m.Tasks = remaining // a new slice: the old one belongs to the leader
 	for _, v := range victims {
 		m.Soon = m.Soon.Add(v.Each, 1)
 	}
--- a/scheduler/resources.go
+++ b/scheduler/resources.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// Resources are amounts of a machine.
+// Resources are amounts of CPU cores, GPUs and memory.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
+// epsilon absorbs rounding errors in comparisons of resource amounts.
 const epsilon = 1e-6
 
 // Add returns r + n times o.
@@ -12,7 +13,7 @@
 	return Resources{r.CPUs + n*o.CPUs, r.GPUs + n*o.GPUs, r.MemoryGB + n*o.MemoryGB}
 }
 
-// Fits counts how often demand d fits into r.
+// Fits returns how many times d fits into r.
 func (r Resources) Fits(d Resources) int {
 	n := math.Inf(1)
 	for _, p := range [...][2]float64{{r.CPUs, d.CPUs}, {r.GPUs, d.GPUs}, {r.MemoryGB, d.MemoryGB}} {
@@ -23,9 +24,10 @@
 	return int(math.Max(0, math.Min(n, 1<<20)))
 }
 
-// Measure tells the size of what differs in kind: the dominant share, in cores. It is
-// how many cores come with one GPU; 0 where there are no GPUs, and cores alone count.
+// Measure converts resources of different kinds into one size, in cores, by the dominant
+// resource. Its value is the number of cores that count as much as one GPU; it is 0 where
+// there are no GPUs, and then only cores count.
 type Measure float64
 
-// Of returns the size of r.
+// Of returns the size of r in cores.
 func (m Measure) Of(r Resources) float64 { return math.Max(r.CPUs, r.GPUs*float64(m)) }
--- a/scheduler/restart.go
+++ b/scheduler/restart.go
@@ -1,63 +1,65 @@
 package scheduler
 
-// Restarts after the loss of a zone: the order in which work starts again, and how many tasks may
+// Restarts after the loss of a zone: the order in which work starts again, and the limit on tasks that
 // start in a zone at once.
 
-// RestartPhase orders demands while work of a failed zone restarts. Otherwise all have the first.
+// RestartPhase orders demands while work of a failed zone restarts. At all other times every demand is
+// in the first phase.
 type RestartPhase uint8
 
-// The phases, the first one first.
+// The phases, in the order in which they restart.
 const (
-	RestartProdServices  RestartPhase = iota // users wait for them
+	RestartProdServices  RestartPhase = iota // services that users wait for
 	RestartServices                          // other services
-	RestartTimelyBatches                     // batches that are to finish by a time, overdue or not
-	RestartRest
+	RestartTimelyBatches                     // batch jobs with a deadline, overdue or not
+	RestartRest                              // everything else
 )
 
-// servicePhase is the phase as far as it orders services among each other and before batches.
+// servicePhase returns the phase with all batch phases made equal: it orders services among each other
+// and before batch jobs.
 func (d *Demand) servicePhase() RestartPhase { return min(d.Phase, RestartTimelyBatches) }
 
-// StartLimit bounds the starts of one zone in a round, for all demands together.
+// StartLimit limits how many tasks all demands together may start in one zone in a placement round.
 type StartLimit struct {
-	Starts    int                    // that may still be made
-	Fetches   func(image string) int // that may still be made on machines without the image
-	BoundOnly bool                   // only for demands that can go nowhere else
-	HeldBack  bool                   // a task had room and was held back
+	Starts    int                    // starts that are still allowed
+	Fetches   func(image string) int // starts allowed in the round on machines without the image
+	BoundOnly bool                   // only demands that can run in no other zone may start
+	HeldBack  bool                   // set if the limit delayed a task that had room
 
-	fetched map[string]int // starts on machines without the image, in this round
+	fetched map[string]int // starts on machines without the image in this round, by image
 }
 
-// boundTo reports whether a demand can go nowhere but to a zone.
-func (d *Demand) boundTo(zone string) bool {
+// pinnedTo reports whether a demand can run in no zone but this one.
+func (d *Demand) pinnedTo(zone string) bool {
 	return d.Zone == zone || d.OnlyZone == zone || d.OneZone && d.InZone[zone] > 0
 }
 
-// limitedTo reports whether a demand can go nowhere but to a zone whose starts are limited: it comes
-// first there.
-func (d *Demand) limitedTo() bool {
+// pinnedToLimitedZone reports whether a demand can run only in a zone whose starts are limited. Such demands
+// are ordered before others.
+func (d *Demand) pinnedToLimitedZone() bool {
 	for zone := range d.Limits {
-		if d.boundTo(zone) {
+		if d.pinnedTo(zone) {
 			return true
 		}
 	}
 	return false
 }
 
-// room is how many tasks of a demand may still start in the zone.
+// room returns how many more tasks of a demand may start in the zone, whatever their images.
 func (l *StartLimit) room(d *Demand) int {
-	if l.BoundOnly && !d.limitedTo() {
+	if l.BoundOnly && !d.pinnedToLimitedZone() {
 		return 0
 	}
 	return max(l.Starts, 0)
 }
 
-// allows reports whether a task may start on a machine of the zone.
+// allows reports whether a task of the demand may start on a machine of the zone.
 func (l *StartLimit) allows(d *Demand, m *Machine) bool {
 	return l.room(d) > 0 && (m.Images[d.Image] || l.fetched[d.Image] < l.Fetches(d.Image))
 }
 
-// take counts starts on a machine of the zone; a negative number gives them back.
-func (l *StartLimit) take(d *Demand, m *Machine, starts int) {
+// count records starts on a machine of the zone; a negative number undoes them.
+func (l *StartLimit) count(d *Demand, m *Machine, starts int) {
 	l.Starts -= starts
 	if m.Images[d.Image] {
 		return
@@ -68,7 +70,8 @@
 	l.fetched[d.Image] += starts
 }
 
-// mayStart reports whether the limit of a machine's zone, if it has one, allows a start.
+// mayStart reports whether the limit of a machine's zone, if there is one, allows a start. If it does not,
+// it marks the limit as having delayed a task.
 func (d *Demand) mayStart(m *Machine) bool {
 	limit := d.Limits[m.Zone]
 	if limit == nil || limit.allows(d, m) {
@@ -78,10 +81,11 @@
 	return false
 }
 
-// countStarts counts starts on a machine against the limit of its zone.
+// countStarts records starts on a machine for the demand and for the limit of the machine's zone. A negative
+// number undoes them.
 func (d *Demand) countStarts(m *Machine, starts int) {
 	d.InZone[m.Zone] += starts
 	if limit := d.Limits[m.Zone]; limit != nil {
-		limit.take(d, m, starts)
+		limit.count(d, m, starts)
 	}
 }
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -7,18 +7,18 @@
 	"pgregory.net/rapid"
 )
 
-// While a zone's work restarts, services come before batches and, among each other, prod first;
-// batches by their phase, within guarantees. Age and guarantees keep their place.
+// While a zone's work restarts, services come before batch jobs, prod services first. Batch jobs are
+// ordered by phase, but only after age and guarantees.
 func TestRestartPhasesOrderDemands(t *testing.T) {
 	named := func(job string, service bool, phase RestartPhase) *Demand {
 		return &Demand{Job: job, Service: service, Rank: 2, Phase: phase, WithinGuarantee: true}
 	}
-	// By all that comes after the phase, work and name, they would stand the other way round.
+	// Work and name, which are compared after the phase, would order the demands the other way round.
 	aged, borrowed := named("f-aged", false, RestartRest), named("a-borrowed", false, RestartTimelyBatches)
 	aged.Aged, aged.AgeS, borrowed.WithinGuarantee = true, 100, false
 	prod, other := named("z-prod", true, RestartProdServices), named("b-service", true, RestartServices)
 	timely, rest := named("y-timely", false, RestartTimelyBatches), named("c-rest", false, RestartRest)
-	prod.WorkS, prod.WithinGuarantee, timely.WorkS = 9, false, 9 // services first, whatever their guarantee
+	prod.WorkS, prod.WithinGuarantee, timely.WorkS = 9, false, 9 // services come first even beyond their guarantee
 	ds := []*Demand{rest, borrowed, other, timely, aged, prod}
 	Order(ds)
 	var got []string
@@ -30,8 +30,8 @@
 	}
 }
 
-// Whatever is placed, no zone gets more starts or fetches than its limit leaves, a lost zone only
-// what is bound to it, and what a gang gives back can be used by others.
+// No zone gets more starts or fetches than its limit allows, a limit with BoundOnly admits only demands
+// that can run in no other zone, and starts of a gang that does not fit are returned to the limit.
 func TestStartLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := append(machines(rapid.IntRange(1, 6).Draw(t, "in a"), "a", 8), machines(3, "b", 8)...)
@@ -46,20 +46,20 @@
 			d.Gang, d.OneZone = rapid.Bool().Draw(t, "gang"), rapid.Bool().Draw(t, "one zone")
 			d.Zone = rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
 			d.Limits = map[string]*StartLimit{"a": limit}
-			bound := d.boundTo("a")
+			bound := d.pinnedTo("a")
 			for _, p := range Place(ms, d) {
 				if p.Machine.Zone != "a" {
 					continue
 				}
 				if limit.BoundOnly && !bound {
-					t.Fatalf("%+v starts in a lost zone", d)
+					t.Fatalf("%+v starts in a zone that admits only demands pinned to it", d)
 				}
 				started++
-				fetched += flag(!p.Machine.Images["img"])
+				fetched += boolToInt(!p.Machine.Images["img"])
 			}
 		}
 		if started > starts || fetched > fetches || limit.Starts != starts-started {
-			t.Fatalf("%d of %d starts, %d of %d fetches; %d left", started, starts, fetched, fetches, limit.Starts)
+			t.Fatalf("%d starts of %d allowed, %d fetches of %d allowed; limit has %d starts left", started, starts, fetched, fetches, limit.Starts)
 		}
 	})
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -26,8 +26,8 @@
 		Each: Resources{CPUs: cpus, MemoryGB: 1}, Image: "img", InZone: map[string]int{}}
 }
 
-// TestPlaceKeepsConstraints checks room, zones, kinds and the team's limit on
-// random machines and demands.
+// Placements on random machines respect free resources, zones, spot machines, cached images and
+// the team's limit.
 func TestPlaceKeepsConstraints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ms []*Machine
@@ -39,12 +39,12 @@
 		}
 		d := demand(rapid.IntRange(1, 12).Draw(t, "tasks"), float64(rapid.IntRange(1, 4).Draw(t, "each")))
 		d.RoomInTeam = rapid.IntRange(0, 12).Draw(t, "room")
-		d.Spread, d.Spot, d.Gang = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "lend"), rapid.Bool().Draw(t, "gang")
+		d.Spread, d.Spot, d.Gang = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "spot allowed"), rapid.Bool().Draw(t, "gang")
 		d.OneZone = !d.Spread && rapid.Bool().Draw(t, "one zone")
-		d.SpreadImages, d.CachedOnly = rapid.Bool().Draw(t, "loose"), rapid.Bool().Draw(t, "cached only")
+		d.SpreadImages, d.CachedOnly = rapid.Bool().Draw(t, "spread images"), rapid.Bool().Draw(t, "cached only")
 		placed := Place(ms, d)
 		if len(placed) > min(len(d.Tasks), d.RoomInTeam) || d.Gang && len(placed) > 0 && len(placed) < len(d.Tasks) {
-			t.Fatalf("placed %d", len(placed))
+			t.Fatalf("placed %d tasks: more than allowed, or only a part of a gang", len(placed))
 		}
 		zones, used := map[string]int{}, map[*Machine]float64{}
 		for _, p := range placed {
@@ -52,7 +52,7 @@
 			zones[m.Zone]++
 			used[m] += d.Each.CPUs
 			if m.Spot && !d.Spot || d.CachedOnly && !m.Images["img"] {
-				t.Fatalf("placed on %+v", m)
+				t.Fatalf("placed on a machine that the demand excludes: %+v", m)
 			}
 		}
 		for m, u := range used {
@@ -62,13 +62,13 @@
 		}
 		for _, n := range zones {
 			if d.OneZone && len(zones) > 1 || d.Spread && n > (d.Total+1)/2 {
-				t.Fatalf("zones %v of %d", zones, d.Total)
+				t.Fatalf("tasks by zone %v of %d in all", zones, d.Total)
 			}
 		}
 	})
 }
 
-func TestPlacePrefersThePartWithItsImage(t *testing.T) {
+func TestPlacePrefersTheShardWithItsImage(t *testing.T) {
 	ms := machines(4, "x", 16)
 	ms[3].Images["img"] = true
 	ms[3].Free.CPUs = 4
@@ -77,16 +77,16 @@
 	}
 }
 
-func TestPlaceTooBigForAnyPartSpansAll(t *testing.T) {
+func TestPlaceTooBigForAnyShardSpansAll(t *testing.T) {
 	ms := machines(4, "x", 4)
 	if p := Place(ms, demand(15, 1)); len(p) != 15 {
 		t.Fatalf("placed %d of 15", len(p))
 	}
 }
 
-// Two small tasks side by side leave room for one more large one than the same
-// two on two machines.
-func TestSpreadPlacementDisplacesLittle(t *testing.T) {
+// Two small tasks on one machine leave room for one more large task than the same two on two
+// machines.
+func TestSpreadPlacementKeepsRoomForOtherClasses(t *testing.T) {
 	ms := machines(2, "x", 16)
 	ms[0].Images["img"], ms[1].Images["img"] = true, true
 	d := demand(2, 2)
@@ -96,7 +96,7 @@
 	}
 }
 
-// An image that is nowhere yet comes to as many machines as there are tasks.
+// An image that no machine has yet is spread over as many machines as there are tasks.
 func TestPlacementSpreadsANewImage(t *testing.T) {
 	ms := machines(2, "x", 16)
 	d := demand(2, 2)
@@ -109,8 +109,8 @@
 	}
 }
 
-// A job that others wait for takes an ordinary machine, even where a spot machine has its
-// image; others take the spot machine and leave the ordinary one.
+// A job that other jobs wait for uses a non-spot machine, even if a spot machine has its image. Other
+// jobs that tolerate spot machines use those and leave the non-spot machine free.
 func TestPlaceKeepsChainsOffSpotMachines(t *testing.T) {
 	for _, keepOff := range []bool{false, true} {
 		machines := []*Machine{
@@ -141,12 +141,12 @@
 	Order(ds)
 	for i, d := range ds {
 		if d.Job != names[i] {
-			t.Errorf("place %d: %s, want %s", i, d.Job, names[i])
+			t.Errorf("position %d: %s, want %s", i, d.Job, names[i])
 		}
 	}
 }
 
-// A team is never stopped below its guarantee, however many of its jobs go beyond it.
+// Preemption never brings a team below its guarantee, however many of its jobs run beyond it.
 func TestPreemptLeavesTheGuarantee(t *testing.T) {
 	for _, c := range []struct {
 		excess float64
@@ -161,7 +161,7 @@
 		d := demand(6, 4)
 		d.Rank, d.Team, d.WithinGuarantee = 2, "red", true
 		if vs, _ := Preempt(ms, d, 6, Excess{"blue": {CPUs: c.excess}}, time.Time{}); len(vs) != c.want {
-			t.Errorf("%d tasks of 4 cores stopped for an excess of %v, want %d", len(vs), c.excess, c.want)
+			t.Errorf("%d tasks of 4 cores stopped with an excess of %v cores, want %d", len(vs), c.excess, c.want)
 		}
 	}
 }
@@ -181,21 +181,21 @@
 		within bool
 		want   bool
 	}{
-		"lower priority":            {Terms{Rank: 3, Team: "red"}, false, true},
-		"same priority":             {Terms{Rank: 2, Team: "blue"}, true, false},
-		"borrowed, for a guarantee": {Terms{Rank: 2, Team: "blue", Borrowed: true}, true, true},
-		"borrowed, for borrowed":    {Terms{Rank: 2, Team: "blue", Borrowed: true}, false, false},
-		"borrowed by the same team": {Terms{Rank: 2, Team: "red", Borrowed: true}, true, false},
-		"higher priority, borrowed": {Terms{Rank: 0, Team: "blue", Borrowed: true}, true, true},
-		"higher priority, its own":  {Terms{Rank: 0, Team: "blue"}, true, false},
+		"lower priority":                        {Terms{Rank: 3, Team: "red"}, false, true},
+		"same priority":                         {Terms{Rank: 2, Team: "blue"}, true, false},
+		"borrowed, for a guarantee":             {Terms{Rank: 2, Team: "blue", Borrowed: true}, true, true},
+		"borrowed, for borrowed":                {Terms{Rank: 2, Team: "blue", Borrowed: true}, false, false},
+		"borrowed by the same team":             {Terms{Rank: 2, Team: "red", Borrowed: true}, true, false},
+		"higher priority, borrowed":             {Terms{Rank: 0, Team: "blue", Borrowed: true}, true, true},
+		"higher priority, within its guarantee": {Terms{Rank: 0, Team: "blue"}, true, false},
 	} {
 		d.WithinGuarantee = c.within
 		vs, room := Preempt(full(c.victim), d, 1, Excess{"blue": {CPUs: 4}, "red": {CPUs: 4}}, time.Time{})
 		if room == 1 != c.want || len(vs) > 0 != c.want {
-			t.Errorf("%s: %v %v", name, vs, room)
+			t.Errorf("%s: victims %v, room for %d tasks", name, vs, room)
 		}
 	}
-	// Room that is becoming free is kept for one task and stops nothing more.
+	// Resources that stopping tasks release are set aside for one task, and nothing more is stopped.
 	ms := full(Terms{Rank: 3})
 	ms[0].Soon = Resources{CPUs: 2, MemoryGB: 2}
 	if vs, room := Preempt(ms, d, 1, nil, time.Time{}); vs != nil || room != 1 || ms[0].Soon.CPUs != 0 {
@@ -223,36 +223,36 @@
 	}
 }
 
-func TestPartsMoveOnlyTheEndedControllersMachines(t *testing.T) {
+func TestShardsMoveOnlyTheStoppedControllersMachines(t *testing.T) {
 	all, rest := []string{"n0", "n1", "n2"}, []string{"n0", "n2"}
-	seen := map[string]int{}
+	machinesOf := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprintf("i-%06d", i)
 		before, after := PartOf(id, all), PartOf(id, rest)
-		seen[before]++
+		machinesOf[before]++
 		if before != "n1" && before != after {
 			t.Fatalf("%s moved from %s to %s", id, before, after)
 		}
 	}
 	for _, n := range all {
-		if seen[n] < 60 {
-			t.Errorf("%s has %d of 300 machines", n, seen[n])
+		if machinesOf[n] < 60 {
+			t.Errorf("%s has %d of 300 machines", n, machinesOf[n])
 		}
 	}
 }
 
-// simulateLoad plays rounds on one machine-sized world: small jobs never stop coming, and
-// each class and team has one large job. It returns when each large one began and
-// how many of its tasks were placed.
-func simulateLoad(t *testing.T, large []*Demand) (began map[string]int, served map[string]int) {
+// simulateLoad runs 600 placement rounds on four machines with a steady arrival of small jobs
+// next to the given large ones. It returns the round in which each large job first started and how
+// many of its tasks were placed.
+func simulateLoad(t *testing.T, large []*Demand) (startedAt map[string]int, served map[string]int) {
 	t.Helper()
 	ms := machines(4, "x", 16)
-	began, served = map[string]int{}, map[string]int{}
+	startedAt, served = map[string]int{}, map[string]int{}
 	type busy struct {
 		m    *Machine
 		each Resources
 		ends int
-		old  bool
+		aged bool
 	}
 	var running []busy
 	for round := range 600 {
@@ -260,7 +260,7 @@
 		running = slices.DeleteFunc(running, func(b busy) bool {
 			if b.ends <= round {
 				b.m.Free = b.m.Free.Add(b.each, 1)
-			} else if b.old {
+			} else if b.aged {
 				reserve -= b.each.CPUs
 			}
 			return b.ends <= round
@@ -280,9 +280,9 @@
 				ds = append(ds, &d)
 			}
 		}
-		now := make([]Resources, len(ms))
+		freeBefore := make([]Resources, len(ms))
 		for i, m := range ms {
-			now[i] = m.Free
+			freeBefore[i] = m.Free
 		}
 		for _, d := range OrderWithAging(ds, max(reserve, 0)) {
 			ps := Place(ms, d)
@@ -295,15 +295,15 @@
 			for _, l := range large {
 				if l.Job == d.Job && len(ps) > 0 {
 					if served[l.Job] == 0 {
-						began[l.Job] = round
+						startedAt[l.Job] = round
 					}
 					served[l.Job] += len(ps)
 					l.Tasks = l.Tasks[len(ps):]
 				}
 			}
 		}
-		for i, m := range ms { // what was held is free again in the next round
-			m.Free = now[i]
+		for i, m := range ms { // reserved resources are free again in the next round
+			m.Free = freeBefore[i]
 		}
 		for _, b := range running {
 			if b.ends == round+7 {
@@ -311,11 +311,11 @@
 			}
 		}
 	}
-	return began, served
+	return startedAt, served
 }
 
-// Small jobs that never stop coming must not starve a class's or a team's largest.
-func TestTheLargestAreServed(t *testing.T) {
+// A steady arrival of small jobs must not starve the largest job of any class or team.
+func TestLargestJobsAreNotStarved(t *testing.T) {
 	var large []*Demand
 	for _, class := range []string{"batch", "nightly"} {
 		for _, team := range []string{"red", "blue"} {
@@ -324,31 +324,31 @@
 			large = append(large, d)
 		}
 	}
-	whole := demand(2, 16) // needs whole machines, which never come free by themselves
+	whole := demand(2, 16) // needs whole machines, which never become free without a reservation
 	whole.Job, whole.Class, whole.Team, whole.Rank, whole.WorkS, whole.Late = "whole", "wide", "red", 2, 1e6, 1
 	gang := demand(3, 12)
 	gang.Job, gang.Class, gang.Team, gang.Rank, gang.WorkS, gang.Gang = "gang", "gang", "blue", 2, 1e6, true
 	large = append(large, whole, gang)
-	began, served := simulateLoad(t, large)
+	startedAt, served := simulateLoad(t, large)
 	for _, d := range large {
-		if at, ok := began[d.Job]; !ok || at > 240 {
-			t.Errorf("%s began after %d rounds, ever: %v", d.Job, at, ok)
+		if at, ok := startedAt[d.Job]; !ok || at > 240 {
+			t.Errorf("%s started in round %d (started at all: %v), want round 240 at the latest", d.Job, at, ok)
 		}
 		if served[d.Job] < d.Total/2 {
-			t.Errorf("%s: %d of %d tasks served", d.Job, served[d.Job], d.Total)
+			t.Errorf("%s: %d of %d tasks placed, want at least half", d.Job, served[d.Job], d.Total)
 		}
 	}
 }
 
-// Preemption leaves each team its guarantee, in every resource that is guaranteed:
-// one that is used beyond it, or has none at all, does not make up for another, and
-// tasks of one team that give way together on one machine count together.
-func TestPreemptLeavesEveryGuaranteeWhole(t *testing.T) {
+// Preemption leaves each team its guarantee in every guaranteed resource. Use beyond the
+// guarantee in one resource, or a resource without a guarantee, does not make up for another.
+// Victims of one team on the same machine count together.
+func TestPreemptKeepsEveryGuaranteedResource(t *testing.T) {
 	infinite := math.Inf(1)
 	each := Resources{CPUs: 5, GPUs: 1, MemoryGB: 27}
 	for _, c := range []struct {
 		excess Resources
-		gpus   float64 // that the demand takes at once
+		gpus   float64 // GPUs of one task of the demand
 		want   int     // tasks that may be stopped
 	}{
 		{Resources{CPUs: infinite, GPUs: 0}, 1, 0},
@@ -370,9 +370,9 @@
 	}
 }
 
-// Where GPUs are what is scarce, cores alone would take a machine with few cores left
-// and both GPUs for the fuller one, and break into it.
-func TestPlaceMeasuresByTheDominantShare(t *testing.T) {
+// Where GPUs are scarce, comparing machines by cores alone would treat a machine with few free
+// cores and both GPUs as the more loaded one and break up its pair of GPUs.
+func TestPlaceComparesMachinesByDominantShare(t *testing.T) {
 	ms := machines(2, "x", 12)
 	ms[0].Free, ms[1].Free = Resources{CPUs: 5, GPUs: 2, MemoryGB: 64}, Resources{CPUs: 8, GPUs: 1, MemoryGB: 64}
 	ms[1].Part = ms[0].Part
@@ -388,14 +388,14 @@
 	}
 }
 
-// TestPreemptNeverTakesAGuarantee plays rounds of preemption between teams that are
-// guaranteed GPUs, cores or both, and checks after each that no team was brought below
-// what it is guaranteed. The last round is played with an excess that is one task too
-// large, to show that the check detects it.
-func TestPreemptNeverTakesAGuarantee(t *testing.T) {
+// TestPreemptNeverBreaksAGuarantee draws rounds of preemption between teams that are
+// guaranteed GPUs, cores or both, and checks after each that no team was brought below its
+// guarantee. A second series of rounds uses an excess that is one task too large, to show
+// that the check detects it.
+func TestPreemptNeverBreaksAGuarantee(t *testing.T) {
 	infinite := math.Inf(1)
-	var broken int
-	round := func(t *rapid.T, wrong bool) {
+	var violations int
+	round := func(t *rapid.T, excessTooLarge bool) {
 		guarantees := map[string]Resources{}
 		for _, team := range []string{"red", "blue"} {
 			guarantees[team] = rapid.SampledFrom([]Resources{{CPUs: infinite, GPUs: 3}, {CPUs: 12, GPUs: infinite}, {CPUs: 20, GPUs: 2}, {}}).Draw(t, team)
@@ -422,7 +422,7 @@
 			}
 			ms = append(ms, m)
 		}
-		if wrong {
+		if excessTooLarge {
 			for team := range excess {
 				excess[team] = excess[team].Add(Resources{CPUs: 6, GPUs: 1}, 1)
 			}
@@ -432,23 +432,23 @@
 		before := maps.Clone(use)
 		victims, _ := Preempt(ms, d, len(d.Tasks), excess, time.Time{})
 		for _, v := range victims {
-			use.spend(v.Terms)
+			use.remove(v.Terms)
 		}
 		below := func(was, is, guarantee float64) bool {
 			return guarantee != infinite && is < was && is < guarantee-epsilon
 		}
 		for team, g := range guarantees {
 			if below(before[team].CPUs, use[team].CPUs, g.CPUs) || below(before[team].GPUs, use[team].GPUs, g.GPUs) {
-				broken++
-				if !wrong {
-					t.Fatalf("team %s is left with %+v of %+v", team, use[team], g)
+				violations++
+				if !excessTooLarge {
+					t.Fatalf("team %s is left with %+v, guaranteed are %+v", team, use[team], g)
 				}
 			}
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) { round(t, false) })
 	rapid.Check(t, func(t *rapid.T) { round(t, true) })
-	if broken == 0 {
-		t.Error("an excess that is too large breaks nothing: the check does not detect it")
+	if violations == 0 {
+		t.Error("an excess that is too large broke no guarantee: the check does not detect it")
 	}
 }
