--- a/balance/allowance.go
+++ b/balance/allowance.go
@@ -1,21 +1,21 @@
 package balance
 
-// Allowance is how many moves may be begun now. Of one job it is never more than one at a time: of a
-// service no two replicas are away at once.
+// Allowance limits the moves that may be started now. A job never has more than one move under way, so that
+// no two replicas of a service are down at once.
 type Allowance struct {
-	Moves  int             // moves that may be begun in all
-	InTeam int             // moves that a team may have under way
-	Teams  map[string]int  // moves under way, by team
-	Jobs   map[string]bool // jobs with a move under way
+	Moves      int             // moves that may be started in all
+	MaxPerTeam int             // moves that one team may have under way
+	Teams      map[string]int  // moves under way, by team
+	Jobs       map[string]bool // jobs with a move under way
 }
 
-// allows reports whether a task may be moved within what is allowed.
+// allows reports whether the limits permit a move of a task.
 func (a *Allowance) allows(t *Task) bool {
-	return a.Moves > 0 && !a.Jobs[t.Job] && a.Teams[t.Team] < a.InTeam
+	return a.Moves > 0 && !a.Jobs[t.Job] && a.Teams[t.Team] < a.MaxPerTeam
 }
 
-// take counts a move.
-func (a *Allowance) take(t *Task) {
+// record counts a move against the limits.
+func (a *Allowance) record(t *Task) {
 	a.Moves--
 	a.Teams[t.Team]++
 	a.Jobs[t.Job] = true
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,5 +1,5 @@
-// Package balance decides how load is spread over the machines of a fleet: which machines are hot, which
-// running tasks should move, and how the moves under way are followed and bounded. It does no I/O, reads
-// no clock and proves nothing: a move is an ordinary stop and an ordinary placement, made by whoever
-// drives the package. docs/load-spreading.md has the reasons.
+// Package balance spreads load over the machines of a fleet: it decides which machines are hot and which
+// running tasks should move, and it tracks and limits the moves under way. It does no I/O and reads no
+// clock. It never establishes that an attempt has ended: a move is an ordinary stop and an ordinary
+// placement, which the caller carries out. docs/load-spreading.md explains the design.
 package balance
--- a/balance/ledger.go
+++ b/balance/ledger.go
@@ -10,23 +10,23 @@
 	"pumicefront/scheduler"
 )
 
-// Phase is how far a move has come.
+// Phase is the progress of a move.
 type Phase uint8
 
 // The phases of a move.
 const (
-	Stopping Phase = iota // the old attempt is in force
-	Waiting               // it is gone, the new one is not placed
-	Starting              // the new one is placed and not seen running
+	Stopping Phase = iota // the old attempt is still active
+	Waiting               // the old attempt has ended, the new one is not placed yet
+	Starting              // the new attempt is placed, but not known to run yet
 )
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string { return [...]string{"stopping", "waiting", "starting"}[p] }
 
-// MarshalText spells the phase in a status.
+// MarshalText writes the name of the phase, for a Status.
 func (p Phase) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads a phase from a status.
+// UnmarshalText reads the name of a phase from a Status. An unknown name leaves the phase unchanged.
 func (p *Phase) UnmarshalText(text []byte) error {
 	for _, known := range []Phase{Stopping, Waiting, Starting} {
 		if known.String() == string(text) {
@@ -36,112 +36,112 @@
 	return nil
 }
 
-// Outcome is how a move has ended.
+// Outcome is the result of a move that has ended.
 type Outcome string
 
 // The outcomes of moves.
 const (
 	Moved     Outcome = "moved"     // the task runs at the destination
-	Diverted  Outcome = "diverted"  // it runs on another machine
-	Completed Outcome = "completed" // it was done before it was stopped
-	Cancelled Outcome = "cancelled" // its job was
+	Diverted  Outcome = "diverted"  // the task runs on another machine than the destination
+	Completed Outcome = "completed" // the task completed before it was stopped
+	Cancelled Outcome = "cancelled" // the task's job was cancelled
 )
 
-// Loss is why held room was given up.
+// Loss is the reason why reserved room was released.
 type Loss string
 
-// The reasons for giving up held room.
+// The reasons for releasing reserved room.
 const (
-	LossDestination Loss = "destination" // it can't take the task any more
-	LossTimeOut     Loss = "time-out"    // it was held for longer than Settings.Hold
-	LossUrgent      Loss = "urgent"      // what is urgent has taken it
-	LossOver        Loss = "over"        // the move is over
+	LossDestination Loss = "destination" // the destination can't run the task any more
+	LossTimeOut     Loss = "time-out"    // the room was reserved for longer than Settings.Hold
+	LossUrgent      Loss = "urgent"      // an urgent task took the room
+	LossOver        Loss = "over"        // the move has ended, or its new attempt occupies its own room
 )
 
 // Entry is a move under way.
 type Entry struct {
 	Move
-	Attempt uint64    // the one that is moved
-	Phase   Phase     // how far the move has come
-	Held    bool      // room is held for it at its destination
-	Began   time.Time // when the move was begun
+	Attempt uint64    // number of the attempt that is moved away
+	Phase   Phase     // progress of the move
+	Held    bool      // room is reserved for the task at its destination
+	Began   time.Time // when the move started
 }
 
-// Seen is what is known of a task that is being moved.
+// Seen is the observed state of a task that is being moved.
 type Seen struct {
-	Cancelled, Completed bool   // its job is cancelled; the task is completed
-	InForce              bool   // an attempt of it is in force
-	Attempt              uint64 // its number
-	Machine              string // where it is
-	Running              bool   // it is known to run
-	DestinationLost      bool   // the destination can take nothing any more
+	Cancelled, Completed bool   // the task's job is cancelled; the task is completed
+	InForce              bool   // an attempt of the task is active
+	Attempt              uint64 // number of the active attempt
+	Machine              string // machine of the active attempt
+	Running              bool   // the active attempt is known to run
+	DestinationLost      bool   // the destination can't run any task now
 }
 
-// Change is what has become of a move.
+// Change is a change of a move under way. It embeds the state after the change.
 type Change struct {
 	Entry
-	Was     Phase   // as it was before
-	Outcome Outcome // empty: it is under way
-	Loss    Loss    // empty: no room was given up
+	Was     Phase   // the phase before the change
+	Outcome Outcome // empty if the move is still under way
+	Loss    Loss    // empty if no room was released
 }
 
-// Ledger follows the moves under way, holds room for them, and bounds them over time. It begins with
-// nothing to spend, so that many leaders in a row move no more than one would.
+// Ledger tracks the moves under way, reserves room for them and limits their rate. It starts with an empty
+// budget, so that several leaders in quick succession start no more moves than a single one would.
 type Ledger struct {
 	settings   Settings
 	entries    map[TaskID]*Entry
-	moved      map[TaskID]time.Time // when tasks were moved last
-	budget     float64              // moves that may be begun
+	movedAt    map[TaskID]time.Time // when the last move of each task started
+	budget     float64              // moves that the rate limit permits now; a token bucket
 	refilledAt time.Time
 	counts     Counts
 }
 
-// Counts are of the moves of one leader.
+// Counts are the numbers of moves since the leader took office.
 type Counts struct {
-	Begun    int             `json:"begun"`              // moves begun
-	Outcomes map[Outcome]int `json:"outcomes,omitempty"` // moves that are over, by outcome
-	Losses   map[Loss]int    `json:"losses,omitempty"`   // held rooms that were given up while the move was under way
+	Begun    int             `json:"begun"`              // moves started
+	Outcomes map[Outcome]int `json:"outcomes,omitempty"` // moves that have ended, by outcome
+	Losses   map[Loss]int    `json:"losses,omitempty"`   // reservations that were released while their move was under way, by reason
 }
 
-// NewLedger returns a ledger with nothing to spend.
+// NewLedger returns a ledger without moves and with an empty budget.
 func NewLedger(s Settings, now time.Time) *Ledger {
-	return &Ledger{settings: s, entries: map[TaskID]*Entry{}, moved: map[TaskID]time.Time{}, refilledAt: now,
+	return &Ledger{settings: s, entries: map[TaskID]*Entry{}, movedAt: map[TaskID]time.Time{}, refilledAt: now,
 		counts: Counts{Outcomes: map[Outcome]int{}, Losses: map[Loss]int{}}}
 }
 
-// burstSeconds is for how long moves that were not begun are saved up.
+// burstSeconds is the time for which unused budget accumulates, in seconds.
 const burstSeconds = 5
 
-// Allowance is what may be begun now in a fleet of so many machines, where others moves are under way
-// that the ledger doesn't know, an earlier leader's.
+// Allowance returns the limits on the moves to start now in a fleet of the given number of machines. others
+// is the number of moves under way that the ledger does not track because an earlier leader started them.
 func (l *Ledger) Allowance(now time.Time, machines, others int) *Allowance {
-	rate := l.settings.perSecond(machines)
+	rate := l.settings.movesPerSecond(machines)
 	l.budget = math.Min(l.budget+rate*now.Sub(l.refilledAt).Seconds(), math.Max(1, rate*burstSeconds))
 	l.refilledAt = now
-	a := &Allowance{InTeam: l.settings.inTeam(machines), Teams: map[string]int{}, Jobs: map[string]bool{}}
+	a := &Allowance{MaxPerTeam: l.settings.maxMovesPerTeam(machines), Teams: map[string]int{}, Jobs: map[string]bool{}}
 	for _, e := range l.entries {
 		a.Teams[e.Team]++
 		a.Jobs[e.Job] = true
 	}
-	a.Moves = max(0, min(int(l.budget), l.settings.inFlight(machines)-len(l.entries)-others))
+	a.Moves = max(0, min(int(l.budget), l.settings.maxMovesInFlight(machines)-len(l.entries)-others))
 	return a
 }
 
-// Begin enters a move: from now on room is held for it.
+// Begin adds a move of the given attempt and reserves room at its destination.
 func (l *Ledger) Begin(now time.Time, m Move, attempt uint64) {
 	l.budget--
 	l.counts.Begun++
-	l.moved[m.TaskID] = now
+	l.movedAt[m.TaskID] = now
 	l.entries[m.TaskID] = &Entry{Move: m, Attempt: attempt, Held: true, Began: now}
 }
 
-// MovedLately reports whether a task was moved not long ago.
+// MovedLately reports whether the last move of a task started less than Settings.Stay ago.
 func (l *Ledger) MovedLately(now time.Time, id TaskID) bool {
-	at, moved := l.moved[id]
+	at, moved := l.movedAt[id]
 	return moved && now.Sub(at) < l.settings.Stay
 }
 
-// Entry returns the move of a task, if it is being moved.
+// Entry returns the move of a task, and false if the task is not being moved.
 func (l *Ledger) Entry(id TaskID) (Entry, bool) {
 	e := l.entries[id]
 	if e == nil {
@@ -150,7 +150,7 @@
 	return *e, true
 }
 
-// Entries lists the moves under way by task.
+// Entries returns the moves under way, sorted by task.
 func (l *Ledger) Entries() []Entry {
 	all := make([]Entry, 0, len(l.entries))
 	for _, e := range l.entries {
@@ -160,7 +160,7 @@
 	return all
 }
 
-// Len is how many moves are under way.
+// Len returns the number of moves under way.
 func (l *Ledger) Len() int { return len(l.entries) }
 
 // Counts returns a copy of the counts so far.
@@ -168,7 +168,7 @@
 	return Counts{Begun: l.counts.Begun, Outcomes: maps.Clone(l.counts.Outcomes), Losses: maps.Clone(l.counts.Losses)}
 }
 
-// HeldOn is the room that is held on a machine.
+// HeldOn returns the resources that are reserved on a machine.
 func (l *Ledger) HeldOn(machine string) scheduler.Resources {
 	held := scheduler.Resources{}
 	for _, e := range l.entries {
@@ -179,7 +179,7 @@
 	return held
 }
 
-// GiveUp gives up the room that is held for a task.
+// GiveUp releases the room that is reserved for a task. It reports false if there is none.
 func (l *Ledger) GiveUp(id TaskID, why Loss) (Change, bool) {
 	e := l.entries[id]
 	if e == nil || !e.Held {
@@ -190,7 +190,8 @@
 	return Change{Entry: *e, Was: e.Phase, Loss: why}, true
 }
 
-// Observe follows a move by what is known of its task, and reports whether something has changed.
+// Observe updates the move of a task from the observed state of the task, and reports whether the move
+// changed. It releases reserved room that is no longer needed or was reserved for too long.
 func (l *Ledger) Observe(now time.Time, id TaskID, seen Seen) (Change, bool) {
 	e := l.entries[id]
 	if e == nil {
@@ -205,7 +206,7 @@
 		delete(l.entries, id)
 		e.Held = false
 	case e.Phase == Starting:
-		e.Held = false // the attempt itself takes the room, wherever it is
+		e.Held = false // the new attempt occupies its own room, on whichever machine it is
 	case !e.Held:
 	case seen.DestinationLost:
 		c.Loss = LossDestination
@@ -222,7 +223,7 @@
 	return c, *e != was || outcome != ""
 }
 
-// advance takes a move to the phase that is seen, and returns its outcome if it is over.
+// advance sets the phase of a move to the observed one, and returns the outcome if the move has ended.
 func (e *Entry) advance(seen Seen) Outcome {
 	switch {
 	case seen.Cancelled:
@@ -243,11 +244,12 @@
 	return ""
 }
 
-// Sweep forgets moves that don't keep their tasks any more.
+// Sweep removes the records of moves that have ended and started Settings.Stay ago or earlier: they no
+// longer keep their tasks from being moved.
 func (l *Ledger) Sweep(now time.Time) {
-	for id, at := range l.moved {
+	for id, at := range l.movedAt {
 		if now.Sub(at) >= l.settings.Stay && l.entries[id] == nil {
-			delete(l.moved, id)
+			delete(l.movedAt, id)
 		}
 	}
 }
--- a/balance/reason.go
+++ b/balance/reason.go
@@ -1,10 +1,10 @@
 package balance
 
-// Reason is why a task on a hot machine is not moved.
+// Reason is the reason why a task on a hot machine is not moved.
 type Reason string
 
-// The reasons. Where a task could be moved and is not, the bounds on moves are reached, or something speaks
-// against all of them.
+// The reasons. A movable task that is not moved stays because a limit on moves is reached or because all
+// moves are blocked, see Block.
 const (
 	Movable       Reason = ""
 	NotRunning    Reason = "not seen running yet"
@@ -22,7 +22,7 @@
 	NoDestination Reason = "no machine takes it that would stay cooler"
 )
 
-// Block is why no moves are begun at all.
+// Block is the reason why no moves are started at all.
 type Block string
 
 // The blocks.
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Settings are the operators' bounds on load spreading.
+// Settings are the operators' limits on load spreading.
 type Settings struct {
-	High       float64 // a machine is hot above so many times the mean share; over 1
-	LeastShare float64 // and above this share, 0 to 1
-	LeastGain  float64 // by which a move lowers the larger of its two machines' shares at least, 0 to 1
-	CostShare  float64 // of what is left of a task that its move may cost at most, 0 to 1
-
-	Settled time.Duration // a task has run for so long before it may be moved
-	Stay    time.Duration // a task that has moved is not moved again
-	Hold    time.Duration // for how long room is held at a destination
-
-	MovesPerMinute float64 // for each hundred machines
-	MovesInFlight  float64 // for each hundred machines
-	KeepIdle       bool    // idle machines are kept, and used
+	High       float64 // a machine is hot if its share exceeds this multiple, above 1, of the mean share
+	LeastShare float64 // and exceeds this share, 0 to 1
+	LeastGain  float64 // least amount by which a move must lower the larger of its two machines' shares, 0 to 1
+	CostShare  float64 // largest part of a task's remaining time that its move may cost, 0 to 1
+
+	Settled time.Duration // time that a task must have run before it may be moved
+	Stay    time.Duration // time from the start of a move during which the task is not moved again
+	Hold    time.Duration // longest time for which room is reserved at a destination
+
+	MovesPerMinute float64 // moves started per minute and hundred machines
+	MovesInFlight  float64 // moves under way per hundred machines
+	KeepIdle       bool    // idle machines are not returned, and take part in load spreading
 }
 
-// DefaultSettings are those where operators say nothing.
+// DefaultSettings returns the settings that apply where operators set nothing.
 func DefaultSettings() Settings {
 	return Settings{
 		High: 1.15, LeastShare: 0.4, LeastGain: 0.05, CostShare: 0.05,
@@ -27,15 +27,15 @@
 	}
 }
 
-// inFlight is how many moves may be under way at once in a fleet of so many machines.
-func (s Settings) inFlight(machines int) int {
+// maxMovesInFlight returns how many moves may be under way at once in a fleet of the given number of machines.
+func (s Settings) maxMovesInFlight(machines int) int {
 	return max(1, int(s.MovesInFlight*float64(machines)/100))
 }
 
-// inTeam is how many of them may be of one team.
-func (s Settings) inTeam(machines int) int { return max(1, s.inFlight(machines)/2) }
+// maxMovesPerTeam returns how many moves of one team may be under way at once.
+func (s Settings) maxMovesPerTeam(machines int) int { return max(1, s.maxMovesInFlight(machines)/2) }
 
-// perSecond is how many moves may be begun in a second, in the mean.
-func (s Settings) perSecond(machines int) float64 {
+// movesPerSecond returns how many moves may be started per second on average.
+func (s Settings) movesPerSecond(machines int) float64 {
 	return s.MovesPerMinute * float64(machines) / 100 / time.Minute.Seconds()
 }
--- a/balance/share.go
+++ b/balance/share.go
@@ -6,8 +6,8 @@
 	"pumicefront/scheduler"
 )
 
-// Share is a machine's dominant share: the largest, over its resources, of what is used over what there
-// is. It is 0 for a machine that has nothing.
+// Share returns a machine's dominant share: the largest ratio of used to total over its resources. It is 0
+// for a machine without resources.
 func Share(used, capacity scheduler.Resources) float64 {
 	share := 0.0
 	for _, r := range [...]struct{ used, capacity float64 }{
@@ -20,23 +20,23 @@
 	return share
 }
 
-// Distribution sums up the shares of machines.
+// Distribution summarizes the shares of a set of machines.
 type Distribution struct {
-	Machines  int     `json:"machines"`  // how many machines are summed up
-	Mean      float64 `json:"mean"`      // weighted by size
+	Machines  int     `json:"machines"`  // number of machines
+	Mean      float64 `json:"mean"`      // mean share, weighted by size
 	Variation float64 `json:"variation"` // coefficient of variation: standard deviation over mean
 	Maximum   float64 `json:"maximum"`   // the largest share over the mean
 }
 
-// Distribute sums up the shares of machines.
+// Distribute returns the distribution of the machines' shares.
 func Distribute(machines []Machine) Distribution {
-	size, used, squares, most := 0.0, 0.0, 0.0, 0.0
+	size, used, squares, largest := 0.0, 0.0, 0.0, 0.0
 	for i := range machines {
 		m := &machines[i]
 		size += m.Size
 		used += m.Size * m.Share()
 		squares += m.Size * m.Share() * m.Share()
-		most = math.Max(most, m.Share())
+		largest = math.Max(largest, m.Share())
 	}
 	d := Distribution{Machines: len(machines)}
 	if used == 0 {
@@ -44,11 +44,11 @@
 	}
 	d.Mean = used / size
 	d.Variation = math.Sqrt(math.Max(0, squares/size-d.Mean*d.Mean)) / d.Mean
-	d.Maximum = most / d.Mean
+	d.Maximum = largest / d.Mean
 	return d
 }
 
-// HotShare is the share above which a machine is hot, where the mean share is this.
+// HotShare returns the share above which a machine is hot, given the mean share.
 func (s Settings) HotShare(mean float64) float64 {
 	return math.Max(s.High*mean, s.LeastShare)
 }
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,58 +1,58 @@
 package balance
 
-// StatusPath is where a controller's status endpoint tells of load spreading.
+// StatusPath is the path of the load spreading status on a controller's status endpoint.
 const StatusPath = "/spread"
 
-// Status is what the leader tells operators.
+// Status is the state of load spreading that the leader reports to operators.
 type Status struct {
 	Member  string `json:"member"`           // the controller that answers
-	Leader  string `json:"leader,omitempty"` // who leads as far as this member knows
-	Leading bool   `json:"leading"`          // whether the rest is known here
+	Leader  string `json:"leader,omitempty"` // the leader, as far as this member knows
+	Leading bool   `json:"leading"`          // whether this member leads; only the leader fills in the rest
 
-	Distribution Distribution    `json:"distribution"`       // of the shares of the machines that count
+	Distribution Distribution    `json:"distribution"`       // of the shares of all machines that take part in load spreading
 	HotShare     float64         `json:"hot_share"`          // the share above which a machine is hot
-	Block        Block           `json:"block,omitempty"`    // why no moves are begun at all
-	Machines     []MachineStatus `json:"machines,omitempty"` // the hottest first, up to a bound; Others counts the rest
+	Block        Block           `json:"block,omitempty"`    // why no moves are started at all
+	Machines     []MachineStatus `json:"machines,omitempty"` // the hottest first, up to a limit; Others counts the rest
 	Others       int             `json:"others"`             // machines that are not listed: neither hot nor among the first
-	Teams        []TeamStatus    `json:"teams,omitempty"`    // how each team's load lies on the machines
-	Images       []ImageStatus   `json:"images,omitempty"`   // where images are
+	Teams        []TeamStatus    `json:"teams,omitempty"`    // how each team's load is distributed over the machines
+	Images       []ImageStatus   `json:"images,omitempty"`   // images that only hot machines have
 	Moves        []MoveStatus    `json:"moves,omitempty"`    // moves under way
-	Counts       Counts          `json:"counts"`             // of the moves of this leader
+	Counts       Counts          `json:"counts"`             // numbers of moves since this leader took office
 }
 
-// MachineStatus is a machine by its load, the hottest first.
+// MachineStatus is the load of one machine.
 type MachineStatus struct {
 	ID      string        `json:"id"`                // the machine's name
 	Zone    string        `json:"zone"`              // the zone that it is in
 	Share   float64       `json:"share"`             // dominant share, 0 to 1
-	Hot     bool          `json:"hot"`               // its share is above the hot share
+	Hot     bool          `json:"hot"`               // its share exceeds the hot share
 	Tasks   int           `json:"tasks"`             // tasks on it
-	Movable int           `json:"movable"`           // tasks that tolerate a move; counted of hot machines
-	Staying []ReasonCount `json:"staying,omitempty"` // why the others don't move
+	Movable int           `json:"movable"`           // tasks that tolerate a move; counted only on hot machines
+	Staying []ReasonCount `json:"staying,omitempty"` // why the other tasks stay
 }
 
-// ReasonCount counts the tasks that stay for one reason.
+// ReasonCount counts the tasks that stay for the same reason.
 type ReasonCount struct {
 	Reason Reason `json:"reason"` // why they stay
-	Tasks  int    `json:"tasks"`  // how many stay for it
+	Tasks  int    `json:"tasks"`  // number of tasks that stay for this reason
 }
 
 // MoveStatus is a move under way.
 type MoveStatus struct {
 	Job   string  `json:"job"`   // the job's id
 	Task  int     `json:"task"`  // the task's index in its job
-	From  string  `json:"from"`  // the machine that it leaves
-	To    string  `json:"to"`    // the machine that it goes to
-	Phase Phase   `json:"phase"` // how far the move has come
-	Held  bool    `json:"held"`  // room is held at the destination
-	ForS  float64 `json:"for_s"` // seconds since it was begun
+	From  string  `json:"from"`  // the machine that the task leaves
+	To    string  `json:"to"`    // the machine that the task moves to
+	Phase Phase   `json:"phase"` // progress of the move
+	Held  bool    `json:"held"`  // room is reserved at the destination
+	ForS  float64 `json:"for_s"` // seconds since the move started
 }
 
-// Leads reports whether the controller that answered leads.
+// Leads reports whether the controller that answered is the leader.
 func (s Status) Leads() bool { return s.Leading }
 
-// KnownLeader is who leads, as far as it knows.
+// KnownLeader returns the leader, as far as the controller that answered knows.
 func (s Status) KnownLeader() string { return s.Leader }
 
-// AnsweredBy is the controller's name.
+// AnsweredBy returns the name of the controller that answered.
 func (s Status) AnsweredBy() string { return s.Member }
--- a/balance/survey.go
+++ b/balance/survey.go
@@ -7,32 +7,32 @@
 	"slices"
 )
 
-// TeamStatus is how a team's load lies on the machines.
+// TeamStatus is the distribution of a team's load over the machines.
 type TeamStatus struct {
 	Team     string  `json:"team"`     // the team's name
-	Size     float64 `json:"size"`     // in cores, as scheduler.Measure has it
-	Machines int     `json:"machines"` // machines that its tasks run on
-	OnOne    float64 `json:"on_one"`   // the largest part of it on one machine, 0 to 1
-	OnHot    float64 `json:"on_hot"`   // the part of it on hot machines
-	Hot      bool    `json:"hot"`      // all machines that it runs on are hot
+	Size     float64 `json:"size"`     // size of its running tasks in cores, as scheduler.Measure computes it
+	Machines int     `json:"machines"` // number of machines that run its tasks
+	OnOne    float64 `json:"on_one"`   // largest part of its size on a single machine, 0 to 1
+	OnHot    float64 `json:"on_hot"`   // part of its size on hot machines, 0 to 1
+	Hot      bool    `json:"hot"`      // all machines that run its tasks are hot
 }
 
-// ImageStatus is where an image is.
+// ImageStatus counts the machines that have an image.
 type ImageStatus struct {
 	Image    string `json:"image"`    // the image's name
-	Machines int    `json:"machines"` // machines that have it
-	OnHot    int    `json:"on_hot"`   // of those, the hot ones
-	Tasks    int    `json:"tasks"`    // tasks that use it
-	Hot      bool   `json:"hot"`      // all machines that have it are hot: its services can't move
+	Machines int    `json:"machines"` // number of machines that have it
+	OnHot    int    `json:"on_hot"`   // number of those that are hot
+	Tasks    int    `json:"tasks"`    // number of tasks that use it
+	Hot      bool   `json:"hot"`      // all machines that have it are hot, so services that use it can't move to a machine that is not
 }
 
-// Survey gathers how teams and images lie on the machines.
+// Survey collects the distribution of teams and images over the machines.
 type Survey struct {
 	teams  map[string]*teamSurvey
 	images map[string]*ImageStatus
 }
 
-// teamSurvey is what is gathered of a team, by machine.
+// teamSurvey is the size of a team's tasks in all, on hot machines and by machine.
 type teamSurvey struct {
 	size, hot float64
 	onMachine map[string]float64
@@ -44,18 +44,18 @@
 	return &Survey{teams: map[string]*teamSurvey{}, images: map[string]*ImageStatus{}}
 }
 
-// AddImage counts an image that a machine has.
+// AddImage counts a machine that has an image.
 func (s *Survey) AddImage(image string, hot bool) {
-	i := s.image(image)
+	i := s.imageStatus(image)
 	i.Machines++
 	if hot {
 		i.OnHot++
 	}
 }
 
-// AddTask counts a task of a size on a machine.
+// AddTask counts a task on a machine.
 func (s *Survey) AddTask(machine string, hot bool, team, image string, size float64) {
-	s.image(image).Tasks++
+	s.imageStatus(image).Tasks++
 	t := s.teams[team]
 	if t == nil {
 		t = &teamSurvey{onMachine: map[string]float64{}, allHot: true}
@@ -69,7 +69,8 @@
 	}
 }
 
-func (s *Survey) image(name string) *ImageStatus {
+// imageStatus returns the status of an image and creates it if it does not exist.
+func (s *Survey) imageStatus(name string) *ImageStatus {
 	i := s.images[name]
 	if i == nil {
 		i = &ImageStatus{Image: name}
@@ -78,17 +79,17 @@
 	return i
 }
 
-// Teams lists the teams, those first of which the largest part is on one machine.
+// Teams returns the teams, the ones most concentrated on a single machine first.
 func (s *Survey) Teams() []TeamStatus {
 	var all []TeamStatus
 	for name, t := range s.teams {
-		most := 0.0
+		largest := 0.0
 		for _, size := range t.onMachine {
-			most = math.Max(most, size)
+			largest = math.Max(largest, size)
 		}
 		status := TeamStatus{Team: name, Size: t.size, Machines: len(t.onMachine), Hot: t.allHot}
 		if t.size > 0 {
-			status.OnOne, status.OnHot = most/t.size, t.hot/t.size
+			status.OnOne, status.OnHot = largest/t.size, t.hot/t.size
 		}
 		all = append(all, status)
 	}
@@ -96,7 +97,7 @@
 	return all
 }
 
-// HotImages lists the images of tasks that only hot machines have, those of most tasks first.
+// HotImages returns the images of tasks that only hot machines have, the ones with the most tasks first.
 func (s *Survey) HotImages() []ImageStatus {
 	var hot []ImageStatus
 	for _, name := range slices.Sorted(maps.Keys(s.images)) {
--- a/cells/holder.go
+++ b/cells/holder.go
@@ -1,59 +1,62 @@
 package cells
 
-// HolderState is what a holder has recorded of a grant.
+// HolderState is the state of a grant as its holder has recorded it.
 type HolderState uint8
 
 // The states of a grant at its holder.
 const (
-	HolderNone     HolderState = iota // nothing was heard of it
-	HolderHolding                     // the job may run here
-	HolderStopping                    // nothing of it may start; what runs is being stopped
-	HolderEnded                       // nothing of it runs here, and never will in this epoch
+	HolderNone     HolderState = iota // the holder has no record of it
+	HolderHolding                     // the holder may run the job
+	HolderStopping                    // no task of the job may start; running ones are being stopped
+	HolderEnded                       // no task of the job runs at the holder, and none ever will in this epoch
 )
 
-// HolderRecord is what a holder keeps of a home's job. Its epoch is a fence: grants at or below an
-// ended one are never accepted. It is kept until the home's floor has passed it, see Droppable.
+// HolderRecord is a holder's record of another cell's job. Its epoch is a fencing token: once an epoch
+// has ended, no grant with that epoch or a lower one is accepted. The record is kept until the home's
+// floor has reached its epoch, see Droppable.
 type HolderRecord struct {
 	Home   Cell        // the cell whose job it is
 	Job    string      // the job's id
 	Team   string      // the team that owns the job
-	Epoch  Epoch       // of the grant that the record is about
-	State  HolderState // what the holder has recorded of that grant
-	Cancel bool        // it stops for a cancellation
-	Result Result      // how the epoch has ended, once it has
+	Epoch  Epoch       // epoch of the grant that the record is about
+	State  HolderState // state of that grant
+	Cancel bool        // the job stops because its user has cancelled it
+	Result Result      // result of the epoch, once it has ended
 }
 
-// Facts are what a cell knows when an offer comes.
+// Facts are the conditions at a cell when an offer arrives.
 type Facts struct {
-	KnowsJob  bool  // a job of that id, its own or another cell's
+	KnowsJob  bool  // the cell has a job with that id, its own or another cell's
 	KnowsTeam bool  // the team that owns the job is one of this cell's teams
-	Willing   bool  // it has room within the share that it lends
-	Floor     Epoch // of the home, as it is on record here
+	Willing   bool  // the cell has room within the share that it lends
+	Floor     Epoch // the home's floor, as recorded at this cell
 }
 
-// MayRun reports whether tasks of the job may be placed here.
+// MayRun reports whether the holder may place tasks of the job.
 func (r HolderRecord) MayRun() bool { return r.State == HolderHolding }
 
-// Receive returns the record after a message from the home, and whether it differs: then it must be
-// written before anything is answered or placed.
+// Receive returns the record after a message from the home, and whether it changed. A changed record must
+// be written before the message is answered or any task is placed.
 func (r HolderRecord) Receive(m Message, facts Facts) (HolderRecord, bool) {
 	switch {
 	case m.Epoch <= facts.Floor && r.State == HolderNone:
-		// A late copy, or a grant whose write was applied late: refused without a record, since no
-		// epoch below the floor is ever accepted.
+		// A delayed copy of a message, or a grant whose write was applied late. It is refused without a
+		// record, since no epoch at or below the floor is ever accepted.
 		return HolderRecord{Home: m.From, Job: m.Job, Team: m.Team, Epoch: m.Epoch, State: HolderEnded, Result: ResultRefused}, false
 	case m.Epoch > r.Epoch && (r.State == HolderNone || r.State == HolderEnded):
-		return r.begin(m, facts), true
+		return r.startEpoch(m, facts), true
 	case m.Epoch == r.Epoch && m.Kind == KindRecall:
 		return r.recall(m)
 	}
-	// Old, or newer while an earlier epoch has not ended here: a home that keeps its rules has no
-	// newer grant then. Both change nothing; the answer tells what is on record.
+	// The message is old, or it is newer while an earlier epoch has not ended here; a home that follows
+	// the protocol makes no newer grant then. Neither changes the record, and the answer is the status of
+	// the record as it is.
 	return r, false
 }
 
-// begin records a new epoch: accepted, refused, or, where the recall has overtaken the offer, ended.
-func (r HolderRecord) begin(m Message, facts Facts) HolderRecord {
+// startEpoch returns the record of a new epoch: accepted, refused, or, if the recall arrived before the
+// offer, ended.
+func (r HolderRecord) startEpoch(m Message, facts Facts) HolderRecord {
 	next := HolderRecord{Home: m.From, Job: m.Job, Team: m.Team, Epoch: m.Epoch, State: HolderEnded, Result: ResultRefused}
 	switch {
 	case m.Kind == KindRecall && m.Cancel:
@@ -64,7 +67,7 @@
 	return next
 }
 
-// recall records that the job stops; a cancellation may follow a recall.
+// recall returns the record after a recall: the job stops. A cancellation may follow an earlier recall.
 func (r HolderRecord) recall(m Message) (HolderRecord, bool) {
 	before := r
 	if r.State == HolderHolding {
@@ -76,7 +79,7 @@
 	return r, r != before
 }
 
-// GiveBack returns the record of the holder's own decision to return the job.
+// GiveBack returns the record after the holder's own decision to return the job, and whether it changed.
 func (r HolderRecord) GiveBack() (HolderRecord, bool) {
 	if r.State != HolderHolding {
 		return r, false
@@ -85,8 +88,8 @@
 	return r, true
 }
 
-// Finish returns the record of the job's end here. The caller has proof that nothing of the job is
-// in force any more; done tells that all its tasks are.
+// Finish returns the record after the job has ended at the holder, and whether it changed. The caller must
+// have proof that no attempt of the job is active any more; done reports whether all its tasks are done.
 func (r HolderRecord) Finish(done bool) (HolderRecord, bool) {
 	switch {
 	case r.State != HolderHolding && r.State != HolderStopping, r.State == HolderHolding && !done:
@@ -102,13 +105,13 @@
 	return r, true
 }
 
-// Status returns what the record answers its home. It is sent once the record is written.
+// Status returns the status message to the home. It must be sent only after the record is written.
 func (r HolderRecord) Status(holder Cell) Message {
 	return Message{Kind: KindStatus, From: holder, To: r.Home, Job: r.Job, Epoch: r.Epoch, State: r.State, Result: r.Result}
 }
 
-// Droppable reports whether the record may be removed once the home's floor is on record here: no
-// message about its epoch can change anything any more.
+// Droppable reports whether the record may be removed, given the home's floor as recorded at the holder.
+// At or below the floor, no message about the record's epoch can have any effect.
 func (r HolderRecord) Droppable(floor Epoch) bool {
 	return r.State == HolderEnded && r.Epoch <= floor
 }
--- a/cells/message.go
+++ b/cells/message.go
@@ -1,49 +1,50 @@
 package cells
 
-// Cell names a cell.
+// Cell is the name of a cell.
 type Cell string
 
-// Epoch numbers the grants of a home, of all its jobs together. None is used twice; zero stands for
-// none.
+// Epoch is the number of a grant. A home numbers the grants of all its jobs in one sequence and never
+// uses an epoch twice. Zero stands for no epoch.
 type Epoch uint64
 
-// Challenge is a number that a holder's leader draws at its election and sends with every answer. A call
-// that carries it back was made after that: a call without it may be a copy from any time before. Zero
-// stands for none.
+// Challenge is a nonce that a holder's leader draws at its election and sends with every answer. A call
+// that carries it was made after that election; a call without it may be a delayed copy from any earlier
+// time. Zero stands for no challenge.
 type Challenge uint64
 
-// Kind is what a message is for.
+// Kind is the purpose of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
 	KindOffer  Kind = iota // home to holder: run the job
-	KindRecall             // home to holder: stop it, nothing of it may start any more
-	KindStatus             // holder to home: what is on record there
+	KindRecall             // home to holder: stop the job, and start no more tasks of it
+	KindStatus             // holder to home: the state of the holder's record
 )
 
-// Message is a message between two cells about one job. It may be lost, late, doubled and overtaken.
+// Message is a message between two cells about one job. Messages may be lost, delayed, duplicated and
+// reordered.
 type Message struct {
-	Kind     Kind   // what the message is for
-	From, To Cell   // the cell that sends it and the one that it is for
+	Kind     Kind   // purpose of the message
+	From, To Cell   // sender and receiver
 	Job      string // the job's id
-	Epoch    Epoch  // of the grant that it is about
-	Floor    Epoch  // from the home: every grant of it to this holder up to here is over
+	Epoch    Epoch  // epoch of the grant that the message is about
+	Floor    Epoch  // in messages from the home: all its grants to this holder up to this epoch have ended
 
 	Team   string      // KindOffer: the team that owns the job
-	Cancel bool        // KindRecall: its user has cancelled it
-	State  HolderState // KindStatus
-	Result Result      // KindStatus, once it has ended
+	Cancel bool        // KindRecall: the user has cancelled the job
+	State  HolderState // KindStatus: state of the grant at the holder
+	Result Result      // KindStatus: result of the epoch, once it has ended
 }
 
-// Result is how an epoch has ended.
+// Result is the result of an epoch.
 type Result uint8
 
 // The results of an epoch.
 const (
 	ResultNone      Result = iota // not ended yet
-	ResultRefused                 // never accepted
-	ResultReturned                // given back; nothing of it runs there any more
-	ResultDone                    // all tasks are done
-	ResultCancelled               // stopped for good
+	ResultRefused                 // the holder never accepted the job
+	ResultReturned                // the holder returned the job; no task of it runs there any more
+	ResultDone                    // all tasks of the job are done
+	ResultCancelled               // the job was stopped because of its cancellation
 )
--- a/cells/planner.go
+++ b/cells/planner.go
@@ -5,18 +5,18 @@
 // Waiting is a job that may go to another cell.
 type Waiting struct {
 	Job  string  // the job's id
-	Size float64 // in cores, of all its tasks
+	Size float64 // size of all its tasks, in cores
 }
 
-// Move is a job that should go to a cell.
+// Move is a decision to transfer a job to another cell.
 type Move struct {
 	Job string // the job's id
 	To  Cell   // the cell that should run it
 }
 
-// Plan sends jobs, in the order in which they come, whole to the cell that has most room then. A job
+// Plan assigns each job whole, in the given order, to the cell that has the most room at that point. A job
 // for which no cell has room stays. A linear program over all jobs and cells at once moves little more
-// (planner_test.go), and would have to be rounded to whole jobs.
+// (planner_test.go), and its result would have to be rounded to whole jobs.
 func Plan(waiting []Waiting, room map[Cell]float64) []Move {
 	left := map[Cell]float64{}
 	for cell, cores := range room {
@@ -24,7 +24,7 @@
 	}
 	var moves []Move
 	for _, job := range waiting {
-		to := roomiest(left)
+		to := cellWithMostRoom(left)
 		if to == "" || left[to] < job.Size {
 			continue
 		}
@@ -34,8 +34,9 @@
 	return moves
 }
 
-// roomiest is the cell with most room, the first by name among equals.
-func roomiest(room map[Cell]float64) Cell {
+// cellWithMostRoom returns the cell with the most room, the first by name among equals, and "" if there are no
+// cells.
+func cellWithMostRoom(room map[Cell]float64) Cell {
 	best := Cell("")
 	for cell := range room {
 		if best == "" || cmp.Or(cmp.Compare(room[cell], room[best]), cmp.Compare(best, cell)) > 0 {
--- a/cells/planner_test.go
+++ b/cells/planner_test.go
@@ -9,8 +9,9 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// moved is how many cores' work a plan moves; no cell may get more than it has room for.
-func moved(t *testing.T, waiting []Waiting, room map[Cell]float64) float64 {
+// coresMoved returns the total size of the jobs that Plan moves. It fails the test if a cell gets more than it
+// has room for.
+func coresMoved(t *testing.T, waiting []Waiting, room map[Cell]float64) float64 {
 	sizes, used, all := map[string]float64{}, map[Cell]float64{}, 0.0
 	for _, w := range waiting {
 		sizes[w.Job] = w.Size
@@ -32,9 +33,10 @@
 	return all
 }
 
-// bound is the most that any plan could move, were jobs divisible: a linear program over the share
-// x[i][j] of job i that goes to cell j, with a slack for each job and each cell.
-func bound(t *testing.T, waiting []Waiting, rooms []float64) float64 {
+// fractionalBound returns the largest total size that any plan could move if jobs were divisible. It solves a
+// linear program over the share x[i][j] of job i that goes to cell j, with a slack variable for each job and
+// each cell.
+func fractionalBound(t *testing.T, waiting []Waiting, rooms []float64) float64 {
 	jobs, cells := len(waiting), len(rooms)
 	variables := jobs*cells + jobs + cells
 	a := mat.NewDense(jobs+cells, variables, nil)
@@ -59,11 +61,11 @@
 	return -most
 }
 
-// The greedy rule moves nearly as much as a linear program could. If it did not, it should be
+// The greedy plan moves nearly as much as the bound of the linear program. If it did not, it should be
 // replaced.
 func TestGreedyPlanAgainstLinearProgram(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
-	greedy, best, worst := 0.0, 0.0, 1.0
+	greedy, optimal, worst := 0.0, 0.0, 1.0
 	const draws = 300
 	for range draws {
 		var waiting []Waiting
@@ -75,14 +77,14 @@
 			cores := float64(rng.IntN(1200))
 			room[Cell('b'+rune(j))], rooms = cores, append(rooms, cores)
 		}
-		got, most := moved(t, waiting, room), bound(t, waiting, rooms)
-		greedy, best = greedy+got, best+most
+		got, most := coresMoved(t, waiting, room), fractionalBound(t, waiting, rooms)
+		greedy, optimal = greedy+got, optimal+most
 		if most > 0 {
 			worst = min(worst, got/most)
 		}
 	}
-	t.Logf("the greedy rule moves %.1f%% of what a linear program could in %d draws, %.1f%% in the worst", 100*greedy/best, draws, 100*worst)
-	if greedy < 0.9*best {
-		t.Errorf("%.1f%% of the bound", 100*greedy/best)
+	t.Logf("the greedy plan moves %.1f%% of what a linear program could in %d draws, %.1f%% in the worst", 100*greedy/optimal, draws, 100*worst)
+	if greedy < 0.9*optimal {
+		t.Errorf("%.1f%% of the bound", 100*greedy/optimal)
 	}
 }
--- a/cells/status.go
+++ b/cells/status.go
@@ -1,49 +1,49 @@
 package cells
 
-// Paths of a controller's listener for other cells and for operators.
+// Paths on a controller's listener for other cells and for operators.
 const (
-	MessagesPath = "/cells/messages" // POST: messages from other cells, as package celllink writes them
-	StatusPath   = "/cells"          // GET: a Status for operators
-	GonePath     = "/cells/gone"     // POST: operators declare a cell gone
+	MessagesPath = "/cells/messages" // POST: messages from other cells, as package celllink encodes them
+	StatusPath   = "/cells"          // GET: the Status for operators
+	GonePath     = "/cells/gone"     // POST: operators declare that a cell is gone
 )
 
-// Status is what the leader tells operators of the other cells.
+// Status is the state of the links to other cells that the leader reports to operators.
 type Status struct {
 	Member  string       `json:"member"`           // the controller that answers
-	Leader  string       `json:"leader,omitempty"` // who leads as far as this member knows
-	Leading bool         `json:"leading"`          // whether the rest is known here
+	Leader  string       `json:"leader,omitempty"` // the leader, as far as this member knows
+	Leading bool         `json:"leading"`          // whether this member leads; only the leader fills in the rest
 	Cell    Cell         `json:"cell,omitempty"`   // this cell
-	Ready   bool         `json:"ready"`            // every controller of the cell knows that jobs go from cell to cell
-	Lends   float64      `json:"lends"`            // cores that are lent still
-	Links   []LinkStatus `json:"links,omitempty"`  // one for each other cell, by name
+	Ready   bool         `json:"ready"`            // every controller of the cell runs a version that supports transfers between cells
+	Lends   float64      `json:"lends"`            // cores that can still be lent
+	Links   []LinkStatus `json:"links,omitempty"`  // one for each other cell, sorted by name
 	Out     []TeamStatus `json:"out,omitempty"`    // jobs of this cell granted to others, by team
-	In      []TeamStatus `json:"in,omitempty"`     // jobs of other cells that may run here, by team
+	In      []TeamStatus `json:"in,omitempty"`     // jobs of other cells that may run in this cell, by team
 }
 
-// LinkStatus is the way to another cell.
+// LinkStatus is the state of the link to another cell.
 type LinkStatus struct {
 	Cell        Cell    `json:"cell"`                   // the other cell
-	AnsweredS   float64 `json:"answered_s"`             // ago; negative: it has not answered this leader
-	Failures    int     `json:"failures"`               // calls in a row without an answer
-	Room        float64 `json:"room"`                   // in cores, that it lent when it answered
-	Granted     int     `json:"granted"`                // jobs
-	OldestEpoch Epoch   `json:"oldest_epoch,omitempty"` // of the oldest grant to it that is still open
-	GoneEpoch   Epoch   `json:"gone_epoch,omitempty"`   // declared gone up to here
-	GoneBy      string  `json:"gone_by,omitempty"`      // who vouched that it is gone
+	AnsweredS   float64 `json:"answered_s"`             // seconds since its last answer; negative if it has not answered this leader
+	Failures    int     `json:"failures"`               // consecutive calls without an answer
+	Room        float64 `json:"room"`                   // cores that it could lend at its last answer
+	Granted     int     `json:"granted"`                // number of jobs granted to it
+	OldestEpoch Epoch   `json:"oldest_epoch,omitempty"` // epoch of the oldest open grant to it
+	GoneEpoch   Epoch   `json:"gone_epoch,omitempty"`   // the cell was declared gone for grants up to this epoch
+	GoneBy      string  `json:"gone_by,omitempty"`      // the operator who declared it gone
 }
 
 // TeamStatus counts a team's jobs.
 type TeamStatus struct {
 	Team  string `json:"team"`  // the team's name
-	Jobs  int    `json:"jobs"`  // how many of its jobs
-	Tasks int    `json:"tasks"` // all tasks of those jobs
+	Jobs  int    `json:"jobs"`  // number of the team's jobs
+	Tasks int    `json:"tasks"` // number of tasks of those jobs
 }
 
-// Leads reports whether the controller that answered leads.
+// Leads reports whether the controller that answered is the leader.
 func (s Status) Leads() bool { return s.Leading }
 
-// KnownLeader is who leads, as far as it knows.
+// KnownLeader returns the leader, as far as the controller that answered knows.
 func (s Status) KnownLeader() string { return s.Leader }
 
-// AnsweredBy is the controller's name.
+// AnsweredBy returns the name of the controller that answered.
 func (s Status) AnsweredBy() string { return s.Member }
--- a/cells/transfer_test.go
+++ b/cells/transfer_test.go
@@ -6,23 +6,23 @@
 	"testing"
 )
 
-// model is one home and three cells that may hold its jobs, with messages that are lost, late,
-// doubled and overtaken, writes that are lost or applied late, and cells that are out.
+// model simulates one home and three cells that may hold its jobs. Messages are lost, delayed,
+// duplicated and reordered, writes are lost or applied late, and cells fail.
 type model struct {
-	t        *testing.T
-	rng      *rand.Rand
-	last     Epoch // the home's counter
-	jobs     map[string]*homeModel
-	holders  map[Cell]*holderModel
-	network  []Message // under way; none is dropped for its age
-	late     []func()  // writes in doubt at home
-	homeOut  bool
-	told     map[string]Result // what a user was told for good
-	runs     map[string]int    // how often a job has run to its end
-	happened map[string]int
+	t             *testing.T
+	rng           *rand.Rand
+	last          Epoch // the last epoch that the home allocated
+	jobs          map[string]*homeModel
+	holders       map[Cell]*holderModel
+	network       []Message // messages under way; none expires
+	delayedWrites []func()  // writes at home whose result is unknown
+	homeDown      bool
+	answers       map[string]Result // the final result that was reported to the user, by job
+	runs          map[string]int    // how often each job has run to its end
+	events        map[string]int
 }
 
-// homeModel is a job's record at home.
+// homeModel is a job's record at home with its version.
 type homeModel struct {
 	HomeRecord
 	version int
@@ -33,9 +33,9 @@
 	name    Cell
 	records map[string]HolderRecord
 	floor   Epoch
-	running map[string]bool // attempts that are not proved gone: they outlive a recall for a while
-	out     bool            // nothing is written, nothing is answered; what runs runs on
-	knows   string          // the id of a job of its own
+	running map[string]bool // jobs with attempts not proven to have ended: these outlive a recall for a while
+	down    bool            // the cell's controllers are down: nothing is written or answered, but running tasks go on
+	ownJob  string          // id of a job of the cell's own, which clashes with one of the home's
 }
 
 const (
@@ -46,63 +46,65 @@
 
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 5)), jobs: map[string]*homeModel{}, holders: map[Cell]*holderModel{},
-		told: map[string]Result{}, runs: map[string]int{}, happened: map[string]int{}}
+		answers: map[string]Result{}, runs: map[string]int{}, events: map[string]int{}}
 	for i := range modelJobs {
 		id := fmt.Sprintf("req-%d", i)
 		m.jobs[id] = &homeModel{HomeRecord: HomeRecord{Job: id, Team: "team-" + id}}
 	}
 	for i, name := range []Cell{"b", "c", "d"} {
-		m.holders[name] = &holderModel{name: name, records: map[string]HolderRecord{}, running: map[string]bool{}, knows: fmt.Sprintf("req-%d", i)}
+		m.holders[name] = &holderModel{name: name, records: map[string]HolderRecord{}, running: map[string]bool{}, ownJob: fmt.Sprintf("req-%d", i)}
 	}
 	return m
 }
 
+// chance returns true with probability p.
 func (m *model) chance(p float64) bool { return m.rng.Float64() < p }
 
 func (m *model) job() *homeModel { return m.jobs[fmt.Sprintf("req-%d", m.rng.IntN(modelJobs))] }
 
 func (m *model) holder() *holderModel { return m.holders[Cell('b'+rune(m.rng.IntN(3)))] }
 
-// write records a decision of the home, unless it is out or its process ends first; what is in doubt
-// may be applied later, on the condition that nothing was written meanwhile.
+// write stores a decision of the home, unless the home is down or its process stops first. A write whose
+// result is unknown may be applied later, if the record's version has not changed by then.
 func (m *model) write(r *homeModel, next HomeRecord) {
 	version := r.version
 	apply := func() {
 		if r.version == version {
 			r.HomeRecord, r.version = next, version+1
 			if next.Cancelled() || next.Done() {
-				m.tell(next.Job, next.Result)
+				m.checkAnswer(next.Job, next.Result)
 			}
 		}
 	}
 	switch {
-	case m.homeOut || m.chance(0.05):
-		m.happened["a decision at home is lost"]++
+	case m.homeDown || m.chance(0.05):
+		m.events["decision at home is lost"]++
 	case m.chance(0.05):
-		m.happened["a write at home is in doubt"]++
-		m.late = append(m.late, apply)
+		m.events["result of a write at home is unknown"]++
+		m.delayedWrites = append(m.delayedWrites, apply)
 	default:
 		apply()
 	}
 }
 
-// tell checks that a user is told one final answer, and a cancellation only when nothing may run.
-func (m *model) tell(job string, result Result) {
-	if was, told := m.told[job]; told && was != result {
-		m.t.Fatalf("%s is told %d after %d", job, result, was)
+// checkAnswer checks that the user gets a single final answer per job, and that a job is reported as cancelled only
+// if no holder may run it, and as done only if it has run.
+func (m *model) checkAnswer(job string, result Result) {
+	if was, told := m.answers[job]; told && was != result {
+		m.t.Fatalf("%s: result %d is reported after result %d", job, result, was)
 	}
-	m.told[job] = result
+	m.answers[job] = result
 	for name, h := range m.holders {
 		if result == ResultCancelled && (h.running[job] || h.records[job].MayRun()) {
-			m.t.Fatalf("%s is called cancelled while %s has it", job, name)
+			m.t.Fatalf("%s is reported as cancelled while %s may run it", job, name)
 		}
 	}
 	if result == ResultDone && m.runs[job] == 0 {
-		m.t.Fatalf("%s is called done and has not run", job)
+		m.t.Fatalf("%s is reported as done but has not run", job)
 	}
 }
 
-// send puts a message, and now and then a copy, on its way.
+// send puts a message on the network, or loses or duplicates it.
 func (m *model) send(msg Message) {
 	if m.chance(0.8) {
 		m.network = append(m.network, msg)
@@ -112,7 +114,7 @@
 	}
 }
 
-// step does one thing; when calm, nothing new is decided and nothing fails.
+// step performs one random action. If calm, the home makes no new decisions and no cell fails.
 func (m *model) step(calm bool) {
 	switch m.rng.IntN(8) {
 	case 0:
@@ -120,43 +122,43 @@
 			m.decide()
 		}
 	case 1:
-		m.pursue()
+		m.sendOrRun()
 	case 2, 3, 4:
 		m.deliver()
 	case 5:
-		m.work()
+		m.progress()
 	case 6:
-		if n := len(m.late); n > 0 {
+		if n := len(m.delayedWrites); n > 0 {
 			i := m.rng.IntN(n)
-			fn := m.late[i]
-			m.late = append(m.late[:i], m.late[i+1:]...)
+			fn := m.delayedWrites[i]
+			m.delayedWrites = append(m.delayedWrites[:i], m.delayedWrites[i+1:]...)
 			fn()
 		}
 	case 7:
 		if !calm && m.chance(0.2) {
 			if m.chance(0.3) {
-				m.homeOut = !m.homeOut
+				m.homeDown = !m.homeDown
 			} else {
 				h := m.holder()
-				h.out = !h.out
-				m.happened["a holder is out"]++
+				h.down = !h.down
+				m.events["holder is down"]++
 			}
 		}
 	}
 	m.check()
 }
 
-// run notes that all tasks of a job have ended well: that happens once, wherever it is.
-func (m *model) run(job string) {
+// recordRun records that all tasks of a job succeeded, which may happen only once over all cells.
+func (m *model) recordRun(job string) {
 	if m.runs[job]++; m.runs[job] > 1 {
 		m.t.Fatalf("%s has run to its end %d times", job, m.runs[job])
 	}
 }
 
-// pursue repeats what a record at home asks for, or runs what is there.
-func (m *model) pursue() {
+// sendOrRun sends the request of a home record, or completes a job that the home may run.
+func (m *model) sendOrRun() {
 	r := m.job()
-	if m.homeOut {
+	if m.homeDown {
 		return
 	}
 	if msg, due := r.Message(modelHome); due {
@@ -169,13 +171,13 @@
 		return
 	}
 	if r.MayRun() && m.chance(0.01) {
-		m.run(r.Job)
-		r.State, r.Result, r.version = HomeOver, ResultDone, r.version+1 // by the ordinary way
-		m.tell(r.Job, ResultDone)
+		m.recordRun(r.Job)
+		r.State, r.Result, r.version = HomeOver, ResultDone, r.version+1 // as for a job that was never granted
+		m.checkAnswer(r.Job, ResultDone)
 	}
 }
 
-// decide makes a decision at home.
+// decide makes a random decision at home: cancel, recall or grant.
 func (m *model) decide() {
 	r := m.job()
 	var next HomeRecord
@@ -186,7 +188,7 @@
 	case m.chance(0.3):
 		next, err = r.Recall()
 	default:
-		m.last++ // also when the write fails: an epoch that was taken is never used again
+		m.last++ // even if the write fails: an allocated epoch is never used again
 		next, err = r.Grant(m.holder().name, m.last)
 	}
 	if err == nil && next != r.HomeRecord {
@@ -194,7 +196,7 @@
 	}
 }
 
-// deliver delivers any message under way, old ones too, and keeps half of them for once more.
+// deliver delivers a random message under way, however old, and keeps half of them for another delivery.
 func (m *model) deliver() {
 	if len(m.network) == 0 {
 		return
@@ -210,51 +212,53 @@
 		return
 	}
 	r := m.jobs[msg.Job]
-	if next, changed := r.Apply(msg); changed && !m.homeOut {
+	if next, changed := r.Apply(msg); changed && !m.homeDown {
 		m.write(r, next)
 	}
 }
 
+// receive handles a message at a holder: it updates the floor, removes records, and stores and answers the
+// next record.
 func (m *model) receive(h *holderModel, msg Message) {
-	if h.out {
+	if h.down {
 		return
 	}
 	h.floor = max(h.floor, msg.Floor)
 	for job, r := range h.records {
 		if r.Droppable(h.floor) {
-			m.happened["a fence is dropped"]++
+			m.events["ended record is removed"]++
 			delete(h.records, job)
 		}
 	}
-	next, changed := h.records[msg.Job].Receive(msg, Facts{KnowsJob: h.knows == msg.Job, KnowsTeam: true, Willing: m.chance(0.8), Floor: h.floor})
+	next, changed := h.records[msg.Job].Receive(msg, Facts{KnowsJob: h.ownJob == msg.Job, KnowsTeam: true, Willing: m.chance(0.8), Floor: h.floor})
 	if changed && m.chance(0.1) {
-		return // the process ends before the write
+		return // the process stops before the write
 	}
 	if msg.Epoch <= h.floor || next.Epoch > msg.Epoch {
-		m.happened["an old message arrives"]++
+		m.events["old message arrives"]++
 	}
 	if changed {
 		h.records[msg.Job] = next
-		m.happened[fmt.Sprintf("state %d with result %d at a holder", next.State, next.Result)]++
+		m.events[fmt.Sprintf("state %d with result %d at a holder", next.State, next.Result)]++
 	}
 	if next.State != HolderNone {
 		m.send(next.Status(h.name))
 	}
 }
 
-// work lets a holder start, stop or finish what it holds. What runs in a cell that is out runs on.
-func (m *model) work() {
+// progress lets a holder start, stop or finish a job. Tasks in a cell that is down keep running.
+func (m *model) progress() {
 	h, id := m.holder(), m.job().Job
 	r := h.records[id]
 	next, changed := r, false
 	switch {
 	case h.running[id] && r.State == HolderStopping:
-		h.running[id] = m.chance(0.5) // proved gone, later than it was asked to stop
-	case h.out:
+		h.running[id] = m.chance(0.5) // proven to have ended, some time after the stop request
+	case h.down:
 	case r.State == HolderStopping:
 		next, changed = r.Finish(false)
 	case r.State == HolderHolding && h.running[id] && m.chance(0.4):
-		m.run(id)
+		m.recordRun(id)
 		h.running[id] = false
 		next, changed = r.Finish(true)
 	case r.State == HolderHolding && m.chance(0.05):
@@ -264,13 +268,13 @@
 	}
 	if changed {
 		h.records[id] = next
-		m.happened[fmt.Sprintf("state %d with result %d at a holder", next.State, next.Result)]++
+		m.events[fmt.Sprintf("state %d with result %d at a holder", next.State, next.Result)]++
 		m.send(next.Status(h.name))
 	}
 }
 
-// check checks that at most one cell may run a job or has something of it running, that it is the
-// cell that the home's record names, and that the team is the home's.
+// check verifies that at most one cell may run a job or has tasks of it running, that this cell is the
+// holder in the home's record, and that both records name the same team.
 func (m *model) check() {
 	m.t.Helper()
 	for id, r := range m.jobs {
@@ -283,11 +287,11 @@
 			if !held.MayRun() && !h.running[id] {
 				continue
 			}
-			if h.knows == id {
-				m.t.Fatalf("%s has %s, and a job of its own by that name", name, id)
+			if h.ownJob == id {
+				m.t.Fatalf("%s runs %s and has a job of its own with that id", name, id)
 			}
-			if owners++; r.Holder != name || r.Epoch != held.Epoch || !r.open() || held.Team != r.Team {
-				m.t.Fatalf("%s has %s as %+v, the home's record is %+v", name, id, held, r.HomeRecord)
+			if owners++; r.Holder != name || r.Epoch != held.Epoch || !r.hasOpenGrant() || held.Team != r.Team {
+				m.t.Fatalf("%s may run %s with record %+v, the home's record is %+v", name, id, held, r.HomeRecord)
 			}
 		}
 		if owners > 1 {
@@ -296,42 +300,43 @@
 	}
 }
 
-// At every step at most one cell may run a job; when all is well again every job comes to one end.
+// At most one cell may run a job at any step, under message loss and failures of cells. Once all cells are up
+// again, every job ends.
 func TestTransfersKeepOneOwner(t *testing.T) {
-	happened := map[string]int{}
+	counts := map[string]int{}
 	for seed := range uint64(120) {
 		m := newModel(t, seed)
 		for range modelSteps {
 			m.step(false)
 		}
-		m.homeOut = false
+		m.homeDown = false
 		for _, h := range m.holders {
-			h.out = false
+			h.down = false
 		}
-		for n := 0; n < 400*modelSteps && !m.over(); n++ {
+		for n := 0; n < 400*modelSteps && !m.allEnded(); n++ {
 			m.step(true)
 		}
 		for id, r := range m.jobs {
 			if r.State != HomeOver {
-				t.Fatalf("seed %d: %s has not come to an end: %+v, %+v", seed, id, r.HomeRecord, m.holders)
+				t.Fatalf("seed %d: %s has not ended: %+v, %+v", seed, id, r.HomeRecord, m.holders)
 			}
 		}
-		for what, n := range m.happened {
-			happened[what] += n
+		for event, n := range m.events {
+			counts[event] += n
 		}
 	}
-	for _, what := range []string{"a decision at home is lost", "a write at home is in doubt", "a holder is out", "an old message arrives",
-		"a fence is dropped", "state 1 with result 0 at a holder", "state 2 with result 0 at a holder",
+	for _, event := range []string{"decision at home is lost", "result of a write at home is unknown", "holder is down", "old message arrives",
+		"ended record is removed", "state 1 with result 0 at a holder", "state 2 with result 0 at a holder",
 		"state 3 with result 1 at a holder", "state 3 with result 2 at a holder", "state 3 with result 3 at a holder",
 		"state 3 with result 4 at a holder"} {
-		if happened[what] < 10 {
-			t.Errorf("hardly ever: %s (%v)", what, happened)
+		if counts[event] < 10 {
+			t.Errorf("fewer than 10 times: %s (%v)", event, counts)
 		}
 	}
 }
 
-// over reports whether every job has come to its end.
-func (m *model) over() bool {
+// allEnded reports whether every job has ended.
+func (m *model) allEnded() bool {
 	for _, r := range m.jobs {
 		if r.State != HomeOver {
 			return false
@@ -340,24 +345,24 @@
 	return true
 }
 
-// What a record does not allow is refused, and told apart.
-func TestDecisionsThatARecordDoesNotAllow(t *testing.T) {
+// Each decision that a record does not allow is refused with its own error.
+func TestDisallowedDecisions(t *testing.T) {
 	granted, err := HomeRecord{Job: "j"}.Grant("b", 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := granted.Grant("c", 4); err != ErrNotLocal {
-		t.Errorf("a second grant: %v", err)
+		t.Errorf("grant of a granted job: %v", err)
 	}
 	back, _ := granted.Apply(Message{Kind: KindStatus, From: "b", Job: "j", Epoch: 3, State: HolderEnded, Result: ResultRefused})
 	if _, err := back.Grant("c", 3); err != ErrOldEpoch || !back.MayRun() {
-		t.Errorf("an epoch for the second time: %v, %+v", err, back)
+		t.Errorf("grant with a used epoch: %v, %+v", err, back)
 	}
 	over, _ := back.AskCancel()
-	if _, err := over.Recall(); err != ErrOver || !over.Cancelled() {
-		t.Errorf("a recall of what is over: %v", err)
+	if _, err := over.Recall(); err != ErrJobEnded || !over.Cancelled() {
+		t.Errorf("recall of a cancelled job: %v", err)
 	}
 	if _, changed := (HolderRecord{State: HolderEnded}).GiveBack(); changed {
-		t.Error("what has ended is given back")
+		t.Error("a grant that has ended is returned")
 	}
 }
--- a/zones/record.go
+++ b/zones/record.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Record is what is kept of a zone across a change of leader. Its fields are stored: their names
-// may not change. Times are of the wall clock, in milliseconds.
+// Record is the state of a zone that is stored so that the next leader can restore it. The names in
+// the field tags are part of the stored format and must not change. Times are wall clock times in
+// milliseconds.
 type Record struct {
-	State     string  `cbor:"s"`           // the zone's state, by its name
-	SinceMS   int64   `cbor:"t"`           // when the zone came into that state
-	Penalty   float64 `cbor:"p,omitempty"` // losses, each halved every flap window; it lengthens the hold-down
-	HeldMS    int64   `cbor:"h,omitempty"` // until when it is held down; only in that state
-	Window    int     `cbor:"w,omitempty"` // starts that may be under way at once, where they are limited
+	State     string  `cbor:"s"`           // name of the zone's state
+	SinceMS   int64   `cbor:"t"`           // when the zone entered that state
+	Penalty   float64 `cbor:"p,omitempty"` // number of losses, decaying by half every flap window; it lengthens the hold-down
+	HeldMS    int64   `cbor:"h,omitempty"` // end of the hold-down; set only in that state
+	Window    int     `cbor:"w,omitempty"` // limit on the starts under way at once; 0 if they are not limited
 	WrittenMS int64   `cbor:"m"`           // when the record was made
 }
 
-// Record returns what should be kept of a zone, and false where nothing has to be.
+// Record returns the state of a zone to store, and false if there is nothing to store.
 func (t *Tracker) Record(name string, now time.Time) (Record, bool) {
 	z := t.zones[name]
 	if z == nil {
@@ -37,13 +38,14 @@
 	return r, true
 }
 
-// Worth reports whether a record differs enough from the one that is kept to be written.
-func (r Record) Worth(kept Record) bool {
-	return r.State != kept.State || r.Window >= 2*kept.Window && r.Window > 0 || r.Penalty > kept.Penalty+leastPenalty
+// Worth reports whether a record differs enough from the stored one to be worth a write.
+func (r Record) Worth(stored Record) bool {
+	return r.State != stored.State || r.Window >= 2*stored.Window && r.Window > 0 || r.Penalty > stored.Penalty+minPenalty
 }
 
-// Restore takes up what an earlier leader has kept of a zone, unless it is stale or makes no
-// sense; it tells which.
+// Restore sets a zone to the state that an earlier leader stored, and reports whether it did. It
+// ignores a record that was written more than a flap window ago, or that far in the future. Other
+// values that are out of range are replaced by the nearest valid ones.
 func (t *Tracker) Restore(name string, r Record, now time.Time) bool {
 	age := now.Sub(time.UnixMilli(r.WrittenMS))
 	if age > t.settings.FlapWindow || age < -t.settings.FlapWindow {
@@ -56,15 +58,16 @@
 	z.since, z.penaltyAt = earlier(time.UnixMilli(r.SinceMS), now), earlier(time.UnixMilli(r.WrittenMS), now)
 	z.penalty = 0
 	if r.Penalty > 0 {
-		z.penalty = min(r.Penalty, mostPenalty)
+		z.penalty = min(r.Penalty, maxPenalty)
 	}
-	// A clock that was ahead must not lengthen a hold-down beyond what is configured.
+	// A clock that ran ahead must not lengthen a hold-down beyond the configured maximum.
 	z.heldUntil = earlier(time.UnixMilli(r.HeldMS), now.Add(t.settings.HoldDownMost))
-	z.heldBackAt = now
-	z.window.size = min(max(r.Window, t.settings.FirstStarts), mostStarts)
+	z.throttledAt = now
+	z.window.size = min(max(r.Window, t.settings.FirstStarts), maxWindow)
 	return true
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -72,5 +75,5 @@
 	return b
 }
 
-// Names lists the zones that are known, sorted.
+// Names returns the names of all known zones, sorted.
 func (t *Tracker) Names() []string { return slices.Sorted(maps.Keys(t.zones)) }
--- a/zones/settings.go
+++ b/zones/settings.go
@@ -4,15 +4,15 @@
 
 // Settings are the operators' settings of zone recovery.
 type Settings struct {
-	LostAfter    time.Duration // a zone is lost after being suspected for so long
-	HoldDown     time.Duration // after the first loss; doubled by each further one
+	LostAfter    time.Duration // time for which a zone is suspected before it counts as lost
+	HoldDown     time.Duration // hold-down after the first loss; each further loss doubles it
 	HoldDownMost time.Duration // the longest hold-down
-	FlapWindow   time.Duration // the penalty of a loss halves in this time
-	FirstStarts  int           // starts under way at once in a zone that has just returned
-	FirstFetches int           // the same, of one image that has to be fetched
+	FlapWindow   time.Duration // half-life of the penalty for a loss
+	FirstStarts  int           // limit on the starts under way at once in a zone that has just returned
+	FirstFetches int           // limit on those that must fetch the same image
 }
 
-// DefaultSettings are the settings where operators say nothing.
+// DefaultSettings returns the settings that apply where operators set nothing.
 func DefaultSettings() Settings {
 	return Settings{
 		LostAfter: 8 * time.Second, HoldDown: 5 * time.Second, HoldDownMost: time.Minute,
--- a/zones/state.go
+++ b/zones/state.go
@@ -1,26 +1,26 @@
 package zones
 
-// State is what is believed of a zone.
+// State is the assumed condition of a zone.
 type State uint8
 
 // The states of a zone.
 const (
-	Healthy   State = iota // nothing is limited
-	Suspected              // most of its machines are silent, too shortly to tell
-	Lost                   // most of its machines are silent
-	HeldDown               // it is back, and has to stay so for a while
-	Returning              // starts are limited by what has succeeded
+	Healthy   State = iota // starts are not limited
+	Suspected              // most of its machines are silent, but not yet for long enough to count as lost
+	Lost                   // most of its machines have been silent for LostAfter
+	HeldDown               // its machines respond again, and must keep doing so until the hold-down ends
+	Returning              // the limit on starts grows with starts that succeed
 )
 
 var stateNames = [...]string{"healthy", "suspected", "lost", "held down", "returning"}
 
-// String names the state as logs and views show it.
+// String returns the state's name as shown in logs and views.
 func (s State) String() string { return stateNames[s] }
 
 // MarshalText writes the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a state's name. An unknown one counts as healthy.
+// UnmarshalText reads a state's name. An unknown name counts as healthy.
 func (s *State) UnmarshalText(text []byte) error {
 	*s = Healthy
 	for i, name := range stateNames {
@@ -34,22 +34,22 @@
 // Transition is a change of a zone's state.
 type Transition struct {
 	Zone     string // the zone's name
-	From, To State  // its state before and after
+	From, To State  // the states before and after the change
 }
 
-// Health is what the failure detector sees of a zone.
+// Health is the failure detector's view of a zone.
 type Health struct {
 	Zone       string // the zone's name
 	Responsive int    // machines that report in time
 	Silent     int    // machines whose reports are overdue
 }
 
-// mostSilent reports whether the zone's machines speak for a fault of the zone: one silent machine
-// may have failed by itself.
-func (h Health) mostSilent() bool { return h.Silent > 1 && h.Silent > h.Responsive }
+// majoritySilent reports whether the zone's machines indicate a fault of the whole zone. A single silent
+// machine does not: it may have failed by itself.
+func (h Health) majoritySilent() bool { return h.Silent > 1 && h.Silent > h.Responsive }
 
-// mostResponsive reports whether the zone's machines speak for its being well.
-func (h Health) mostResponsive() bool { return h.Responsive > h.Silent }
+// majorityResponsive reports whether the zone's machines indicate that the zone works.
+func (h Health) majorityResponsive() bool { return h.Responsive > h.Silent }
 
-// empty reports whether no machine speaks for or against the zone.
+// empty reports whether the zone has no machine that could indicate anything.
 func (h Health) empty() bool { return h.Responsive+h.Silent == 0 }
--- a/zones/status.go
+++ b/zones/status.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// StatusPath is where the status endpoint of a controller tells of the zones.
+// StatusPath is the path of the zones' status on a controller's status endpoint.
 const StatusPath = "/zones"
 
-// Status is what the leader tells operators of all zones.
+// Status is the state of all zones that the leader reports to operators.
 type Status struct {
 	Member  string        `json:"member"`            // the controller that answers
-	Leader  string        `json:"leader,omitempty"`  // who leads as far as this member knows
-	Leading bool          `json:"leading"`           // whether the rest is known here
-	Zones   []ZoneStatus  `json:"zones,omitempty"`   // every zone that is known
-	Waiting []ClassStatus `json:"waiting,omitempty"` // what waits, by class of jobs
+	Leader  string        `json:"leader,omitempty"`  // the leader, as far as this member knows
+	Leading bool          `json:"leading"`           // whether this member leads; only the leader fills in the rest
+	Zones   []ZoneStatus  `json:"zones,omitempty"`   // all known zones
+	Waiting []ClassStatus `json:"waiting,omitempty"` // pending tasks by job class
 }
 
-// ZoneStatus is one zone of it.
+// ZoneStatus is the state of one zone.
 type ZoneStatus struct {
 	Name       string  `json:"name"`                 // the zone's name
 	State      State   `json:"state"`                // its state
-	ForS       float64 `json:"for_s"`                // seconds that it has been in that state
+	ForS       float64 `json:"for_s"`                // seconds since it entered that state
 	Responsive int     `json:"responsive"`           // machines that report in time
 	Silent     int     `json:"silent"`               // machines whose reports are overdue
-	Losses     int     `json:"losses"`               // since this leader began
-	Penalty    float64 `json:"penalty"`              // losses, each halved every flap window; it lengthens the hold-down
-	HeldForS   float64 `json:"held_for_s,omitempty"` // what is left of the hold-down
-	Window     int     `json:"window,omitempty"`     // starts that may be under way at once, where they are limited
+	Losses     int     `json:"losses"`               // number of losses since this leader took office
+	Penalty    float64 `json:"penalty"`              // number of losses, decaying by half every flap window; it lengthens the hold-down
+	HeldForS   float64 `json:"held_for_s,omitempty"` // remaining hold-down in seconds
+	Window     int     `json:"window,omitempty"`     // limit on the starts under way at once; 0 if they are not limited
 	UnderWay   int     `json:"under_way"`            // starts under way in the zone
-	Fetching   int     `json:"fetching"`             // of those, the ones whose machine fetches the image
-	Displaced  int     `json:"displaced"`            // tasks lost with the zone that don't run again yet
+	Fetching   int     `json:"fetching"`             // number of those whose machine fetches the image
+	Displaced  int     `json:"displaced"`            // tasks lost with the zone that have not been restarted yet
 }
 
-// ClassStatus is what waits of one class of jobs, and for what.
+// ClassStatus counts the pending tasks of one job class by what they wait for.
 type ClassStatus struct {
-	Class     string `json:"class"`                // the class of jobs
-	Tasks     int    `json:"tasks"`                // its tasks that wait
-	TeamLimit int    `json:"team_limit,omitempty"` // wait for their team's limit
-	Ramp      int    `json:"ramp,omitempty"`       // wait for a zone that is held down or returns
-	Room      int    `json:"room,omitempty"`       // wait for room
+	Class     string `json:"class"`                // the job class
+	Tasks     int    `json:"tasks"`                // number of its pending tasks
+	TeamLimit int    `json:"team_limit,omitempty"` // tasks that wait because of their team's limit
+	Ramp      int    `json:"ramp,omitempty"`       // tasks that wait for a zone that is held down or returning
+	Room      int    `json:"room,omitempty"`       // tasks that wait for free resources
 }
 
-// Status returns what is known of a zone; the caller adds what it counts itself.
+// Status returns the tracker's part of a zone's status; the caller adds the machines and tasks that it counts.
 func (t *Tracker) Status(name string, now time.Time) ZoneStatus {
 	s := ZoneStatus{Name: name}
 	z := t.zones[name]
@@ -57,11 +57,11 @@
 	return s
 }
 
-// Leads reports whether the controller that answered leads.
+// Leads reports whether the controller that answered is the leader.
 func (s Status) Leads() bool { return s.Leading }
 
-// KnownLeader is who leads, as far as it knows.
+// KnownLeader returns the leader, as far as the controller that answered knows.
 func (s Status) KnownLeader() string { return s.Leader }
 
-// AnsweredBy is the controller's name.
+// AnsweredBy returns the name of the controller that answered.
 func (s Status) AnsweredBy() string { return s.Member }
--- a/zones/tracker.go
+++ b/zones/tracker.go
@@ -7,41 +7,42 @@
 	"time"
 )
 
-// rampCalm is how long nothing must have been held back before a returning zone is healthy.
-const rampCalm = 10 * time.Second
+// rampQuietPeriod is the time without a delayed start after which a returning zone is healthy.
+const rampQuietPeriod = 10 * time.Second
 
-// leastPenalty is below what a penalty no longer lengthens a hold-down worth naming.
-const leastPenalty = 1.0 / 8
+// minPenalty is the penalty below which a loss no longer lengthens hold-downs noticeably.
+const minPenalty = 1.0 / 8
 
-// mostPenalty is beyond what any hold-down can be lengthened by.
-const mostPenalty = 64
+// maxPenalty limits a restored penalty; it is beyond any penalty that still lengthens a hold-down.
+const maxPenalty = 64
 
-// Tracker follows the state of every zone.
+// Tracker tracks the state of every zone.
 type Tracker struct {
 	settings Settings
 	zones    map[string]*zone
 }
 
-// zone is what is known of one zone.
+// zone is the tracked state of one zone.
 type zone struct {
-	name       string
-	state      State
-	since      time.Time // when it came into this state
-	penalty    float64   // losses, each halved every flap window
-	penaltyAt  time.Time // when the penalty was computed
-	silentAt   time.Time // since when most of it is seen silent; zero: it is not
-	heldUntil  time.Time // the end of the hold-down
-	heldBackAt time.Time // when a start was held back last
-	window     window
-	fetches    map[string]*window // by image
-	losses     int                // since this tracker began, for operators
+	name         string
+	state        State
+	since        time.Time // when it entered this state
+	penalty      float64   // number of losses, decaying by half every flap window
+	penaltyAt    time.Time // when the penalty was last updated
+	silentSince  time.Time // since when most of its machines have been silent; zero if they are not
+	heldUntil    time.Time // end of the hold-down
+	throttledAt  time.Time // when a start was last delayed by the limit
+	window       window
+	fetchWindows map[string]*window // limits on starts under way that fetch an image, by image
+	losses       int                // number of losses since the tracker was created, for operators
 }
 
-// New returns a tracker to which all zones are healthy.
+// New returns a tracker in which all zones are healthy.
 func New(settings Settings) *Tracker {
 	return &Tracker{settings: settings, zones: map[string]*zone{}}
 }
 
+// zone returns a zone and adds it as healthy if it is not known.
 func (t *Tracker) zone(name string, now time.Time) *zone {
 	z := t.zones[name]
 	if z == nil {
@@ -52,7 +53,7 @@
 	return z
 }
 
-// State returns what is believed of a zone.
+// State returns the state of a zone. An unknown zone is healthy.
 func (t *Tracker) State(name string) State {
 	if z := t.zones[name]; z != nil {
 		return z.state
@@ -70,24 +71,25 @@
 	return false
 }
 
-// Observe takes a look at all zones and returns what changed, by the zones' names. The caller
-// vouches for its own way to the machines in general; that this look can be trusted is seen from
-// at least one zone that answers. Without such a witness nothing is concluded from silence.
-func (t *Tracker) Observe(now time.Time, look []Health) []Transition {
+// Observe updates the state of all zones from the failure detector's observations and returns the
+// changes, sorted by zone name. The caller must make sure that its own connection to the machines
+// works in general. The observations count as reliable if most machines of at least one zone, the
+// witness, respond; without a witness, silence does not count against any zone.
+func (t *Tracker) Observe(now time.Time, observations []Health) []Transition {
 	witnesses := 0
-	for _, h := range look {
-		if h.mostResponsive() {
+	for _, h := range observations {
+		if h.majorityResponsive() {
 			witnesses++
 		}
 	}
-	seen := map[string]Health{}
-	for _, h := range look {
-		seen[h.Zone] = h
+	byZone := map[string]Health{}
+	for _, h := range observations {
+		byZone[h.Zone] = h
 		t.zone(h.Zone, now)
 	}
 	var changes []Transition
-	for _, z := range t.sorted() {
-		h := seen[z.name]
+	for _, z := range t.sortedZones() {
+		h := byZone[z.name]
 		before := z.state
 		t.advance(now, z, h, witnesses > 0)
 		if z.state != before {
@@ -97,61 +99,62 @@
 	return changes
 }
 
-// advance moves one zone along by what is seen of it.
+// advance updates the state of one zone from its observation.
 func (t *Tracker) advance(now time.Time, z *zone, h Health, witnessed bool) {
-	z.noteSilence(now, witnessed && h.mostSilent())
+	z.trackSilence(now, witnessed && h.majoritySilent())
 	switch {
 	case z.state == Healthy:
-		if !z.silentAt.IsZero() {
+		if !z.silentSince.IsZero() {
 			z.enter(Suspected, now)
 		}
 	case z.state == Lost:
-		if t.isBack(now, z, h) {
-			z.heldUntil = now.Add(t.holdDown(z))
+		if t.hasReturned(now, z, h) {
+			z.heldUntil = now.Add(t.holdDownDuration(z))
 			z.enter(HeldDown, now)
 		}
 	case z.silentFor(now) >= t.settings.LostAfter:
-		t.lose(now, z)
+		t.markLost(now, z)
 	case z.state == Suspected:
-		if z.silentAt.IsZero() {
+		if z.silentSince.IsZero() {
 			z.enter(Healthy, now)
 		}
 	case z.state == HeldDown:
 		if !now.Before(z.heldUntil) {
-			z.heldBackAt = now
+			z.throttledAt = now
 			z.enter(Returning, now)
 		}
-	case now.Sub(z.heldBackAt) >= rampCalm:
+	case now.Sub(z.throttledAt) >= rampQuietPeriod:
 		z.enter(Healthy, now)
 		z.resetWindows(t.settings)
 	}
 }
 
-// noteSilence notes since when most of a zone has been seen silent without a pause.
-func (z *zone) noteSilence(now time.Time, silent bool) {
+// trackSilence records since when most of a zone's machines have been silent without interruption.
+func (z *zone) trackSilence(now time.Time, silent bool) {
 	if !silent {
-		z.silentAt = time.Time{}
-	} else if z.silentAt.IsZero() {
-		z.silentAt = now
+		z.silentSince = time.Time{}
+	} else if z.silentSince.IsZero() {
+		z.silentSince = now
 	}
 }
 
-// silentFor is how long most of a zone has been seen silent.
+// silentFor returns how long most of a zone's machines have been silent.
 func (z *zone) silentFor(now time.Time) time.Duration {
-	if z.silentAt.IsZero() {
+	if z.silentSince.IsZero() {
 		return 0
 	}
-	return now.Sub(z.silentAt)
+	return now.Sub(z.silentSince)
 }
 
-// isBack reports whether a lost zone may hold work again: most of it answers, or none of its machines
-// is left that could. In the second case only new machines can tell, so some must be tried.
-func (t *Tracker) isBack(now time.Time, z *zone, h Health) bool {
-	return h.mostResponsive() || h.empty() && now.Sub(z.since) >= t.holdDown(z)
+// hasReturned reports whether a lost zone may run work again: most of its machines respond, or it has no
+// machines and has been lost for the hold-down time. In the second case only new machines can show
+// whether the zone works, so some must be tried there.
+func (t *Tracker) hasReturned(now time.Time, z *zone, h Health) bool {
+	return h.majorityResponsive() || h.empty() && now.Sub(z.since) >= t.holdDownDuration(z)
 }
 
-// lose counts a loss.
-func (t *Tracker) lose(now time.Time, z *zone) {
+// markLost counts a loss of a zone and marks it as lost.
+func (t *Tracker) markLost(now time.Time, z *zone) {
 	z.decay(now, t.settings.FlapWindow)
 	z.penalty++
 	z.losses++
@@ -159,26 +162,27 @@
 	z.enter(Lost, now)
 }
 
-// holdDown is how long a zone is held down with its present penalty.
-func (t *Tracker) holdDown(z *zone) time.Duration {
+// holdDownDuration returns how long a zone with its current penalty is held down.
+func (t *Tracker) holdDownDuration(z *zone) time.Duration {
 	hold := float64(t.settings.HoldDown) * math.Exp2(max(z.penalty-1, 0))
 	return time.Duration(min(hold, float64(t.settings.HoldDownMost)))
 }
 
 func (z *zone) enter(s State, now time.Time) { z.state, z.since = s, now }
 
-// decay halves the penalty once in every flap window.
+// decay lets the penalty decay by half every flap window.
 func (z *zone) decay(now time.Time, halfLife time.Duration) {
-	if passed := now.Sub(z.penaltyAt); passed > 0 && halfLife > 0 {
-		z.penalty *= math.Exp2(-passed.Seconds() / halfLife.Seconds())
+	if elapsed := now.Sub(z.penaltyAt); elapsed > 0 && halfLife > 0 {
+		z.penalty *= math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 	}
-	if z.penalty < leastPenalty {
+	if z.penalty < minPenalty {
 		z.penalty = 0
 	}
 	z.penaltyAt = now
 }
 
-func (t *Tracker) sorted() []*zone {
+// sortedZones returns all zones sorted by name.
+func (t *Tracker) sortedZones() []*zone {
 	zones := make([]*zone, 0, len(t.zones))
 	for _, z := range t.zones {
 		zones = append(zones, z)
--- a/zones/tracker_test.go
+++ b/zones/tracker_test.go
@@ -7,25 +7,26 @@
 	"pgregory.net/rapid"
 )
 
-// play drives a tracker in steps of a second; zone b is always well.
-type play struct {
+// trackerDriver feeds a tracker with one observation per second, in which zone b always responds.
+type trackerDriver struct {
 	*Tracker
 	now time.Time
 }
 
-func newPlay() *play {
-	return &play{Tracker: New(DefaultSettings()), now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
+func newTrackerDriver() *trackerDriver {
+	return &trackerDriver{Tracker: New(DefaultSettings()), now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
 }
 
-// observe looks for so many seconds at a zone a in which so many machines answer and are silent.
-func (p *play) observe(seconds, responsive, silent int) {
+// observe feeds the given number of seconds of observations in which zone a has the given numbers of
+// responsive and silent machines.
+func (p *trackerDriver) observe(seconds, responsive, silent int) {
 	for range seconds {
 		p.now = p.now.Add(time.Second)
 		p.Observe(p.now, []Health{{"a", responsive, silent}, {"b", 5, 0}})
 	}
 }
 
-func (p *play) expect(t *testing.T, want State) {
+func (p *trackerDriver) expect(t *testing.T, want State) {
 	t.Helper()
 	if got := p.State("a"); got != want {
 		t.Fatalf("zone a is %v, want %v", got, want)
@@ -33,7 +34,7 @@
 }
 
 func TestLossAndReturn(t *testing.T) {
-	p := newPlay()
+	p := newTrackerDriver()
 	p.observe(5, 6, 0)
 	p.expect(t, Healthy)
 	p.observe(1, 1, 5)
@@ -43,14 +44,14 @@
 	p.observe(12, 1, 5)
 	p.expect(t, Lost)
 	if a := p.Admission("a"); !a.Limited || !a.BoundOnly {
-		t.Errorf("a lost zone takes %+v", a)
+		t.Errorf("a lost zone admits %+v", a)
 	}
 	p.observe(1, 4, 2)
 	p.expect(t, HeldDown)
 	p.observe(5, 6, 0)
 	p.expect(t, Returning)
 	if a := p.Admission("a"); a.BoundOnly || a.Starts != DefaultSettings().FirstStarts {
-		t.Errorf("a returning zone takes %+v", a)
+		t.Errorf("a returning zone admits %+v", a)
 	}
 	p.HeldBack(p.now.Add(8*time.Second), "a")
 	p.observe(12, 6, 0)
@@ -58,13 +59,13 @@
 	p.observe(10, 6, 0)
 	p.expect(t, Healthy)
 	if a := p.Admission("a"); a.Limited || p.Recovering() {
-		t.Errorf("a healthy zone takes %+v", a)
+		t.Errorf("a healthy zone admits %+v", a)
 	}
 }
 
-// Silence says nothing where nobody answers, nor of a zone with one silent machine.
+// Silence does not count against a zone if no zone responds, nor if a single machine is silent.
 func TestSilenceNeedsAWitness(t *testing.T) {
-	p := newPlay()
+	p := newTrackerDriver()
 	for range 60 {
 		p.now = p.now.Add(time.Second)
 		if changes := p.Observe(p.now, []Health{{"a", 0, 6}, {"b", 1, 6}}); len(changes) > 0 {
@@ -75,9 +76,9 @@
 	p.expect(t, Healthy)
 }
 
-// Time that nobody saw counts for nothing: the silence begins anew when there is a witness again.
+// Silence without a witness does not count towards LostAfter: the time starts anew with the next witness.
 func TestSilenceWithoutWitnessDoesNotCount(t *testing.T) {
-	p := newPlay()
+	p := newTrackerDriver()
 	p.observe(7, 0, 6)
 	p.now = p.now.Add(time.Minute)
 	p.Observe(p.now, []Health{{"a", 0, 6}, {"b", 0, 6}})
@@ -87,17 +88,17 @@
 	p.expect(t, Lost)
 }
 
-// A zone without machines is tried again when the hold-down is over.
+// A lost zone without machines is tried again once the hold-down has passed.
 func TestEmptyZoneIsTriedAgain(t *testing.T) {
-	p := newPlay()
+	p := newTrackerDriver()
 	p.observe(10, 0, 6)
 	p.expect(t, Lost)
 	p.observe(12, 0, 0)
 	p.expect(t, Returning)
 }
 
-// heldFor loses the zone once more and returns for how many seconds it is held down then.
-func (p *play) heldFor(t *testing.T) int {
+// loseAndMeasureHoldDown makes the zone lost once more and returns for how many seconds it is then held down.
+func (p *trackerDriver) loseAndMeasureHoldDown(t *testing.T) int {
 	t.Helper()
 	p.observe(10, 0, 6)
 	p.expect(t, Lost)
@@ -110,25 +111,28 @@
 	return held
 }
 
+// Each further loss doubles the hold-down up to its maximum. Without losses it decays to its initial length.
 func TestHoldDownGrowsAndDecays(t *testing.T) {
-	p := newPlay()
-	first, second, third := p.heldFor(t), p.heldFor(t), p.heldFor(t)
+	p := newTrackerDriver()
+	first, second, third := p.loseAndMeasureHoldDown(t), p.loseAndMeasureHoldDown(t), p.loseAndMeasureHoldDown(t)
 	if first != 5 || second < 9 || second > 10 || third < 18 || third > 20 {
 		t.Errorf("held down for %d, %d and %d s", first, second, third)
 	}
 	for range 6 {
-		if held := p.heldFor(t); held > 61 {
+		if held := p.loseAndMeasureHoldDown(t); held > 61 {
 			t.Errorf("held down for %d s", held)
 		}
 	}
 	p.observe(2*3600, 6, 0)
-	if held := p.heldFor(t); held != 5 {
+	if held := p.loseAndMeasureHoldDown(t); held != 5 {
 		t.Errorf("two hours later held down for %d s", held)
 	}
 }
 
+// Starts that succeed enlarge the windows of their zone and image, starts that fail halve them, and windows
+// never shrink below their initial size.
 func TestWindowsFollowStarts(t *testing.T) {
-	p := newPlay()
+	p := newTrackerDriver()
 	p.observe(10, 0, 6)
 	p.observe(7, 6, 0)
 	p.expect(t, Returning)
@@ -150,43 +154,43 @@
 	}
 	p.Succeeded(Start{Zone: "b"})
 	if a := p.Admission("b"); a.Limited {
-		t.Errorf("a healthy zone takes %+v", a)
+		t.Errorf("a healthy zone admits %+v", a)
 	}
 }
 
-// A new leader goes on where the last one was; what is stale or makes no sense is dropped.
+// A new leader continues in the stored state. A stale record is ignored, and an unknown state counts as healthy.
 func TestRestore(t *testing.T) {
-	p := newPlay()
-	p.heldFor(t)
+	p := newTrackerDriver()
+	p.loseAndMeasureHoldDown(t)
 	p.Succeeded(Start{Zone: "a"})
-	kept, any := p.Record("a", p.now)
+	stored, any := p.Record("a", p.now)
 	if _, healthy := p.Record("b", p.now); !any || healthy {
-		t.Fatalf("a is kept: %v; b: %v", any, healthy)
+		t.Fatalf("a is stored: %v, want true; b: %v, want false", any, healthy)
 	}
-	next := newPlay()
+	next := newTrackerDriver()
 	next.now = p.now.Add(2 * time.Second)
-	if !next.Restore("a", kept, next.now) || next.Admission("a").Starts != 9 {
-		t.Errorf("restored as %+v from %+v", next.Admission("a"), kept)
+	if !next.Restore("a", stored, next.now) || next.Admission("a").Starts != 9 {
+		t.Errorf("restored as %+v from %+v", next.Admission("a"), stored)
 	}
 	next.expect(t, Returning)
-	if held := next.heldFor(t); held < 9 {
-		t.Errorf("held down for %d s after a loss that the last leader saw", held)
+	if held := next.loseAndMeasureHoldDown(t); held < 9 {
+		t.Errorf("held down for %d s after a second loss, the first of them under the last leader", held)
 	}
-	late := newPlay()
-	if late.Restore("a", kept, p.now.Add(11*time.Minute)) || late.Recovering() {
-		t.Error("a stale record is taken up")
+	late := newTrackerDriver()
+	if late.Restore("a", stored, p.now.Add(11*time.Minute)) || late.Recovering() {
+		t.Error("a stale record was restored")
 	}
-	kept.State = "no such state"
-	if odd := newPlay(); !odd.Restore("a", kept, p.now) || odd.State("a") != Healthy {
-		t.Error("an unknown state is taken up")
+	stored.State = "no such state"
+	if odd := newTrackerDriver(); !odd.Restore("a", stored, p.now) || odd.State("a") != Healthy {
+		t.Error("a record with an unknown state did not restore the zone as healthy")
 	}
 }
 
-// Whatever is seen and restored, a hold-down ends, a window stays within its bounds, and a zone
-// that is well comes back to health.
+// After any observations and any restored record, hold-downs end, windows stay at their initial size or
+// above, and a zone whose machines all respond becomes healthy.
 func TestTrackerAlwaysRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlay()
+		p := newTrackerDriver()
 		if rapid.Bool().Draw(t, "restored") {
 			p.Restore("a", Record{State: rapid.SampledFrom(stateNames[:]).Draw(t, "state"), SinceMS: rapid.Int64().Draw(t, "since"),
 				HeldMS: rapid.Int64().Draw(t, "held"), Penalty: rapid.Float64().Draw(t, "penalty"),
@@ -195,18 +199,18 @@
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			p.observe(rapid.IntRange(1, 15).Draw(t, "seconds"), rapid.IntRange(0, 4).Draw(t, "responsive"), rapid.IntRange(0, 4).Draw(t, "silent"))
 			start := Start{Zone: "a", Image: "x", Fetches: rapid.Bool().Draw(t, "fetches")}
-			if rapid.Bool().Draw(t, "ends well") {
+			if rapid.Bool().Draw(t, "succeeds") {
 				p.Succeeded(start)
 			} else {
 				p.Failed(start)
 			}
 			if a := p.Admission("a"); a.Limited && a.Starts < DefaultSettings().FirstStarts {
-				t.Fatalf("takes %+v", a)
+				t.Fatalf("admits %+v, fewer than the initial starts", a)
 			}
 		}
 		p.observe(61+11, 4, 0)
 		if p.Recovering() {
-			t.Fatalf("still %v", p.State("a"))
+			t.Fatalf("zone a is still %v", p.State("a"))
 		}
 	})
 }
--- a/zones/window.go
+++ b/zones/window.go
@@ -2,76 +2,79 @@
 
 import "time"
 
-// window bounds the starts that are under way at once. It grows by one with each that succeeds,
-// so it doubles with every round of starts, and halves with each that fails.
+// window limits the starts that are under way at once. It grows by one with each start that succeeds,
+// so it doubles with every full round of starts, and halves with each one that fails.
 type window struct {
-	size  int
-	least int
+	size    int
+	minSize int
 }
 
-// mostStarts bounds a window: beyond it no deployment that was measured is limited any more.
-const mostStarts = 1 << 20
+// maxWindow limits the size of a window; it is more than any deployment starts at once.
+const maxWindow = 1 << 20
 
-func (w *window) succeeded() { w.size = min(w.size+1, mostStarts) }
+func (w *window) succeeded() { w.size = min(w.size+1, maxWindow) }
 
-func (w *window) failed() { w.size = max(w.size/2, w.least) }
+func (w *window) failed() { w.size = max(w.size/2, w.minSize) }
 
+// resetWindows sets all windows to their initial sizes.
 func (z *zone) resetWindows(s Settings) {
-	z.window = window{size: s.FirstStarts, least: s.FirstStarts}
-	z.fetches = map[string]*window{}
+	z.window = window{size: s.FirstStarts, minSize: s.FirstStarts}
+	z.fetchWindows = map[string]*window{}
 }
 
-// limited reports whether a zone's starts are limited.
+// limited reports whether starts in a zone are limited.
 func (z *zone) limited() bool { return z.state == Lost || z.state == HeldDown || z.state == Returning }
 
 // Start is a start of a task in a zone.
 type Start struct {
 	Zone    string // the zone's name
 	Image   string // the image of the task
-	Fetches bool   // its machine lacks the image
+	Fetches bool   // its machine does not have the image
 }
 
-// Succeeded counts a start that has ended well.
-func (t *Tracker) Succeeded(s Start) { t.count(s, (*window).succeeded) }
+// Succeeded records a start that succeeded.
+func (t *Tracker) Succeeded(s Start) { t.resizeWindows(s, (*window).succeeded) }
 
-// Failed counts a start that has ended otherwise.
-func (t *Tracker) Failed(s Start) { t.count(s, (*window).failed) }
+// Failed records a start that did not succeed.
+func (t *Tracker) Failed(s Start) { t.resizeWindows(s, (*window).failed) }
 
-func (t *Tracker) count(s Start, change func(*window)) {
+// resizeWindows changes the windows that a start counts against, if its zone is limited.
+func (t *Tracker) resizeWindows(s Start, change func(*window)) {
 	z := t.zones[s.Zone]
 	if z == nil || !z.limited() {
 		return
 	}
 	change(&z.window)
 	if s.Fetches {
-		change(z.fetch(s.Image, t.settings))
+		change(z.fetchWindow(s.Image, t.settings))
 	}
 }
 
-func (z *zone) fetch(image string, s Settings) *window {
-	w := z.fetches[image]
+// fetchWindow returns the window for starts that fetch an image.
+func (z *zone) fetchWindow(image string, s Settings) *window {
+	w := z.fetchWindows[image]
 	if w == nil {
-		w = &window{size: s.FirstFetches, least: s.FirstFetches}
-		z.fetches[image] = w
+		w = &window{size: s.FirstFetches, minSize: s.FirstFetches}
+		z.fetchWindows[image] = w
 	}
 	return w
 }
 
-// HeldBack notes that a start which had room in a zone was held back.
+// HeldBack records that a start in a zone with room for it was delayed by the limit.
 func (t *Tracker) HeldBack(now time.Time, name string) {
 	if z := t.zones[name]; z != nil && z.state == Returning {
-		z.heldBackAt = now
+		z.throttledAt = now
 	}
 }
 
-// Admission is what a zone takes now.
+// Admission describes which starts a zone admits now.
 type Admission struct {
-	Limited   bool // the rest holds; otherwise anything may start there
-	BoundOnly bool // only what can run nowhere else
-	Starts    int  // that may be under way at once
+	Limited   bool // the other fields apply; if false, all starts are admitted
+	BoundOnly bool // only tasks that can run in no other zone are admitted
+	Starts    int  // limit on the starts under way at once
 }
 
-// Admission returns what a zone takes now.
+// Admission returns which starts a zone admits now.
 func (t *Tracker) Admission(name string) Admission {
 	z := t.zones[name]
 	if z == nil || !z.limited() {
@@ -80,11 +83,11 @@
 	return Admission{Limited: true, BoundOnly: z.state != Returning, Starts: z.window.size}
 }
 
-// Fetches returns how many starts that need an image fetched may be under way at once in a zone.
+// Fetches returns the limit on the starts under way at once in a zone that fetch the given image.
 func (t *Tracker) Fetches(name, image string) int {
 	z := t.zones[name]
-	if z == nil || z.fetches[image] == nil {
+	if z == nil || z.fetchWindows[image] == nil {
 		return t.settings.FirstFetches
 	}
-	return z.fetches[image].size
+	return z.fetchWindows[image].size
 }
