--- a/cells/transfer_test.go
+++ b/cells/transfer_test.go
@@ -90,8 +90,8 @@
 // checkAnswer checks that the user gets a single final answer per job, and that a job is reported as cancelled only
 // if no holder may run it, and as done only if it has run.
 func (m *model) checkAnswer(job string, result Result) {
-	if was, told := m.answers[job]; told && was != result {
-		m.t.Fatalf("%s: result %d is reported after result %d", job, result, was)
+	if previous, reported := m.answers[job]; reported && previous != result {
+		m.t.Fatalf("%s: result %d is reported after result %d", job, result, previous)
 	}
 	m.answers[job] = result
 	for name, h := range m.holders {
--- a/reduction/dynamic.go
+++ b/reduction/dynamic.go
@@ -56,8 +56,8 @@
 
 // Accumulate applies the outcome of a pending node, and propagates a failure downstream. It
 // returns the other nodes that become ready or fail through it. It ignores a node that is
-// not in the graph, as is any node without predecessors that no added node needs, and a
-// node that is not pending.
+// not pending, and one that is not in the graph: a node without predecessors that no other
+// node needs need not be added.
 func (g *DynamicGraph) Accumulate(id string, o Outcome) []string {
 	n := g.nodes[id]
 	if n == nil || n.status != Pending {
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -5,18 +5,18 @@
 // Demand describes the pending tasks of one job. All its tasks have the same resources and constraints.
 type Demand struct {
 	Job, Class, Team string
-	Tasks            []int // indexes of the pending tasks, in order
-	Total            int
-	Each             Resources
+	Tasks            []int     // indexes of the pending tasks, in order
+	Total            int       // number of all tasks of the job, pending or not
+	Each             Resources // resources of one task
 	Measure          Measure
-	Types            []string
-	Zone             string
-	OneZone, Spread  bool
-	Spot             bool
+	Types            []string // permitted machine types; empty: all
+	Zone             string   // required zone; empty: any
+	OneZone, Spread  bool     // all tasks in the same zone; at most half of them, rounded up, in any zone
+	Spot             bool     // spot machines are permitted
 	Image            string
 	CachedOnly       bool // only machines that have the image
 	KeepOffSpot      bool // prefer non-spot machines even over image locality: losing a task delays other jobs too
-	Rank             int
+	Rank             int  // index of the job's priority; 0 is the highest
 	Service          bool
 	Gang             bool                   // all tasks are placed at once or none is
 	WaitForBooting   bool                   // its start objective is missed: leaving room to other classes outranks a fast start
