--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -12,17 +12,20 @@
 	"pumicefront/wire"
 )
 
-// caught plays tampered runs until one breaks the rule.
+// caught simulates tampered runs of the Small shape until the checks report a violation
+// of the rule. It fails if no seed leads to one.
 func caught(t *testing.T, rule string, after time.Duration, tamper func() Tamper) {
 	t.Helper()
 	caughtOn(t, Small, rule, after, tamper)
 }
 
+// caughtOn is caught with a given shape.
 func caughtOn(t *testing.T, shape Shape, rule string, after time.Duration, tamper func() Tamper) {
 	t.Helper()
 	caughtBy(t, shape, rule, func(w *World, faults, _ time.Duration) { RunFaults(w, faults, after) }, tamper)
 }
 
+// caughtBy is caught with a given shape and kind of run.
 func caughtBy(t *testing.T, shape Shape, rule string, run func(w *World, faultTime, recovery time.Duration), tamper func() Tamper) {
 	t.Helper()
 	for seed := range uint64(200) {
@@ -35,12 +38,13 @@
 			}
 		}
 	}
-	t.Errorf("no run broke %s", rule)
+	t.Errorf("no tampered run violated rule %s", rule)
 }
 
-// TestCheckerDetectsBrokenRules breaks one safety rule at a time around an intact core.
+// TestCheckerDetectsBrokenRules tampers with the messages around an unmodified core so that
+// one safety rule is violated at a time.
 func TestCheckerDetectsBrokenRules(t *testing.T) {
-	t.Run("forgets at once", func(t *testing.T) {
+	t.Run("exited tasks are forgotten before their end is recorded", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "ran_", time.Second, func() Tamper {
 			return Tamper{Answer: func(w *World, r *controller.ReportRequest, a *controller.Answer) {
@@ -57,7 +61,7 @@
 			}}
 		})
 	})
-	t.Run("runs without a record", func(t *testing.T) {
+	t.Run("task records are not stored", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "ran_twice", time.Second, func() Tamper {
 			return Tamper{State: func(call *controller.StateCall) (controller.StateReply, bool) {
@@ -68,7 +72,7 @@
 			}}
 		})
 	})
-	t.Run("new leader does not wait for proof", func(t *testing.T) {
+	t.Run("new leader does not wait for proof that earlier attempts have ended", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "ran_twice", time.Second, func() Tamper {
 			return Tamper{StateReply: func(call *controller.StateCall, r *controller.StateReply) {
@@ -87,12 +91,14 @@
 	})
 }
 
-// TestCheckerDetectsAdditions breaks what the users have added.
+// TestCheckerDetectsAdditions does the same for rules on liveness (forgotten, starved) and
+// for faults of single machines and controllers: late reports, machines that receive
+// nothing and controllers without authority.
 func TestCheckerDetectsAdditions(t *testing.T) {
 	isTask := func(call *controller.StateCall, job string) bool {
 		return call.Op == controller.OpTxn && onlyTasks(call.Txn) && strings.Contains(call.Txn.Then[0].Put, job)
 	}
-	t.Run("one job's questions always find no room", func(t *testing.T) {
+	t.Run("queries about one job are always rejected", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "forgotten", recoveryPhase, func() Tamper {
 			first := ""
@@ -118,7 +124,7 @@
 			}}
 		})
 	})
-	t.Run("a late copy passes for the newest report", func(t *testing.T) {
+	t.Run("a delayed copy of a report is accepted as the newest", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "ran_", recoveryPhase, func() Tamper {
 			return Tamper{Report: func(h *host, late bool, r *wire.Report) {
@@ -128,7 +134,7 @@
 			}}
 		})
 	})
-	t.Run("what a machine that hears nothing reports is taken for its end", func(t *testing.T) {
+	t.Run("a machine that receives nothing reports that its tasks have ended", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "ran_twice", recoveryPhase, func() Tamper {
 			return Tamper{Report: func(h *host, _ bool, r *wire.Report) {
@@ -159,9 +165,10 @@
 	})
 }
 
-// TestCheckerDetectsBrokenChains breaks what chains add.
+// TestCheckerDetectsBrokenChains does the same for the rules on jobs that need others:
+// too_early and orphaned.
 func TestCheckerDetectsBrokenChains(t *testing.T) {
-	t.Run("a leader that does not see what a job needs", func(t *testing.T) {
+	t.Run("job records lose the list of needed jobs", func(t *testing.T) {
 		t.Parallel()
 		caughtBy(t, Chains, "too_early", runOverload, func() Tamper {
 			return Tamper{State: func(call *controller.StateCall) (controller.StateReply, bool) {
@@ -180,7 +187,7 @@
 			}}
 		})
 	})
-	t.Run("what a cancelled job's followers are is told by their own headers alone", func(t *testing.T) {
+	t.Run("jobs that need a cancelled job are still reported queued", func(t *testing.T) {
 		t.Parallel()
 		caughtBy(t, Chains, "orphaned", runOverload, func() Tamper {
 			asked := map[string]bool{}
@@ -198,10 +205,10 @@
 	})
 }
 
-// TestCheckerDetectsFleetFaults breaks what many machines and controllers that stand
-// still put at stake.
+// TestCheckerDetectsFleetFaults does the same for faults of many machines at once, for
+// paused controllers and for releases of machines that fail.
 func TestCheckerDetectsFleetFaults(t *testing.T) {
-	t.Run("a controller's clock stands still with it", func(t *testing.T) {
+	t.Run("the clock of a paused controller stops", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "authority", time.Second, func() Tamper {
 			behind, since := map[*node]time.Duration{}, map[*node]time.Time{}
@@ -217,7 +224,7 @@
 			}}
 		})
 	})
-	t.Run("a release counts that did not take place", func(t *testing.T) {
+	t.Run("the cloud confirms a release that it did not carry out", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "ran_twice", time.Second, func() Tamper {
 			return Tamper{Cloud: func(call *controller.CloudCall) (controller.CloudReply, bool) {
@@ -225,7 +232,7 @@
 			}}
 		})
 	})
-	t.Run("what many machines that are cut run is taken for lost", func(t *testing.T) {
+	t.Run("tasks of partitioned machines are reported ended", func(t *testing.T) {
 		t.Parallel()
 		caught(t, "ran_twice", time.Second, func() Tamper {
 			return Tamper{Report: func(h *host, late bool, r *wire.Report) {
@@ -237,7 +244,8 @@
 	})
 }
 
-// TestCheckerDetectsGPULimits gives the controllers other limits than the teams have.
+// TestCheckerDetectsGPULimits starts the controllers with twice the teams' limits on
+// GPUs or on cores.
 func TestCheckerDetectsGPULimits(t *testing.T) {
 	for name, twice := range map[string]func(t *config.Team){
 		"GPUs":  func(t *config.Team) { t.GPUsMax *= 2 },
@@ -257,6 +265,7 @@
 	}
 }
 
+// onlyTasks reports whether a transaction writes task records and nothing else.
 func onlyTasks(t wire.Txn) bool {
 	for _, c := range t.Then {
 		if !strings.HasPrefix(c.Put, "t/") {
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -9,13 +9,13 @@
 	"pumicefront/wire"
 )
 
-// cloud stands in for the cloud's API.
+// cloud simulates the cloud's API, through which machines are rented and released.
 type cloud struct {
 	w      *World
 	next   int
 	hires  map[string][]string
 	outage bool
-	most   int // of each type
+	most   int // maximum number of machines of each type
 
 	refusing map[string]bool // zones in which nothing can be rented
 }
@@ -34,7 +34,7 @@
 	lost := w.chance(0.02)
 	delay := w.between(20*time.Millisecond, 150*time.Millisecond)
 	if lost && w.chance(0.5) {
-		delay = w.between(5*time.Second, 20*time.Second) // takes effect late
+		delay = w.between(5*time.Second, 20*time.Second) // takes effect after the call has timed out
 	}
 	w.after(delay, func() {
 		r, tampered := controller.CloudReply{}, false
@@ -101,7 +101,7 @@
 	return names, true
 }
 
-// inZone is how many machines of each type a zone has.
+// inZone returns the maximum number of machines of each type in a zone.
 func (c *cloud) inZone(zone string) int {
 	if c.refusing[zone] {
 		return 0
@@ -109,8 +109,8 @@
 	return (c.most + c.w.shape.Zones - 1) / c.w.shape.Zones
 }
 
-// list is late by the lag: it omits young machines and shows those that have
-// gone lately.
+// list shows the machines as they were some time ago, between half and one and a half times
+// the list lag: it omits newer machines and still contains those that ended since.
 func (c *cloud) list(after string) wire.MachinePage {
 	lag := time.Duration(c.w.cfg.Facts.Cloud.ListLagS * float64(time.Second) * (0.5 + c.w.rng.Float64()))
 	var p wire.MachinePage
--- a/internal/sim/coverage.go
+++ b/internal/sim/coverage.go
@@ -9,26 +9,28 @@
 	"pumicefront/wire"
 )
 
-// waitsToBegin reports whether nothing of an accepted job that nobody cancelled has run.
+// waitsToBegin reports whether no task of an accepted job has started yet. Jobs that may
+// be cancelled don't count.
 func (j *simJob) waitsToBegin() bool { return j.accepted && !j.begun && !j.mayBeCancelled() }
 
 func (w *World) leaseTime() time.Duration {
 	return time.Duration(w.cfg.Facts.Workers.LeaseS * float64(time.Second))
 }
 
-// leading is the node that leads, or the first.
+// leading returns the controller that leads, or the first controller if none does.
 func (w *World) leading() *node {
 	return w.nodes[max(slices.IndexFunc(w.nodes, (*node).leads), 0)]
 }
 
-// leads reports whether a node believes now that it may act for all.
+// leads reports whether the controller holds the leader's authority by its own clock.
 func (n *node) leads() bool { return n.core != nil && n.clock().Before(n.core.Authority()) }
 
-// The combinations, as runs note that they came about. A run of pairs is worth nothing if
-// its faults pass each other by.
+// The functions below count the combinations of faults that a run reaches. The tests that
+// simulate overlapping faults require each combination to occur in at least one of their
+// runs, because faults that don't meet test nothing beyond the single faults.
 
-// noteRenewal notes a renewal by a leader that hears nothing from the state service,
-// while tasks of a job run whose user was told that it is cancelled.
+// noteRenewal counts renewals of a worker's lease during an outage of the state service,
+// while tasks run of a job that was reported cancelled to its user.
 func (w *World) noteRenewal(n *node) {
 	if !w.store.outage {
 		return
@@ -43,7 +45,7 @@
 	})
 }
 
-// noteLeaderChange notes what a change of leaders meets.
+// noteLeaderChange counts the conditions under which another controller becomes leader.
 func (w *World) noteLeaderChange(n *node) {
 	if n == w.lastLeader || w.lastLeader == nil {
 		w.lastLeader = n
@@ -66,7 +68,7 @@
 	})
 }
 
-// noteLeaderEnd notes what the end of a leader meets.
+// noteLeaderEnd counts the conditions under which a leader crashes.
 func (w *World) noteLeaderEnd(down time.Duration) {
 	if down < time.Second {
 		w.coverage["a leader ends and is back within a second"]++
@@ -81,7 +83,7 @@
 	})
 }
 
-// noteCancellation notes what a confirmed cancellation meets.
+// noteCancellation counts the conditions under which a cancellation is confirmed to a user.
 func (w *World) noteCancellation(j *simJob) {
 	if w.now-w.leaderSince < 3*time.Second {
 		w.coverage["a cancellation told as leaders change"]++
@@ -101,7 +103,7 @@
 	})
 }
 
-// noteLostAnswer notes a transaction whose answer is lost.
+// noteLostAnswer counts transactions whose answer is lost.
 func (w *World) noteLostAnswer(sent time.Duration, r controller.StateReply) {
 	switch late := w.now-sent > time.Second; {
 	case r.Status != http.StatusOK && late:
@@ -113,8 +115,8 @@
 	}
 }
 
-// noteCommand notes a direct command that arrives when its sender has given it up, or
-// where no report goes out.
+// noteCommand counts direct commands that are executed without an answer to their sender,
+// and those that reach a machine which can't send reports.
 func (w *World) noteCommand(h *host, answer bool, status int) {
 	switch {
 	case !answer && status == http.StatusOK:
@@ -124,7 +126,7 @@
 	}
 }
 
-// noteOldReport notes a copy of a report that arrives after newer ones.
+// noteOldReport counts copies of reports that arrive after newer ones.
 func (w *World) noteOldReport(h *host, n *node, r *wire.Report) {
 	if r.Session < h.session {
 		w.coverage["a report from an earlier session arrives"]++
@@ -134,7 +136,8 @@
 	}
 }
 
-// noteTaskEnd notes jobs of a few tasks whose ends are on both sides of a change of leaders.
+// noteTaskEnd counts tasks of small jobs that end after a change of leaders, when another
+// task of the job ended before it.
 func (w *World) noteTaskEnd(j *simJob) {
 	if j.firstEnd == 0 {
 		j.firstEnd = w.now
@@ -143,7 +146,7 @@
 	}
 }
 
-// noteLostTasks notes jobs bound to a zone that lose a machine.
+// noteLostTasks counts the tasks lost with a machine whose jobs must run in one zone.
 func (w *World) noteLostTasks(h *host) {
 	for _, t := range h.tasks {
 		if t.onMachine() && (t.job.spec.Zone != "" || t.job.spec.OneZone) {
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// faultSpan is how long a fault lasts. Everything is whole again when the faults end.
+// faultSpan is the time that a fault lasts. All faults are repaired at the end of the
+// period with faults, even if their own duration has not passed.
 type faultSpan struct {
 	w        *World
-	end      time.Duration // of all faults
+	end      time.Duration // when the period with faults ends
 	duration time.Duration
 }
 
-// undo repairs what the fault has broken when its time is over.
+// undo schedules the repair of the fault for the end of its duration.
 func (f faultSpan) undo(repair func()) { f.w.after(f.w.untilEnd(f.duration, f.end), repair) }
 
-// isolate leaves a node its workers and users alone.
+// isolate partitions a controller from the state service and from the other controllers.
+// It still reaches workers and users.
 func (f faultSpan) isolate(n *node) {
 	n.isolated = true
 	f.undo(func() {
@@ -24,17 +26,17 @@
 	})
 }
 
-// drawnFault is one fault with what is drawn for it.
+// drawnFault is a random fault with its parameters.
 type drawnFault struct {
 	faultSpan
 	node  *node
-	down  time.Duration // that a process is away
-	soon  time.Duration // that a process is away which is back at once
-	pick  uint64        // of a machine
-	share float64       // of the machines
+	down  time.Duration // downtime of a process that crashes
+	soon  time.Duration // downtime of a process or machine that restarts quickly
+	pick  uint64        // selects a machine
+	share float64       // share of the machines that is affected
 }
 
-// faultKinds are the faults that a run draws from.
+// faultKinds are the kinds of fault that a run draws from.
 var faultKinds = []func(*drawnFault){
 	(*drawnFault).crashOne,
 	(*drawnFault).crashAll,
@@ -68,7 +70,7 @@
 	(*drawnFault).noticeMachine,
 }
 
-// drawFault draws one fault, to be caused later.
+// drawFault draws a fault and returns the function that injects it.
 func (w *World) drawFault(end time.Duration) func() {
 	f := &drawnFault{
 		node:      w.nodes[w.rng.IntN(len(w.nodes))],
@@ -82,7 +84,7 @@
 	return func() { kind(f) }
 }
 
-// untilEnd is how long something may last that must be over when all faults are.
+// untilEnd returns the duration, shortened if necessary to be over at end.
 func (w *World) untilEnd(duration, end time.Duration) time.Duration {
 	return min(duration, max(end-w.now, 0))
 }
@@ -142,7 +144,8 @@
 	}
 }
 
-// pauseOneAndCrashNext has another one take over, which may be gone too.
+// pauseOneAndCrashNext pauses one controller, so that another takes over, and crashes the
+// next one within four seconds, which may be the one that took over.
 func (f *drawnFault) pauseOneAndCrashNext() {
 	f.node.pause(f.duration)
 	next := f.w.nodes[(f.node.i+1)%len(f.w.nodes)]
@@ -166,7 +169,8 @@
 	f.undo(func() { f.w.store.setOutage(false) })
 }
 
-// refuseAllInTurn lets leases run out, and the controllers come back one by one.
+// refuseAllInTurn makes the state service refuse all controllers, until after their leases
+// may have run out, and accept them again at different times; one of them also crashes.
 func (f *drawnFault) refuseAllInTurn() {
 	for _, n := range f.w.nodes {
 		f.w.refuse(n, f.duration/4+f.w.between(0, 4*time.Second), f.end)
@@ -174,7 +178,7 @@
 	f.w.after(f.w.between(0, 3*time.Second), func() { f.node.crash(f.soon) })
 }
 
-// refuse has the state service refuse one node for a while.
+// refuse makes the state service refuse the calls of one controller for a while.
 func (w *World) refuse(n *node, duration, end time.Duration) {
 	n.refused = true
 	w.after(w.untilEnd(duration, end), func() {
@@ -243,14 +247,14 @@
 	f.undo(func() { h.setHung(false) })
 }
 
-// oneMachine causes a fault on one machine that is up.
+// oneMachine injects a fault into one of the machines that are up.
 func (f *drawnFault) oneMachine(cause func(h *host)) {
 	if hosts := f.w.hostsUp(); len(hosts) > 0 {
 		cause(hosts[f.pick%uint64(len(hosts))])
 	}
 }
 
-// manyMachines causes a fault on a share of the machines that are up.
+// manyMachines injects a fault into a random share of the machines that are up.
 func (f *drawnFault) manyMachines(cause func(h *host)) {
 	for _, h := range f.w.hostsUp() {
 		if f.w.chance(f.share) {
@@ -259,6 +263,7 @@
 	}
 }
 
+// hostsUp returns the machines that have booted and still exist.
 func (w *World) hostsUp() []*host {
 	return slices.DeleteFunc(slices.Clone(w.hosts), func(h *host) bool { return h.gone || h.up > w.now })
 }
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -10,7 +10,7 @@
 	"pumicefront/wire"
 )
 
-// host stands in for a machine and its worker.
+// host simulates a machine and the worker on it.
 type host struct {
 	w             *World
 	id, typ, zone string
@@ -25,32 +25,33 @@
 	images              map[string]bool
 	leaseFrom           time.Duration
 	node                int
-	reporting           int // number of the report in flight
+	reporting           int // number of the latest report; an earlier one's answer or time-out is ignored
 	busy                bool
 	lastSent            time.Duration
 	notice              bool
 	faulty              bool
 
 	cut, hung       bool
-	receivesNothing bool     // its reports arrive, but answers and commands don't reach it
-	sendsNothing    bool     // it can't open connections to controllers; commands reach it
-	noReports       bool     // it makes no reports, though it runs
-	off             bool     // is starting again
-	listens         string   // where it takes commands, if controllers are real
-	deferred        []func() // messages that wait for the end of a cut
-	whileHung       []func() // what a hanging machine will do when it continues
+	receivesNothing bool     // its reports arrive, but answers and commands are lost
+	sendsNothing    bool     // it can't connect to controllers, but receives commands
+	noReports       bool     // it runs but sends no reports
+	off             bool     // it is restarting
+	listens         string   // address on which it takes commands from real controllers; empty in virtual time
+	deferred        []func() // messages to or from it to deliver when the network partition heals
+	whileHung       []func() // actions of a hung machine, to run when it resumes
 }
 
-// task is an attempt on a machine.
+// task is an attempt to run a task, on one machine.
 type task struct {
 	id      string
-	job     *simJob // nil: nobody submitted it
+	job     *simJob // nil: no user has submitted such a job
 	attempt uint64
 	state   string
 	why     string
 	started time.Duration
 }
 
+// onMachine reports whether the attempt's process exists: fetching and exited ones have none.
 func (t *task) onMachine() bool { return t.state == wire.TaskRunning || t.state == wire.TaskSaving }
 
 func (w *World) newHost(id, typ, zone string, spot bool) *host {
@@ -80,7 +81,7 @@
 	return h
 }
 
-// address is where controllers send commands.
+// address returns the address to which controllers send commands.
 func (h *host) address() string {
 	if h.listens != "" {
 		return h.listens
@@ -88,7 +89,8 @@
 	return h.id
 }
 
-// do runs fn on the machine: never when it is gone, later when it hangs.
+// do runs fn on the machine. It is dropped if the machine no longer exists or is
+// restarting, and deferred while the machine hangs.
 func (h *host) do(fn func()) {
 	switch {
 	case h.gone || h.off:
@@ -99,7 +101,8 @@
 	}
 }
 
-// reach delivers a message to the machine, at the end of a cut if there is one.
+// reach delivers a message to the machine. It is deferred while the machine is
+// partitioned, and lost while the machine receives nothing.
 func (h *host) reach(fn func()) {
 	if h.receivesNothing {
 		return
@@ -124,7 +127,7 @@
 
 func (h *host) setHung(on bool) {
 	h.hung = on
-	if on { // what is on it is killed before it goes on after its lease
+	if on { // tasks still on it when its lease ends are killed before it resumes
 		h.w.after(h.leaseEnd()-h.w.now, func() {
 			if h.hung && !h.gone && h.w.now >= h.leaseEnd() {
 				h.noteEnds()
@@ -141,8 +144,8 @@
 	}
 }
 
-// restart ends all that is on the machine; it is back soon after, in a new session,
-// and may have forgotten the token that it had seen.
+// restart ends all tasks on the machine, which is back after the given downtime in a new
+// session. Half of the restarts lose the highest token that the worker had seen.
 func (h *host) restart(down time.Duration) {
 	w := h.w
 	w.Log("%v %s restarts with %d tasks", w.now, h.id, len(h.tasks))
@@ -184,7 +187,7 @@
 	})
 }
 
-// expire ends the session when the lease has run out.
+// expire ends the session and all of its tasks if the lease has run out.
 func (h *host) expire() {
 	if h.w.now < h.leaseEnd() {
 		return
@@ -212,7 +215,7 @@
 	return r
 }
 
-// soon reports a change, at most once every half second.
+// soon schedules a report of a change, at least half a second after the previous report.
 func (h *host) soon() {
 	h.w.after(max(h.lastSent+500*time.Millisecond-h.w.now, 0), func() { h.do(h.report) })
 }
@@ -257,7 +260,8 @@
 	})
 }
 
-// copyReport draws whether a copy of a report arrives again.
+// copyReport draws whether a report arrives a second time: at a random controller some
+// time later, or at every controller once a higher token is used.
 func (h *host) copyReport(rep wire.Report) {
 	w := h.w
 	copyTo := func(x *node) func() {
@@ -270,10 +274,10 @@
 			}
 		}
 	}
-	if w.byChance(0.02) || w.chance(w.faults.duplicateReports) { // from seconds to well over a lease later
+	if w.byChance(0.02) || w.chance(w.faults.duplicateReports) { // from 2 s to well over a lease of 10 s later
 		w.after(w.between(2*time.Second, 25*time.Second), copyTo(w.nodes[w.rng.IntN(len(w.nodes))]))
 	}
-	if w.chance(w.faults.keepReports) { // kept until another leads, then for every node
+	if w.chance(w.faults.keepReports) { // delivered to every controller once a higher token is used
 		for _, x := range w.nodes {
 			w.keptReports = append(w.keptReports, copyTo(x))
 		}
@@ -298,7 +302,7 @@
 	}
 }
 
-// failed goes on to the next node a second later.
+// failed makes the machine send its next report to the next controller, a second later.
 func (h *host) failed(number int) {
 	if h.reporting != number || !h.busy {
 		return
@@ -338,7 +342,8 @@
 	h.execute(body.Commands)
 }
 
-// commands carries out a direct command that has arrived.
+// commands handles a direct call with commands. It refuses one with an outdated token or
+// of another session.
 func (h *host) commands(c wire.Commands) (int, wire.Report) {
 	if c.Token < h.token || c.Session != h.session {
 		return http.StatusConflict, h.snapshot()
@@ -380,7 +385,8 @@
 	}
 }
 
-// stop ends a task, after it has saved where it can and has the time.
+// stop ends a task. A running task that can save its progress does so first if the grace
+// period is long enough.
 func (h *host) stop(t *task, grace float64) {
 	if t.job == nil || t.job.saved == nil || t.state != wire.TaskRunning || grace < t.job.spec.SaveS {
 		if t.state != wire.TaskSaving || grace == 0 {
@@ -397,7 +403,7 @@
 	})
 }
 
-// stopped ends a task that was told to stop.
+// stopped ends a task because of a stop command.
 func (h *host) stopped(t *task) {
 	h.exit(t, wire.WhyStopped)
 	if h.w.onStopped != nil {
@@ -413,7 +419,7 @@
 	h.soon()
 }
 
-// run takes up a task as the protocol says: refused, fetching, then running.
+// run handles a run command: the attempt is refused, or it fetches its image and then runs.
 func (h *host) run(id string, attempt uint64) {
 	j := h.w.users.jobOf(id)
 	t := &task{id: id, job: j, attempt: attempt, state: wire.TaskFetching}
@@ -450,7 +456,7 @@
 	h.later(t, fetch, func() { h.start(t, j) })
 }
 
-// fetches reports whether the machine fetches an image.
+// fetches reports whether the machine is fetching an image.
 func (h *host) fetches() bool {
 	return slices.ContainsFunc(h.tasks, func(t *task) bool {
 		return t.state == wire.TaskFetching && t.job != nil && !h.images[t.job.spec.Image]
@@ -462,7 +468,7 @@
 	return types[slices.IndexFunc(types, func(t wire.MachineType) bool { return t.Name == h.typ })]
 }
 
-// later goes on with a task that is still there.
+// later schedules fn, which runs only if the task has not exited and is still on the machine.
 func (h *host) later(t *task, d time.Duration, fn func()) {
 	h.w.after(d, func() {
 		h.do(func() {
@@ -492,14 +498,14 @@
 			run = 0
 		}
 		h.later(t, run, func() {
-			if t.state != wire.TaskSaving { // it ends when it has saved, and has nothing left to do
+			if t.state != wire.TaskSaving { // a task that is being saved ends when that is complete
 				h.finish(t, j, n)
 			}
 		})
 	}
 }
 
-// finish ends an array's task that is done.
+// finish ends a task of an array job that has done its work.
 func (h *host) finish(t *task, j *simJob, n int) {
 	j.done[n] = true
 	h.exit(t, wire.WhyDone)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -11,30 +11,31 @@
 	"pumicefront/mesh"
 )
 
-// node is a controller and the shell around its core.
+// node is a simulated controller process: the core, and the parts around it that carry
+// its calls and messages.
 type node struct {
 	w              *World
 	i              int
 	name           string
 	drift          float64
 	core           *controller.Core
-	life           int // raised with every start: replies to an earlier process are dropped
+	life           int // number of process starts; replies addressed to an earlier process are dropped
 	wakeAt         time.Duration
 	requests       map[uint64]func(controller.Answer)
 	nextReq        uint64
-	refused        bool // by the state service
+	refused        bool // the state service refuses its calls
 	meshCut        bool
-	workersCut     bool          // cut off from the workers
-	isolated       bool          // neither the state service nor the other controllers are reached
-	pauseAfterStep time.Duration // stands still after the next step, for so long
-	paused         bool          // stands still while its clocks run on
-	deferred       []func()      // what it does when it goes on
-	cause          controller.Input
-	sent           []func()  // commands carried out lately, which may be repeated after a crash
-	live           *liveNode // a real controller; nil: a core in virtual time
+	workersCut     bool             // partitioned from the workers
+	isolated       bool             // partitioned from the state service and from the other controllers
+	pauseAfterStep time.Duration    // how long the process pauses after its next step; 0: no pause is due
+	paused         bool             // the process does not run, while its clock does
+	deferred       []func()         // inputs and outputs to process on resume
+	cause          controller.Input // input of the current step
+	sent           []func()         // recent direct commands, any of which may be delivered again after a crash
+	live           *liveNode        // a real controller; nil: a core in virtual time
 }
 
-// down reports whether the process does not run.
+// down reports whether the process has stopped. A paused process is not down.
 func (n *node) down() bool { return n.core == nil && n.live == nil }
 
 func (n *node) clock() time.Time {
@@ -67,7 +68,8 @@
 	n.step(controller.Tick{})
 }
 
-// crash ends the process; copies of its commands may still arrive.
+// crash ends the process and starts a new one after the given downtime. Copies of its
+// recent commands may still arrive.
 func (n *node) crash(down time.Duration) {
 	if n.core == nil {
 		return
@@ -87,9 +89,9 @@
 	n.w.after(down, n.boot)
 }
 
-// pause makes the process stand still while its clocks run on, in the middle of its
-// next step: what that has decided goes out when it goes on, and so does all that
-// has arrived meanwhile.
+// pause stops the process in the middle of its next step, while its clock runs on, as a
+// long garbage collection or a frozen virtual machine does. On resume, the outputs of that
+// step are sent, and then the inputs that arrived during the pause are processed.
 func (n *node) pause(still time.Duration) { n.pauseAfterStep = still }
 
 func (n *node) goOn(life int) {
@@ -152,8 +154,9 @@
 	}
 }
 
-// deliver hands a reply to the process that asked, if it still runs. One that has
-// come while the process stands still may be found after its time has run out.
+// deliver passes a reply to the process that made the call, unless that process has
+// ended. For a reply that arrives during a pause, the process may find on resume that
+// the call has already timed out: half of these replies are replaced by empty ones.
 func (n *node) deliver(life int, in controller.Input) {
 	if n.life != life {
 		return
@@ -211,12 +214,13 @@
 	copyOf := &mesh.Envelope{From: o.Envelope.From, Body: o.Envelope.Body}
 	deliver := func() { to.step(controller.MeshMessage{Envelope: copyOf}) }
 	n.w.after(n.w.latency(), deliver)
-	if n.w.byChance(0.01) { // a copy, much later
+	if n.w.byChance(0.01) { // a duplicate, up to 15 s late
 		n.w.after(n.w.between(100*time.Millisecond, 15*time.Second), deliver)
 	}
 }
 
-// ask sends a request to the node; fn gets the answer unless the node dies.
+// ask sends a request to the controller. fn is called with the answer, unless the
+// controller crashes first.
 func (n *node) ask(in func(req uint64) controller.Input, fn func(controller.Answer)) {
 	if n.live != nil {
 		n.live.ask(in(0), fn)
@@ -228,8 +232,8 @@
 	n.step(in(req))
 }
 
-// callState carries a call to the store and the reply back. A reply may be lost
-// and a transaction may be applied late.
+// callState transmits a call to the state service and the reply back. The reply may be
+// lost, and a transaction may be applied late.
 func (n *node) callState(call controller.StateCall) {
 	w, life := n.w, n.life
 	reply := once(func(r controller.StateReply) {
@@ -247,7 +251,7 @@
 		}
 	}
 	if n.isolated {
-		return // until the call is given up
+		return // the call times out
 	}
 	late, lost := w.latency()+w.between(0, w.faults.slowState), w.byChance(0.004)
 	sent := w.now
@@ -269,7 +273,8 @@
 	})
 }
 
-// callWorker sends direct commands; a cut machine gets them when the cut ends.
+// callWorker sends direct commands to a machine. A partitioned machine receives them
+// when the partition heals.
 func (n *node) callWorker(call controller.WorkerCall) {
 	w, life := n.w, n.life
 	h := w.host(call.Machine)
@@ -300,7 +305,7 @@
 		return
 	}
 	delay := w.latency()
-	if w.byChance(0.01) || w.chance(w.faults.delayedCommands) { // held on its way, long after the sender gave up
+	if w.byChance(0.01) || w.chance(w.faults.delayedCommands) { // delivered late, possibly long after the sender has timed out
 		held := w.between(2*time.Second, 40*time.Second)
 		if w.faults.commandDelay > 0 {
 			held = w.faults.commandDelay
--- a/internal/sim/odd_requests.go
+++ b/internal/sim/odd_requests.go
@@ -9,7 +9,7 @@
 	"pumicefront/wire"
 )
 
-// lacking spells a submission without one of the fields that it must have.
+// lacking encodes a submission without one of its required fields.
 func (w *World) lacking(s wire.Job) []byte {
 	var fields map[string]any
 	if err := wire.Unmarshal(body(s), &fields); err != nil {
@@ -26,8 +26,9 @@
 	return wire.Marshal(fields)
 }
 
-// oddRequests repeats submissions, cancels jobs that are done, and sends jobs that fit
-// no machine, exceed a limit, name nobody's team or lack a field.
+// oddRequests submits a known job again, cancels it if it is done, and submits a job that
+// must be refused: it fits no machine, names an unknown team or an unknown machine type, or
+// lacks a required field.
 func (u *users) oddRequests() {
 	w := u.w
 	if len(u.list) == 0 {
@@ -55,14 +56,14 @@
 		odd.Types = []string{"none"}
 		raw = body(odd)
 	case 3:
-		odd.Types, odd.Zone, odd.DeadlineS, odd.Needs = nil, "", nil, nil // what may be null may be missing
+		odd.Types, odd.Zone, odd.DeadlineS, odd.Needs = nil, "", nil, nil // a missing optional field is no error
 		raw, want = w.lacking(odd), http.StatusBadRequest
 	}
 	u.request(controller.UserRequest{Op: controller.UserSubmit, Job: odd.ID, Body: raw}, func(a controller.Answer) {
 		switch a.Status {
 		case want, 0, http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		default:
-			w.broken("invented", "a job that can't run or lacks a field gets %d, not %d", a.Status, want)
+			w.broken("invented", "a job that can't run or lacks a field is answered with status %d, want %d", a.Status, want)
 		}
 	})
 }
--- a/internal/sim/once.go
+++ b/internal/sim/once.go
@@ -1,6 +1,7 @@
 package sim
 
-// once passes on the first call alone: of a reply and the end of the wait for it, whichever is first.
+// once returns a function that forwards only its first call to fn. A call's reply and its
+// time-out share one such function, so that only the earlier of the two takes effect.
 func once[R any](fn func(R)) func(R) {
 	done := false
 	return func(r R) {
--- a/internal/sim/paired_faults.go
+++ b/internal/sim/paired_faults.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// pairedFault is one of the faults that others are drawn to coincide with: most of them
-// change what the world does for a while.
+// pairedFault is a random fault that a second one is drawn to overlap with. Most of them
+// change the behaviour of the environment for a while.
 type pairedFault struct {
 	faultSpan
 	share float64
-	hang  time.Duration // that machines of cancelled jobs hang
-	soon  time.Duration // that a process is away which is back at once
-	count int           // jobs that are cancelled
-	pick  uint64        // of the kind, and of a node
+	hang  time.Duration // how long machines of cancelled jobs hang
+	soon  time.Duration // downtime of a process that restarts quickly
+	count int           // number of jobs to cancel
+	pick  uint64        // selects the kind of fault and a controller
 }
 
-// pairedFaultKinds are the faults that a run of pairs draws from.
+// pairedFaultKinds are the kinds from which the first fault of a pair is drawn.
 var pairedFaultKinds = []func(*pairedFault){
 	func(f *pairedFault) { f.raise(&f.w.faults.lateWrites) },
 	func(f *pairedFault) { f.raise(&f.w.faults.lostAnswers) },
@@ -45,7 +45,7 @@
 	(*pairedFault).allAwayForALease,
 }
 
-// drawPairedFault draws one of them, to be caused later.
+// drawPairedFault draws a fault of pairedFaultKinds and returns the function that injects it.
 func (w *World) drawPairedFault(end time.Duration) func() {
 	f := &pairedFault{
 		faultSpan: faultSpan{w: w, end: end, duration: w.between(4*time.Second, 30*time.Second)},
@@ -59,13 +59,13 @@
 	return func() { kind(f) }
 }
 
-// raise sets a share of the world's faults for a while.
+// raise sets the probability of a fault of the environment for a while.
 func (f *pairedFault) raise(share *float64) {
 	*share = f.share
 	f.undo(func() { *share = 0 })
 }
 
-// delay is a share of a longest delay.
+// delay returns a share of the given maximum.
 func (f *pairedFault) delay(most time.Duration) time.Duration {
 	return time.Duration(f.share * float64(most))
 }
@@ -93,7 +93,8 @@
 	f.someMachines(func(h *host, on bool) { h.sendsNothing = on })
 }
 
-// someMachines switches a fault on for a share of the machines that are up, and off.
+// someMachines sets a fault on a random share of the machines that are up, and clears it
+// at the end of its duration.
 func (f *pairedFault) someMachines(set func(h *host, on bool)) {
 	for _, h := range f.w.hosts {
 		if !h.gone && h.up <= f.w.now && f.w.chance(f.share) {
@@ -109,7 +110,8 @@
 	}
 }
 
-// smallJobs has jobs of one task come four a second, a quarter of them cancelled.
+// smallJobs submits four jobs with one task each per second, a quarter of which are
+// cancelled.
 func (f *pairedFault) smallJobs() {
 	for at := time.Duration(0); at < f.duration; at += 250 * time.Millisecond {
 		f.w.after(at, func() {
@@ -120,8 +122,9 @@
 	}
 }
 
-// outageAfterCancellations refuses the leader; others confirm cancellations; then the
-// state service is out for all, for longer than cancellations have.
+// outageAfterCancellations makes the state service refuse the leader, while the others
+// confirm cancellations. The state service then has an outage for all controllers, longer
+// than the time within which cancellations must take effect.
 func (f *pairedFault) outageAfterCancellations() {
 	w := f.w
 	w.refuse(w.leading(), w.cancelTime()+f.duration, f.end)
@@ -132,6 +135,8 @@
 	})
 }
 
+// handOverAndBack crashes the current leader four times within four seconds, while jobs
+// are cancelled.
 func (f *pairedFault) handOverAndBack() {
 	w := f.w
 	for range 4 {
@@ -140,6 +145,7 @@
 	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.count, 0) })
 }
 
+// manyLeaders makes the state service refuse the current leader, every two seconds anew.
 func (f *pairedFault) manyLeaders() {
 	w := f.w
 	for i := range 10 {
@@ -151,14 +157,16 @@
 	}
 }
 
-// isolateLeader leaves the leader its workers and users alone.
+// isolateLeader partitions the leader from the state service and from the other
+// controllers, while jobs are cancelled. It still reaches workers and users.
 func (f *pairedFault) isolateLeader() {
 	w := f.w
 	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.count, 0) })
 	f.isolate(w.leading())
 }
 
-// isolateZone cuts off a zone with a controller in it, for longer than a lease.
+// isolateZone partitions a zone with one controller in it from the rest, for longer than a
+// lease if the faults last that long.
 func (f *pairedFault) isolateZone() {
 	w := f.w
 	n := w.nodes[f.pick>>8%uint64(len(w.nodes))]
@@ -166,7 +174,7 @@
 	w.users.cancelRunning(f.count, 0)
 }
 
-// overloadSlowLinks brings much more work than room, over slow links.
+// overloadSlowLinks submits more work than the machines can run at once, over slow links.
 func (f *pairedFault) overloadSlowLinks() {
 	w := f.w
 	w.faults.slowLinks = f.delay(400 * time.Millisecond)
@@ -185,8 +193,8 @@
 	}
 }
 
-// crashWithNewMachines gives machines work as soon as they are up, while writes lag, and
-// then the leader ends.
+// crashWithNewMachines crashes the leader while machines that have just booted start their
+// first tasks and the state service is slow.
 func (f *pairedFault) crashWithNewMachines() {
 	w := f.w
 	w.faults.fastBoots, w.faults.slowState = true, f.delay(2*time.Second)
@@ -195,8 +203,8 @@
 	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { w.leading().crash(f.soon) })
 }
 
-// crashAtTheLimits brings work beyond every team's limit, cancels jobs whose machines
-// hang, and ends the leader.
+// crashAtTheLimits submits work beyond the teams' limits, cancels jobs whose machines
+// hang, and crashes the leader.
 func (f *pairedFault) crashAtTheLimits() {
 	w := f.w
 	f.submit(12)
@@ -204,10 +212,11 @@
 	w.after(f.duration/4+w.between(0, time.Second), func() { w.leading().crash(f.soon) })
 }
 
-// allAwayForALease ends all controllers for longer than a lease; one returns first.
+// allAwayForALease crashes all controllers for at least the duration of a lease; they
+// return one after the other.
 func (f *pairedFault) allAwayForALease() {
 	w := f.w
-	w.after(w.leaseTime()-time.Millisecond, func() { // the first returns right after
+	w.after(w.leaseTime()-time.Millisecond, func() { // the first controller returns one millisecond later
 		if !slices.ContainsFunc(w.nodes, func(n *node) bool { return n.core != nil }) {
 			w.coverage["all controllers away for longer than a lease"]++
 		}
--- a/internal/sim/pipelines.go
+++ b/internal/sim/pipelines.go
@@ -7,9 +7,10 @@
 	"pumicefront/wire"
 )
 
-// pipeline submits jobs of which each needs the one before, each as soon as that is
-// accepted; the last may come only when the others are over. Some name a job that was
-// there already, some are cancelled at any place and moment.
+// pipeline submits a chain of two to four stages of jobs. The jobs of a stage need those of the
+// previous one and are submitted as soon as these are accepted; in some chains, the last
+// stage is submitted only when the stage before it has ended. The first stage may need a
+// job that was submitted before. Jobs of any stage may be cancelled, at any time.
 func (u *users) pipeline() {
 	w := u.w
 	var before []*simJob
@@ -21,10 +22,13 @@
 	u.stage(before, 0, 2+w.rng.IntN(3), w.chance(0.2))
 }
 
-// wideStage is how many jobs a wide stage has: the next one names more than a transaction
-// takes conditions.
+// wideStage is the number of jobs of a wide stage: with it, a job of the next stage needs
+// more jobs than a transaction may have conditions.
 const wideStage = 25
 
+// stage submits stage n, of one job, two jobs or wideStage jobs that all need the jobs in
+// before. It then waits to submit the next stage; late delays the last stage until the
+// stage before it has ended.
 func (u *users) stage(before []*simJob, n, stages int, late bool) {
 	w := u.w
 	if n == stages {
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -10,8 +10,9 @@
 	"pumicefront/wire"
 )
 
-// running calls fn for every task that is on a machine now. One whose machine
-// hangs beyond its lease counts as gone: it is killed before it goes on.
+// running calls fn for every task that runs or saves on a machine now. Tasks of a
+// machine that hangs beyond its lease don't count: the worker kills them before the
+// machine resumes.
 func (w *World) running(fn func(h *host, t *task)) {
 	for _, h := range w.hosts {
 		if h.gone || h.hung && w.now >= h.leaseEnd() {
@@ -25,8 +26,8 @@
 	}
 }
 
-// checkStart checks the rules on a task's start: ran_twice, quota, wrong_place
-// and ran_cancelled.
+// checkStart checks the rules on a task's start: ran_twice, quota, too_early,
+// wrong_place and ran_cancelled, and in a cluster those of the cells.
 func (w *World) checkStart(h *host, t *task, j *simJob) {
 	w.Log("%v %s starts %s attempt %d", w.now, h.id, t.id, t.attempt)
 	j.begun = true
@@ -36,7 +37,7 @@
 	w.running(func(oh *host, o *task) {
 		oj := o.job
 		if oj == j && o.id == t.id {
-			w.broken("ran_twice", "%s attempt %d starts on %s, attempt %d is on %s", t.id, t.attempt, h.id, o.attempt, oh.id)
+			w.broken("ran_twice", "%s attempt %d starts on %s while attempt %d runs on %s", t.id, t.attempt, h.id, o.attempt, oh.id)
 		}
 		if oj.spec.Team == j.spec.Team {
 			cores, gpus = cores+oj.spec.CPUs, gpus+oj.spec.GPUs
@@ -48,24 +49,24 @@
 	})
 	beyond := func(used, limit float64) bool { return limit > 0 && used > limit+1e-6 }
 	if team := w.team(j.spec.Team); beyond(cores, team.CPUsMax) || beyond(gpus, team.GPUsMax) {
-		w.broken("quota", "team %s uses %v of %v cores, %v of %v GPUs with %s on %s beside %v",
+		w.broken("quota", "team %s uses %v of %v cores and %v of %v GPUs with %s on %s and %v",
 			team.Name, cores, team.CPUsMax, gpus, team.GPUsMax, t.id, h.id, others)
 	}
 	for _, p := range j.needs {
 		if p.left() > 0 || p.cancelTold {
-			w.broken("too_early", "%s starts, %s that it needs has %d tasks left", t.id, p.spec.ID, p.left())
+			w.broken("too_early", "%s starts although %s, which it needs, is cancelled or has tasks left: %d", t.id, p.spec.ID, p.left())
 		}
 	}
 	w.checkCells(h, t, j)
 	w.checkPlace(h, t, j, zones)
 	if j.cancelTold && w.now > j.cancelledAt+w.cancelTime() {
-		w.broken("ran_cancelled", "%s starts on %s", t.id, h.id)
+		w.broken("ran_cancelled", "%s starts on %s after the time for its cancellation", t.id, h.id)
 	}
 }
 
-// checkAuthority checks that nobody acts for the controllers once another one has
-// begun to. An answer that is only handed on is as old as the leader's own, which
-// was checked when it was given.
+// checkAuthority checks that no controller sends commands or answers reports with a
+// fencing token lower than one already used. A controller that only forwards the leader's
+// answer is exempt: that answer was checked when the leader gave it.
 func (w *World) checkAuthority(n *node, o controller.Output) {
 	token := w.topToken
 	switch o := o.(type) {
@@ -81,11 +82,11 @@
 		}
 	}
 	if token < w.topToken {
-		w.broken("authority", "%s acts with token %d after %d", n.name, token, w.topToken)
+		w.broken("authority", "%s acts with token %d, but token %d has been used already", n.name, token, w.topToken)
 	}
 	if token > w.topToken {
 		w.noteLeaderChange(n)
-		for _, fn := range w.keptReports { // a new leader has begun, or ours has raised its token
+		for _, fn := range w.keptReports { // there is a new leader, or the leader has raised its token
 			w.after(w.latency(), fn)
 		}
 		w.keptReports = nil
@@ -93,8 +94,8 @@
 	w.topToken = token
 }
 
-// checkRuns checks that nobody has a task run whose job was cancelled so long ago that
-// the run could not be undone in time.
+// checkRuns checks that no run command is sent for a cancelled job so late that, if the
+// machine then became unreachable, its lease would end after the time for the cancellation.
 func (w *World) checkRuns(o controller.Output) {
 	var cs []wire.Command
 	switch o := o.(type) {
@@ -108,16 +109,17 @@
 	late := w.cancelTime() - w.leaseTime()
 	for _, c := range cs {
 		if j := w.users.jobOf(c.Task); c.Op == wire.OpRun && j != nil && j.cancelTold && w.now > j.cancelledAt+late {
-			w.broken("ran_cancelled", "%s is told to run, cancelled at %v", c.Task, j.cancelledAt)
+			w.broken("ran_cancelled", "run command for %s, whose job was reported cancelled at %v", c.Task, j.cancelledAt)
 		}
 	}
 }
 
-// waitsAtMost is how long a job may wait, once all faults are over, while a machine
-// that fits has room and its team's limit allows.
+// waitsAtMost is how long a job may wait, once all faults have ended, while a suitable
+// machine has room for one of its tasks and the team's quota allows it.
 const waitsAtMost = 90 * time.Second
 
-// watchWaiting looks, from the end of the faults on, for jobs that are left waiting.
+// watchWaiting checks at regular intervals, starting now, that no job waits longer than
+// waitsAtMost despite free capacity. It is called when the faults end.
 func (w *World) watchWaiting(every time.Duration) {
 	since := map[*simJob]time.Duration{}
 	var look func()
@@ -128,7 +130,7 @@
 			} else if at, ok := since[j]; !ok {
 				since[j] = w.now
 			} else if w.now-at > waitsAtMost {
-				w.broken("kept_waiting", "%s waits since %v beside room", j.spec.ID, at)
+				w.broken("kept_waiting", "%s has waited since %v despite free capacity", j.spec.ID, at)
 			}
 		}
 		w.after(every, look)
@@ -136,8 +138,9 @@
 	look()
 }
 
-// waitsBesideRoom reports whether a task of a job that may go anywhere in its zone and on
-// its types is on no machine while one has room for it.
+// waitsBesideRoom reports whether a job has a task that is on no machine although a
+// healthy machine has room for it and the team's quota allows it. Jobs whose placement
+// depends on their other tasks (OneZone, Spread) are left out.
 func (w *World) waitsBesideRoom(j *simJob) bool {
 	if !j.accepted || j.mayBeCancelled() || j.waits() || j.spec.OneZone || j.spec.Spread || j.left() == 0 && j.spec.Kind == wire.KindArray {
 		return false
@@ -171,12 +174,13 @@
 	return room && there < left && within(cores, team.CPUsMax) && within(gpus, team.GPUsMax)
 }
 
-// waits reports whether a job that this one needs isn't called done yet.
+// waits reports whether a job that this one needs has not been reported done yet.
 func (j *simJob) waits() bool {
 	return slices.ContainsFunc(j.needs, func(p *simJob) bool { return !p.doneTold })
 }
 
-// checkServed checks that of every class and of every team at least half has begun.
+// checkServed checks that at least half of the jobs of every class and of every team have
+// started. Jobs that may be cancelled don't count.
 func (w *World) checkServed() {
 	all, served := map[string]int{}, map[string]int{}
 	for _, j := range w.users.list {
@@ -192,26 +196,29 @@
 	}
 	for group, n := range all {
 		if 2*served[group] < n {
-			w.broken("unserved", "of %d jobs of %s %d have begun", n, group, served[group])
+			w.broken("unserved", "of %d jobs of %s only %d have started", n, group, served[group])
 		}
 	}
 }
 
-// forgottenAfter is how long no question about a job may go unanswered once all
-// faults are over; beginWithin is when a class's largest jobs must have begun.
 const (
+	// forgottenAfter is the longest time without an answer about a job once all faults
+	// have ended.
 	forgottenAfter = 75 * time.Second
-	beginWithin    = 4 * time.Minute
+	// beginWithin is the time within which the largest jobs of a class must start.
+	beginWithin = 4 * time.Minute
 )
 
-// checkKnown checks that an accepted job, a finished one too, is still known.
+// checkKnown checks that the controllers still answer queries about an accepted job,
+// whether it has finished or not.
 func (w *World) checkKnown(j *simJob) {
 	if w.faultsEnd > 0 && j.accepted && !j.mayBeCancelled() && w.now-max(j.known, w.faultsEnd) > forgottenAfter {
-		w.broken("forgotten", "nothing is to be learnt of %s since %v", j.spec.ID, j.known)
+		w.broken("forgotten", "no query about %s has been answered since %v", j.spec.ID, j.known)
 	}
 }
 
-// checkBegins checks that one of its class's largest jobs begins in time.
+// checkBegins checks that a job starts within beginWithin if it is one of the largest of
+// its class, so that small jobs can't starve it. Jobs that need others are left out.
 func (w *World) checkBegins(j *simJob) {
 	largest := 0
 	for _, o := range w.users.list {
@@ -224,7 +231,7 @@
 	}
 	w.after(beginWithin, func() {
 		if !j.begun && !j.mayBeCancelled() {
-			w.broken("starved", "%s of %d tasks has not begun", j.spec.ID, j.spec.Tasks)
+			w.broken("starved", "%s with %d tasks has not started", j.spec.ID, j.spec.Tasks)
 		}
 	})
 }
@@ -242,32 +249,33 @@
 	return time.Duration(w.cfg.Facts.Workers.CancelS * float64(time.Second))
 }
 
-// checkCancelled checks, once a cancellation has had its time, that nothing of
-// the job is left.
+// checkCancelled checks that no task of the job is left on any machine once the time for
+// its cancellation has passed.
 func (w *World) checkCancelled(j *simJob) {
 	w.after(w.cancelTime()+time.Millisecond, func() {
 		w.everywhere(func(h *host, t *task) {
 			if t.job == j {
-				w.broken("ran_cancelled", "%s is still on %s", t.id, h.id)
+				w.broken("ran_cancelled", "%s is still on %s after the time for its cancellation", t.id, h.id)
 			}
 		})
 	})
 }
 
-// checkState checks what a user is told about a job, in answer to a request that
-// was sent after before: answers to earlier ones may arrive out of order.
+// checkState checks the state of a job in an answer to a user. before is what users knew
+// when the request was sent: answers may arrive out of order, so this one may be older
+// than others that have arrived since.
 func (w *World) checkState(j *simJob, before told, s wire.JobState) {
 	w.note(history.Event{Kind: history.Answered, Job: j.spec.ID, Asked: before.at, State: s.State,
 		Final: s.State == wire.StateDone || s.State == wire.StateCancelled})
 	switch {
 	case before.done && s.State != wire.StateDone, before.cancelled && s.State != wire.StateCancelled:
-		w.broken("went_back", "%s is called %s", j.spec.ID, s.State)
+		w.broken("went_back", "%s is reported %s after a different final state", j.spec.ID, s.State)
 	case before.orphaned && (s.State == wire.StateQueued || s.State == wire.StateRunning):
-		w.broken("orphaned", "%s is called %s, one that it needs is cancelled for long", j.spec.ID, s.State)
+		w.broken("orphaned", "%s is reported %s long after a job that it needs was cancelled", j.spec.ID, s.State)
 	case s.State == wire.StateCancelled && !j.mayBeCancelled():
-		w.broken("went_back", "%s is called cancelled and nobody asked for it", j.spec.ID)
+		w.broken("went_back", "%s is reported cancelled without a request", j.spec.ID)
 	case s.State == wire.StateDone && j.left() > 0:
-		w.broken("not_done", "%s is called done with %d tasks left", j.spec.ID, j.left())
+		w.broken("not_done", "%s is reported done with %d tasks left", j.spec.ID, j.left())
 	}
 	if s.State == wire.StateDone {
 		j.doneTold = true
@@ -282,8 +290,8 @@
 	}
 }
 
-// checkEnds checks that every accepted array that nobody cancelled is done, and
-// that something has run at all.
+// checkEnds checks that every accepted array job has been reported done, unless it may be
+// cancelled, and that at least one task has finished in the run.
 func (w *World) checkEnds() {
 	ran := false
 	for _, j := range w.users.list {
@@ -291,7 +299,7 @@
 			ran = ran || d
 		}
 		if j.accepted && !j.mayBeCancelled() && j.spec.Kind == wire.KindArray && !j.doneTold {
-			w.broken("unfinished", "%s is not called done, %d of %d tasks left: %+v", j.spec.ID, j.left(), j.spec.Tasks, j.spec)
+			w.broken("unfinished", "%s is not reported done, %d of %d tasks left: %+v", j.spec.ID, j.left(), j.spec.Tasks, j.spec)
 		}
 	}
 	if !ran {
--- a/internal/sim/runs.go
+++ b/internal/sim/runs.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// RunFaults plays a run with faults drawn from the seed, then a recovery in which
-// everything accepted must come to its end.
+// RunFaults simulates a run with random faults until faultTime, followed by a recovery
+// period at whose end every accepted array job that was not cancelled must be done.
 func RunFaults(w *World, faultTime, recovery time.Duration) {
 	w.begin(faultTime)
 	for at := 25 * time.Second; at < faultTime; at += w.between(4*time.Second, 20*time.Second) {
@@ -18,7 +18,8 @@
 	}
 }
 
-// begin has users come until the faults are over.
+// begin starts the users, who submit jobs until faultTime, and schedules the end of the
+// faults for that time.
 func (w *World) begin(faultTime time.Duration) {
 	u := w.users
 	u.stop = faultTime
@@ -27,9 +28,10 @@
 	w.after(5*time.Second, u.askUnknownJobs)
 }
 
-// RunFaultPairs plays a run on which faults come in pairs, the second while the first
-// lasts: most rules that were ever broken broke there. One of each pair is of those
-// that change what the world does for a while, the other any fault.
+// RunFaultPairs simulates a run in which faults come in pairs, the second within three
+// seconds of the first: most violations found so far came from overlapping faults. The
+// first of each pair is one of pairedFaultKinds, most of which change the environment for
+// a while; the second is any of faultKinds.
 func RunFaultPairs(w *World, faultTime, recovery time.Duration) {
 	w.begin(faultTime)
 	w.after(faultTime, func() { w.watchWaiting(5 * time.Second) })
--- a/internal/sim/runs_test.go
+++ b/internal/sim/runs_test.go
@@ -17,8 +17,8 @@
 	recoveryPhase = 150 * time.Second
 )
 
-// TestFaults plays runs from fixed seeds. PUMICEFRONT_SEED=N replays one with its
-// log; PUMICEFRONT_RUNS=N plays more.
+// TestFaults simulates runs from fixed seeds. PUMICEFRONT_SEED=N replays one seed and
+// prints its log; PUMICEFRONT_RUNS=N sets the number of runs.
 func TestFaults(t *testing.T) {
 	if one := os.Getenv("PUMICEFRONT_SEED"); one != "" {
 		replay(t, one, func(uint64) Shape { return Small }, RunFaults)
@@ -27,23 +27,24 @@
 	runAll(t, "PUMICEFRONT_RUNS", 40, Small)
 }
 
-// TestGrownFaults plays runs of five controllers, hundreds of machines and large
-// arrays. PUMICEFRONT_GROWN_RUNS=N plays more.
+// TestGrownFaults simulates runs with five controllers, hundreds of machines and large
+// arrays. PUMICEFRONT_GROWN_RUNS=N sets the number of runs.
 func TestGrownFaults(t *testing.T) { runAll(t, "PUMICEFRONT_GROWN_RUNS", 3, Grown) }
 
-// TestFleetFaults plays runs of the fleets' shape. PUMICEFRONT_FLEET_RUNS=N plays more.
+// TestFleetFaults simulates runs of the Fleet shape. PUMICEFRONT_FLEET_RUNS=N sets the
+// number of runs.
 func TestFleetFaults(t *testing.T) { runAll(t, "PUMICEFRONT_FLEET_RUNS", 1, Fleet) }
 
-// TestGPUFaults plays runs on which GPUs are shared, by teams with GPUs alone, cores
-// alone and both. PUMICEFRONT_GPU_RUNS=N plays more.
+// TestGPUFaults simulates runs in which teams share GPUs: one team has a quota of GPUs
+// only, one of cores only, and one of both. PUMICEFRONT_GPU_RUNS=N sets the number of runs.
 func TestGPUFaults(t *testing.T) { runAll(t, "PUMICEFRONT_GPU_RUNS", 12, GPUs) }
 
-// TestLargeGPUFaults plays the same with more machines than any deployment has.
-// PUMICEFRONT_LARGE_GPU_RUNS=N plays more.
+// TestLargeGPUFaults does the same as TestGPUFaults with more machines than any
+// deployment has. PUMICEFRONT_LARGE_GPU_RUNS=N sets the number of runs.
 func TestLargeGPUFaults(t *testing.T) { runAll(t, "PUMICEFRONT_LARGE_GPU_RUNS", 1, LargeGPUs) }
 
-// TestFaultPairs plays runs on which faults coincide. PUMICEFRONT_PAIR_RUNS=N plays more,
-// PUMICEFRONT_PAIR_SEED=N replays one with its log.
+// TestFaultPairs simulates runs in which faults overlap. PUMICEFRONT_PAIR_RUNS=N sets the
+// number of runs, PUMICEFRONT_PAIR_SEED=N replays one seed and prints its log.
 func TestFaultPairs(t *testing.T) {
 	if one := os.Getenv("PUMICEFRONT_PAIR_SEED"); one != "" {
 		replay(t, one, pairShape, runOverload)
@@ -52,7 +53,8 @@
 	runPairs(t, runsOf("PUMICEFRONT_PAIR_RUNS", 48), pairShape, pairCoverage)
 }
 
-// runPairs plays runs, and checks that each of the combinations has come about on some.
+// runPairs simulates runs, and checks that each of the combinations has occurred in at
+// least one of them.
 func runPairs(t *testing.T, runs int, shapeOf func(seed uint64) Shape, combinations []string) {
 	t.Helper()
 	var mu sync.Mutex
@@ -65,7 +67,7 @@
 				runOverload(w, faultPhase, recoveryOf(w))
 				report(t, seed, w)
 				if w.store.tooLarge > 0 {
-					t.Errorf("seed %d: %d transactions are refused for their size", seed, w.store.tooLarge)
+					t.Errorf("seed %d: state service refused %d transactions that exceed its size limits", seed, w.store.tooLarge)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -78,12 +80,13 @@
 	for _, what := range combinations {
 		t.Logf("%4d of %d runs: %s", reached[what], runs, what)
 		if reached[what] == 0 {
-			t.Errorf("on none of the runs: %s", what)
+			t.Errorf("combination did not occur in any run: %s", what)
 		}
 	}
 }
 
-// pairCoverage lists the combinations that must each come about on some of the runs; docs/fault-combinations.md lists them.
+// pairCoverage lists the combinations of faults that must each occur in at least one run.
+// docs/fault-combinations.md lists them as well.
 var pairCoverage = []string{
 	"leases renewed in an outage after a cancellation was told",
 	"by a leader that had been refused alone",
@@ -114,12 +117,14 @@
 	"a direct command reaches a machine that reaches nobody",
 }
 
-// runOverload is a MeetingDay with time for all that was asked for beyond what can be done.
+// runOverload is RunFaultPairs with a recovery period that is 90 s longer: some of its
+// faults submit more work than the machines can run at once, and that has to finish.
 func runOverload(w *World, faultTime, recovery time.Duration) {
 	RunFaultPairs(w, faultTime, recovery+90*time.Second)
 }
 
-// pairShape gives every fourth run five controllers, and GPUs to another fourth.
+// pairShape returns the GPUs shape for a quarter of the seeds, Small with five controllers
+// for another quarter, and Small for the rest.
 func pairShape(seed uint64) Shape {
 	switch five := Small; seed % 4 {
 	case 2:
@@ -131,8 +136,9 @@
 	return Small
 }
 
-// TestChainFaults plays the same with pipelines, on which the state service lowers its
-// limits. PUMICEFRONT_CHAIN_RUNS=N plays more, PUMICEFRONT_CHAIN_SEED=N replays one.
+// TestChainFaults does the same as TestFaultPairs with chains of dependent jobs, and with
+// a state service that lowers its limits during the run. PUMICEFRONT_CHAIN_RUNS=N sets
+// the number of runs, PUMICEFRONT_CHAIN_SEED=N replays one seed.
 func TestChainFaults(t *testing.T) {
 	if one := os.Getenv("PUMICEFRONT_CHAIN_SEED"); one != "" {
 		replay(t, one, func(uint64) Shape { return Chains }, runOverload)
@@ -148,7 +154,7 @@
 	})
 }
 
-// runAll plays as many runs as the variable says.
+// runAll simulates runs of one shape. The environment variable overrides their number.
 func runAll(t *testing.T, variable string, runs int, shape Shape) {
 	runs = runsOf(variable, runs)
 	for seed := range uint64(runs) {
@@ -161,7 +167,8 @@
 	}
 }
 
-// runsOf is how many runs to play: as the variable says, else as many as CI does.
+// runsOf returns the number of runs: the value of the environment variable if it is set,
+// otherwise runs, the number for CI.
 func runsOf(variable string, runs int) int {
 	if s := os.Getenv(variable); s != "" {
 		runs, _ = strconv.Atoi(s)
@@ -169,7 +176,7 @@
 	return runs
 }
 
-// replay plays one seed with its log.
+// replay simulates one seed and prints its log.
 func replay(t *testing.T, one string, shapeOf func(seed uint64) Shape, run func(w *World, faultTime, recovery time.Duration)) {
 	t.Helper()
 	seed, err := strconv.ParseUint(one, 10, 64)
@@ -182,8 +189,9 @@
 	report(t, seed, w)
 }
 
-// recoveryOf is how long a run goes on after its faults. Where leases are long, what is
-// lost at the last is waited for that long.
+// recoveryOf returns the recovery period of a run. The GPU shapes have long leases, and
+// the leader waits for a lease to end before it replaces the tasks of a lost machine, so
+// these runs get two leases more.
 func recoveryOf(w *World) time.Duration {
 	if w.shape.GPUs {
 		return recoveryPhase + 2*config.Seconds(w.cfg.Facts.Workers.LeaseS)
@@ -198,7 +206,8 @@
 	}
 }
 
-// TestSameSeedSameDay guards the replay of a failing seed.
+// TestSameSeedSameDay checks that a seed always produces the same log, without which a
+// failing seed could not be replayed.
 func TestSameSeedSameDay(t *testing.T) {
 	play := func() string {
 		var log strings.Builder
@@ -208,6 +217,6 @@
 		return log.String()
 	}
 	if a, b := play(), play(); a != b {
-		t.Fatal("two plays of one seed differ")
+		t.Fatal("two runs of the same seed have different logs")
 	}
 }
--- a/internal/sim/settings.go
+++ b/internal/sim/settings.go
@@ -20,10 +20,10 @@
 		f.State.Next.ValueKB, f.State.Next.TxnOps, f.State.Next.WriteRPS = &next.ValueKB, &next.TxnOps, &next.WriteRPS
 		f.Objectives = append(f.Objectives, config.Objective{Kind: "deadline", Class: "last", Times: 1})
 	}
-	if s.Zones > 0 { // batches have an aim, bulk work has none
+	if s.Zones > 0 { // jobs of class batch have an objective, those of class bulk have none
 		f.Objectives = append(f.Objectives, config.Objective{Kind: "finished", Class: "batch", WithinS: 90})
 	}
-	if s.GPUs { // one team has GPUs alone, one cores alone, one both
+	if s.GPUs { // one team has a quota of GPUs only, one of cores only, one of both
 		f.Teams = []config.Team{{Name: "red", GPUs: 4 * s.Scale, GPUsMax: 8 * s.Scale},
 			{Name: "blue", CPUs: 12 * s.Scale, CPUsMax: 48 * s.Scale, GPUs: 2 * s.Scale, GPUsMax: 9 * s.Scale},
 			{Name: "green", CPUs: 10 * s.Scale, CPUsMax: 30 * s.Scale}}
@@ -34,21 +34,22 @@
 	return p
 }
 
-// Shape is the size of a deployment.
+// Shape is the size of a simulated deployment and the kind of its workload.
 type Shape struct {
 	Controllers     int
-	Machines        int           // the most that the cloud gives, half of them of each type
-	Scale           float64       // of the teams' guarantees and limits
-	Tasks           int           // the most that an array has
-	ArrivalInterval time.Duration // between submissions, in the mean
-	GPUs            bool          // are what the teams share; reports come seldom and little can be written
-	Chains          bool          // users submit pipelines, and the state service lowers its limits
-	Zones           int           // among which the machines are divided evenly; 0: two, of which either may have all
+	Machines        int           // maximum that the cloud rents out, half of them of each type
+	Scale           float64       // factor on the teams' guarantees and limits
+	Tasks           int           // maximum number of tasks of an array
+	ArrivalInterval time.Duration // mean time between submissions
+	GPUs            bool          // teams share GPUs; reports are rare, leases long and the write limit of the state service low
+	Chains          bool          // users submit chains of dependent jobs, and the state service lowers its limits
+	Zones           int           // number of zones, with the machines divided evenly; 0: two zones without a limit of their own
 }
 
-// The shapes that runs are played in: as the first deployments are, as they have
-// grown, and as the fleets are with half as many machines again; and where GPUs
-// are shared, small and with more machines than any deployment has.
+// The shapes that are simulated. Small is the size of the first deployments and Grown
+// that of the same deployments later. Fleet has half as many machines again as the fleet
+// deployments. GPUs is small with shared GPUs, and LargeGPUs has more machines than any
+// deployment.
 var (
 	Small     = Shape{Controllers: 3, Machines: 9, Scale: 1, Tasks: 7, ArrivalInterval: 4 * time.Second}
 	Grown     = Shape{Controllers: 5, Machines: 240, Scale: 20, Tasks: 120, ArrivalInterval: 3 * time.Second}
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -13,7 +13,8 @@
 	"pumicefront/wire"
 )
 
-// store stands in for the state service.
+// store simulates the state service: a key-value store with leases, watches and
+// compare-and-swap transactions.
 type store struct {
 	w        *World
 	revision uint64
@@ -24,7 +25,7 @@
 	outage   bool
 	limits   config.Limits
 	writes   *rate.Limiter
-	tooLarge int // transactions refused for their size
+	tooLarge int // number of transactions refused for their size
 	watches  []*watch
 }
 
@@ -47,8 +48,8 @@
 	return s
 }
 
-// expire ends leases; during an outage none ends, and after it each has its
-// full time again.
+// expire ends the leases that have run out, and schedules its next call. No lease ends
+// during an outage, and each has its full duration again afterwards.
 func (s *store) expire() {
 	if !s.outage {
 		for id, l := range s.leases {
@@ -60,7 +61,7 @@
 	s.w.after(20*time.Millisecond, s.expire)
 }
 
-// lower brings the limits that were to come.
+// lower puts the announced future limits of the state service into force.
 func (s *store) lower() {
 	s.limits = s.w.cfg.Facts.State.Coming()
 	s.writes = rate.NewLimiter(rate.Limit(s.limits.WriteRPS), int(s.limits.WriteRPS))
@@ -89,7 +90,7 @@
 	}
 }
 
-// handle carries out a call that has arrived.
+// handle executes a call that has arrived at the service.
 func (s *store) handle(n *node, call controller.StateCall, reply func(controller.StateReply)) {
 	if s.outage || n.refused {
 		reply(controller.StateReply{Status: http.StatusServiceUnavailable})
@@ -126,7 +127,8 @@
 	}
 }
 
-// page is kept small, so that reading needs several.
+// page returns the first items with the prefix and a key beyond after. Pages are small, so
+// that most range reads need several.
 func (s *store) page(prefix, after string) wire.Page {
 	const most = 20
 	var keys []string
@@ -212,13 +214,14 @@
 	}
 }
 
-// answer completes a watch if there is something to tell, or if it must.
+// answer completes a watch if there are new events, or if it must because the watch has
+// timed out. It reports whether the watch is complete.
 func (s *store) answer(x *watch, must bool) bool {
 	if x.done {
 		return true
 	}
 	if s.outage || x.n.refused || x.n.isolated {
-		return false // open watches wait
+		return false // the watch stays open until the service is reachable again
 	}
 	events := s.changes(x.prefix, x.after)
 	if len(events) == 0 && !must {
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -10,15 +10,15 @@
 	"pumicefront/wire"
 )
 
-// users submit jobs, poll them and cancel some.
+// users simulates the users: they submit jobs, poll them and cancel some.
 type users struct {
 	w    *World
 	jobs map[string]*simJob
 	list []*simJob
-	stop time.Duration // no submissions after
+	stop time.Duration // when submissions end
 }
 
-// simJob is a job with what is really true of it.
+// simJob is a job with its true state, and with what its user has been told of it.
 type simJob struct {
 	spec        wire.Job
 	run         time.Duration
@@ -28,15 +28,16 @@
 	askedCancel bool
 	cancelTold  bool
 	cancelledAt time.Duration
-	begun       bool          // a task has started
-	ended       bool          // its last task has
-	firstEnd    time.Duration // when a task of it ended first
-	known       time.Duration // when a question about it was answered last
+	begun       bool          // at least one task has started
+	ended       bool          // its last task has ended
+	firstEnd    time.Duration // when the first of its tasks ended
+	known       time.Duration // when a query about it was last answered
 	needs       []*simJob
-	saved       map[int]time.Duration // by task, how much of its run is saved; nil: nothing ever is
-	broken      bool                  // submitted with a mistake: it fails on every machine
+	saved       map[int]time.Duration // saved progress by task number; nil: its tasks can't save
+	broken      bool                  // its tasks fail on every machine, as with a faulty submission
 }
 
+// left returns how many tasks have not finished.
 func (j *simJob) left() int {
 	n := 0
 	for _, d := range j.done {
@@ -49,6 +50,7 @@
 
 func newUsers(w *World) *users { return &users{w: w, jobs: map[string]*simJob{}} }
 
+// jobOf returns the job of a task, which in a cluster may belong to another cell.
 func (u *users) jobOf(task string) *simJob {
 	id, _, _ := wire.SplitTask(task)
 	if j := u.jobs[id]; j != nil || u.w.cluster == nil {
@@ -57,7 +59,7 @@
 	return u.w.jobAnywhere(id)
 }
 
-// arrive keeps submitting.
+// arrive submits a job, and schedules the next submission until the submissions end.
 func (u *users) arrive(every time.Duration) {
 	if u.w.now > u.stop {
 		return
@@ -70,7 +72,7 @@
 	u.enter(u.draw())
 }
 
-// submitOne submits a job of one task that a quarter of users cancel soon.
+// submitOne submits a job with one task, and in a quarter of the cases cancels it soon.
 func (u *users) submitOne() {
 	j := u.draw()
 	j.spec.Tasks, j.done, j.run = 1, j.done[:1], u.w.between(time.Second, 4*time.Second)
@@ -81,6 +83,7 @@
 	}
 }
 
+// draw creates a random job.
 func (u *users) draw() *simJob {
 	w := u.w
 	j := &simJob{spec: wire.Job{
@@ -112,6 +115,8 @@
 	return j
 }
 
+// enter submits a job, and schedules the cancellation of every service and of a quarter of
+// the array jobs.
 func (u *users) enter(j *simJob) {
 	w := u.w
 	u.belongHere(j)
@@ -123,14 +128,14 @@
 	}
 }
 
-// enterQuietly submits a job that nobody cancels.
+// enterQuietly submits a job that is not cancelled.
 func (u *users) enterQuietly(j *simJob) {
 	u.jobs[j.spec.ID] = j
 	u.list = append(u.list, j)
 	u.submit(j)
 }
 
-// belongHere makes this cell a job's home: users of different cells choose different ids.
+// belongHere makes this cell a job's home, and the job's id unique among the cells.
 func (u *users) belongHere(j *simJob) {
 	if c := u.w.cluster; c != nil {
 		j.spec.ID += fmt.Sprint(u.w.place + 1)
@@ -138,8 +143,8 @@
 	}
 }
 
-// needGPUs makes a job one that takes GPUs, where its team has any, with so many cores
-// that two tasks don't always fit on a small machine; an array gets a deadline.
+// needGPUs makes a job request a GPU per task if its team may use any, and so many cores
+// that two tasks don't always fit on a small machine. An array job gets a deadline.
 func (w *World) needGPUs(j *simJob) {
 	j.spec.CPUs, j.spec.MemoryGB = 3.5+3*w.rng.Float64(), 27
 	if team := w.team(j.spec.Team); team.GPUsMax > 0 {
@@ -152,15 +157,16 @@
 	}
 }
 
-// body spells a submission as a user does; a zero amount must not go missing.
+// body encodes a submission as a user does, with amounts of zero spelled out.
 func body(s wire.Job) []byte { return wire.Marshal(s) }
 
-// request sends to a random node; fn gets the answer, or status 0.
+// request sends a request to a random controller. fn gets the answer, with status 0 if
+// there is none.
 func (u *users) request(r controller.UserRequest, fn func(controller.Answer)) {
 	u.requestOf(u.w.nodes[u.w.rng.IntN(len(u.w.nodes))], r, fn)
 }
 
-// requestOf sends to one node.
+// requestOf sends a request to the given controller, with a time-out of 5 s.
 func (u *users) requestOf(n *node, r controller.UserRequest, fn func(controller.Answer)) {
 	w, finish := u.w, once(fn)
 	w.after(5*time.Second, func() { finish(controller.Answer{}) })
@@ -178,6 +184,8 @@
 	})
 }
 
+// submit submits a job, with retries until it is accepted, and then polls it. It submits an
+// accepted job again later, which must have no effect.
 func (u *users) submit(j *simJob) {
 	before := u.w.told(j)
 	u.request(controller.UserRequest{Op: controller.UserSubmit, Body: body(j.spec)}, func(a controller.Answer) {
@@ -203,16 +211,17 @@
 				}
 				u.askAllNodes(j)
 				u.poll(j)
-				u.w.after(u.w.between(5*time.Second, 60*time.Second), func() { u.submit(j) }) // a late repeat
+				u.w.after(u.w.between(5*time.Second, 60*time.Second), func() { u.submit(j) }) // late duplicate
 			}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.w.broken("forgotten", "%s gets %d", j.spec.ID, a.Status)
+			u.w.broken("forgotten", "valid submission of %s is answered with status %d", j.spec.ID, a.Status)
 		default:
 			u.w.after(u.w.between(time.Second, 2*time.Second), func() { u.submit(j) })
 		}
 	})
 }
 
+// poll queries a job's state at intervals; seldom once it has ended, until the faults end.
 func (u *users) poll(j *simJob) {
 	before := u.w.told(j)
 	u.request(controller.UserRequest{Op: controller.UserPoll, Job: j.spec.ID}, func(a controller.Answer) {
@@ -221,7 +230,7 @@
 			j.known = u.w.now
 			u.w.checkState(j, before, a.Body.(wire.JobState))
 		case http.StatusNotFound:
-			u.w.broken("forgotten", "%s gets 404", j.spec.ID)
+			u.w.broken("forgotten", "poll of accepted job %s is answered with status 404", j.spec.ID)
 		}
 		u.w.checkKnown(j)
 		wait := u.w.between(2*time.Second, 6*time.Second)
@@ -232,6 +241,7 @@
 	})
 }
 
+// cancel cancels a job, with retries until that is answered.
 func (u *users) cancel(j *simJob) {
 	j.askedCancel = true
 	accepted, before := j.accepted, u.w.told(j)
@@ -245,24 +255,24 @@
 			return
 		}
 		if a.Status == http.StatusNotFound && accepted {
-			u.w.broken("forgotten", "%s gets 404", j.spec.ID)
+			u.w.broken("forgotten", "cancellation of accepted job %s is answered with status 404", j.spec.ID)
 		}
 		u.w.after(u.w.between(time.Second, 2*time.Second), func() { u.cancel(j) })
 	})
 }
 
-// askUnknownJobs ask about jobs that nobody submitted.
+// askUnknownJobs polls jobs that were never submitted, at intervals.
 func (u *users) askUnknownJobs() {
 	id := fmt.Sprintf("req-9%08d", u.w.rng.IntN(1e8))
 	u.request(controller.UserRequest{Op: controller.UserPoll, Job: id}, func(a controller.Answer) {
 		if a.Status == http.StatusOK {
-			u.w.broken("invented", "%s", id)
+			u.w.broken("invented", "poll of %s, which was never submitted, is answered with a state", id)
 		}
 	})
 	u.w.after(u.w.between(3*time.Second, 9*time.Second), u.askUnknownJobs)
 }
 
-// ended is called as the last task of a job ends: some users call it off right then.
+// ended is called as the last task of a job ends: some users cancel the job at that moment.
 func (u *users) ended(j *simJob) {
 	if u.w.chance(u.w.faults.cancelAtEnd) {
 		u.w.coverage["cancelled at the end of its last task"]++
@@ -271,8 +281,8 @@
 	u.askAllNodes(j)
 }
 
-// askAllNodes asks all nodes about a job within milliseconds, and repeats its
-// submission at each: none may answer something older than any has said.
+// askAllNodes polls a job and submits it again at every controller within 20 ms, three
+// times each: no answer may be older than one already given by any controller.
 func (u *users) askAllNodes(j *simJob) {
 	if !u.w.faults.askAllNodes {
 		return
@@ -299,15 +309,15 @@
 		case a.Status == http.StatusOK:
 			u.w.checkState(j, before, a.Body.(wire.JobState))
 		case a.Status == http.StatusCreated && accepted:
-			u.w.broken("went_back", "%s is accepted once more", j.spec.ID)
+			u.w.broken("went_back", "%s is accepted a second time", j.spec.ID)
 		case accepted && (a.Status == http.StatusNotFound || a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity):
-			u.w.broken("forgotten", "%s gets %d", j.spec.ID, a.Status)
+			u.w.broken("forgotten", "request about accepted job %s is answered with status %d", j.spec.ID, a.Status)
 		}
 	})
 }
 
-// cancelRunning cancels up to count jobs that run and have long to go, within a fifth of a
-// second; up to eight of their machines hang for a while. It returns the jobs.
+// cancelRunning cancels up to count jobs that run, within a fifth of a second, and returns
+// them. If hang is positive, up to eight of their machines hang for that time.
 func (u *users) cancelRunning(count int, hang time.Duration) []*simJob {
 	var jobs []*simJob
 	hung := map[*host]bool{}
@@ -330,7 +340,7 @@
 			}
 		})
 	}
-	for _, h := range u.w.hosts { // not the map's order: a seed's run is always the same
+	for _, h := range u.w.hosts { // in the order of the list: iterating over the map would make runs of a seed differ
 		if hung[h] {
 			h.setHung(true)
 			u.w.after(hang, func() { h.setHung(false) })
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,8 +1,9 @@
-// Package sim drives whole controllers' cores through seeded runs in virtual
-// time, with stand-ins for the state service, the cloud, the workers, the
-// network and the users. The rules are checked from the workers' and the
-// users' side at every step that can break one (a task's start, an answer, the
-// end of a cancellation's time), never from what a core believes.
+// Package sim simulates whole deployments in virtual time, from a seed. It runs the
+// unmodified cores of the controllers against simulated implementations of the state
+// service, the cloud, the workers, the network and the users. The safety rules are
+// checked against the state of the simulated workers and users, never against a core's
+// own view, at every step that can break one: a task's start, an answer to a user, and
+// the end of the time within which a cancellation must take effect.
 package sim
 
 import (
@@ -18,48 +19,49 @@
 	"pumicefront/wire"
 )
 
-// Tamper breaks a safety rule on purpose, to show that the checks detect it.
+// Tamper is a set of optional hooks that alter messages, clocks or settings so that a
+// run breaks a safety rule. Tests use it to show that the checks detect the violation.
 type Tamper struct {
 	Answer     func(w *World, r *controller.ReportRequest, a *controller.Answer)
 	Report     func(h *host, late bool, r *wire.Report)
 	User       func(r *controller.UserRequest, a *controller.Answer)
 	Output     func(n *node, o controller.Output) controller.Output
-	Boot       func(now time.Time) time.Time // when a process believes that it starts
+	Boot       func(now time.Time) time.Time // the start time passed to a starting controller process
 	State      func(call *controller.StateCall) (controller.StateReply, bool)
 	StateReply func(call *controller.StateCall, r *controller.StateReply)
 	Clock      func(n *node, now time.Time) time.Time
-	Settings   func(p *config.Platform) // what a process that starts is told
+	Settings   func(p *config.Platform) // the settings passed to a starting controller process
 	Cloud      func(call *controller.CloudCall) (controller.CloudReply, bool)
 }
 
 // World is one simulated run.
 type World struct {
-	Rules  []string // rules broken, with what happened
+	Rules  []string // violations found so far: rule, time and details
 	Log    func(string, ...any)
 	Tamper Tamper
 
 	shape         Shape
 	faults        faults
 	zoneHistory   zoneHistory
-	cluster       *Cluster               // the cells that this one belongs to; nil: it is alone
-	place         int                    // among them
+	cluster       *Cluster               // the group of cells that this cell is part of; nil: a single cell
+	place         int                    // index of this cell in the cluster
 	onStart       func(h *host, t *task) // called when a task starts
 	onMove        func(n *node, m controller.MoveChanged)
 	moves         []controller.MoveChanged // every step of every move
-	onStopped     func(t *task)            // called when a task has ended because it was told to stop
-	onFetch       func()                   // called when a start has to fetch its image
-	alwaysUp      bool                     // machines all come up, and none is faulty
-	processor     time.Duration            // that the controllers' cores took
+	onStopped     func(t *task)            // called when a task has ended because of a stop command
+	onFetch       func()                   // called when starting a task requires fetching its image
+	alwaysUp      bool                     // every machine boots, and none is faulty
+	processor     time.Duration            // time spent in the controllers' cores, by the wall clock
 	keepHistory   bool
 	history       []history.Event
-	live          *live    // real controllers in real time; nil: cores in virtual time
-	deterministic bool     // nothing is lost, copied or late by chance
-	topToken      uint64   // the highest that anything was sent with
-	keptReports   []func() // copies of reports, for the next leader
-	coverage      map[string]int
-	lastLeader    *node // who acted for all last, and since when
-	leaderSince   time.Duration
-	faultsEnd     time.Duration // when all faults were over; 0: not yet
+	live          *live          // real controllers in real time; nil: cores in virtual time
+	deterministic bool           // disables sporadic loss, duplication and delay of messages
+	topToken      uint64         // highest fencing token sent so far
+	keptReports   []func()       // each delivers a copy of a report once a higher token is used
+	coverage      map[string]int // how often each combination of faults has come about
+	lastLeader    *node          // controller that last used a new highest token
+	leaderSince   time.Duration  // when lastLeader last changed
+	faultsEnd     time.Duration  // when all faults had ended; 0: not yet
 	rng           *rand.Rand
 	start         time.Time
 	now           time.Duration
@@ -74,38 +76,40 @@
 	users         *users
 }
 
-// faults are the faults that change what the world does for a while. Shares are of
-// all that could be hit.
+// faults are the temporary faults that change how the simulated environment behaves.
+// A float64 is the probability that an operation of that kind is affected.
 type faults struct {
-	lateWrites         float64         // transactions carried out seconds later, after newer ones, unanswered
-	lostAnswers        float64         // transactions carried out at once, unanswered
-	slowState          time.Duration   // that each call of the state service may take
-	delayedCommands    float64         // direct commands that arrive long after they were given up
-	commandDelay       time.Duration   // by how much; 0: it is drawn
-	lostCommandAnswers float64         // direct commands that are carried out, their answer given up
-	duplicateReports   float64         // reports of which a copy arrives again, up to well over a lease later
-	keepReports        float64         // reports of which a copy is kept for the next leader
-	slowLinks          time.Duration   // that each message may take longer
-	fastBoots          bool            // machines are up within two seconds
-	isolated           isolatedZone    // a zone that is cut off, with a controller in it
-	darkZones          map[string]bool // zones whose machines reach nobody, new ones either
-	cancelAtEnd        float64         // jobs cancelled as their last task ends
-	askAllNodes        bool            // users ask all nodes within milliseconds of what they are told
-}
-
-// isolatedZone is a zone and the controller in it that are cut off from everything else.
+	lateWrites         float64         // transactions applied seconds late, after newer ones, and never answered
+	lostAnswers        float64         // transactions applied without delay but never answered
+	slowState          time.Duration   // maximum extra latency of each call to the state service
+	delayedCommands    float64         // direct commands that arrive after their sender has timed out
+	commandDelay       time.Duration   // delay of delayedCommands; 0: random
+	lostCommandAnswers float64         // direct commands that are executed but whose answer is lost
+	duplicateReports   float64         // reports delivered a second time, up to 25 s later: well beyond a lease of 10 s
+	keepReports        float64         // reports of which a copy is delivered to every controller once a higher token is used
+	slowLinks          time.Duration   // maximum extra latency of each message
+	fastBoots          bool            // machines boot within two seconds
+	isolated           isolatedZone    // a zone that is partitioned from the rest, with one controller in it
+	darkZones          map[string]bool // zones whose machines, including new ones, reach no controller
+	cancelAtEnd        float64         // jobs cancelled at the moment their last task ends
+	askAllNodes        bool            // users query every controller within milliseconds of each answer
+}
+
+// isolatedZone is a zone that is partitioned from everything else, together with the
+// one controller in it.
 type isolatedZone struct {
 	zone  string
 	node  *node
-	token uint64 // the highest that any machine had seen before
+	token uint64 // highest fencing token that any machine had seen before the partition
 }
 
-// parts reports whether a node and a machine can't reach each other for it.
+// parts reports whether the partition lies between a controller and a machine.
 func (i isolatedZone) parts(n *node, h *host) bool {
 	return i.node != nil && (i.node == n) != (i.zone == h.zone)
 }
 
-// event runs at its time; equal times keep their order.
+// event is a function to be called at a virtual time. Events of the same time run in
+// the order in which they were scheduled.
 type event struct {
 	at  time.Duration
 	seq int
@@ -127,7 +131,8 @@
 	return x
 }
 
-// New returns a run of the given shape.
+// New returns a simulated deployment of the given shape, with all of its randomness
+// derived from the seed.
 func New(seed uint64, shape Shape) *World {
 	w := &World{
 		shape: shape,
@@ -149,23 +154,23 @@
 	return w
 }
 
-// after schedules fn.
+// after schedules fn to run once d has passed in virtual time.
 func (w *World) after(d time.Duration, fn func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now + max(d, 0), w.seq, fn})
 }
 
-// between draws a duration.
+// between draws a duration from lo to hi, both included.
 func (w *World) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
 
 func (w *World) chance(p float64) bool { return w.rng.Float64() < p }
 
-// byChance draws what goes wrong by chance now and then.
+// byChance draws whether a sporadic fault happens; it never does in a deterministic run.
 func (w *World) byChance(p float64) bool { return w.chance(p) && !w.deterministic }
 
-// latency of one message.
+// latency draws the latency of one message.
 func (w *World) latency() time.Duration {
 	if w.byChance(0.01) {
 		return w.between(50*time.Millisecond, 400*time.Millisecond)
@@ -173,7 +178,7 @@
 	return w.between(200*time.Microsecond, 3*time.Millisecond+w.faults.slowLinks)
 }
 
-// Run plays until the given time or the first broken rule.
+// Run processes events until the given virtual time or the first violated rule.
 func (w *World) Run(until time.Duration) {
 	for len(w.events) > 0 && len(w.Rules) == 0 {
 		e := heap.Pop(&w.events).(event)
@@ -187,17 +192,17 @@
 	w.now = until
 }
 
-// runOne runs the next event.
+// runOne runs the next event without advancing the clock.
 func (w *World) runOne() { heap.Pop(&w.events).(event).fn() }
 
-// runDue runs what is due by now.
+// runDue runs the events that are due by now, up to the first violated rule.
 func (w *World) runDue() {
 	for len(w.events) > 0 && w.events[0].at <= w.now && len(w.Rules) == 0 {
 		heap.Pop(&w.events).(event).fn()
 	}
 }
 
-// broken notes a broken rule.
+// broken records the violation of a rule.
 func (w *World) broken(rule, format string, args ...any) {
 	w.Rules = append(w.Rules, fmt.Sprintf("%s at %v: %s", rule, w.now, fmt.Sprintf(format, args...)))
 }
@@ -216,7 +221,7 @@
 	return w.cfg.Facts.Teams[i]
 }
 
-// zones are where machines can be rented.
+// zones returns the zones in which machines can be rented.
 func (s Shape) zones() []string {
 	if s.Zones > 0 {
 		return []string{"a", "b", "c", "d", "e"}[:s.Zones]
