--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -19,13 +19,13 @@
 	caughtOn(t, Small, rule, after, tamper)
 }
 
-// caughtOn is caught with a given shape.
+// caughtOn does the same for a given shape.
 func caughtOn(t *testing.T, shape Shape, rule string, after time.Duration, tamper func() Tamper) {
 	t.Helper()
 	caughtBy(t, shape, rule, func(w *World, faults, _ time.Duration) { RunFaults(w, faults, after) }, tamper)
 }
 
-// caughtBy is caught with a given shape and kind of run.
+// caughtBy does the same for a given shape and kind of run.
 func caughtBy(t *testing.T, shape Shape, rule string, run func(w *World, faultTime, recovery time.Duration), tamper func() Tamper) {
 	t.Helper()
 	for seed := range uint64(200) {
@@ -170,7 +170,7 @@
 func TestCheckerDetectsBrokenChains(t *testing.T) {
 	t.Run("job records lose the list of needed jobs", func(t *testing.T) {
 		t.Parallel()
-		caughtBy(t, Chains, "too_early", runOverload, func() Tamper {
+		caughtBy(t, Chains, "too_early", runFaultPairsLongRecovery, func() Tamper {
 			return Tamper{State: func(call *controller.StateCall) (controller.StateReply, bool) {
 				for i, change := range call.Txn.Then {
 					var rec map[string]any
@@ -189,7 +189,7 @@
 	})
 	t.Run("jobs that need a cancelled job are still reported queued", func(t *testing.T) {
 		t.Parallel()
-		caughtBy(t, Chains, "orphaned", runOverload, func() Tamper {
+		caughtBy(t, Chains, "orphaned", runFaultPairsLongRecovery, func() Tamper {
 			asked := map[string]bool{}
 			return Tamper{User: func(r *controller.UserRequest, a *controller.Answer) {
 				s, ok := a.Body.(wire.JobState)
@@ -247,7 +247,7 @@
 // TestCheckerDetectsGPULimits starts the controllers with twice the teams' limits on
 // GPUs or on cores.
 func TestCheckerDetectsGPULimits(t *testing.T) {
-	for name, twice := range map[string]func(t *config.Team){
+	for name, doubleLimit := range map[string]func(t *config.Team){
 		"GPUs":  func(t *config.Team) { t.GPUsMax *= 2 },
 		"cores": func(t *config.Team) { t.CPUsMax *= 2 },
 	} {
@@ -257,7 +257,7 @@
 				return Tamper{Settings: func(p *config.Platform) {
 					p.Facts.Teams = slices.Clone(p.Facts.Teams)
 					for i := range p.Facts.Teams {
-						twice(&p.Facts.Teams[i])
+						doubleLimit(&p.Facts.Teams[i])
 					}
 				}}
 			})
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -11,17 +11,17 @@
 
 // cloud simulates the cloud's API, through which machines are rented and released.
 type cloud struct {
-	w      *World
-	next   int
-	hires  map[string][]string
-	outage bool
-	most   int // maximum number of machines of each type
+	w       *World
+	nextID  int
+	rentals map[string][]string // machines by rental request: a repeated request gets the same ones
+	outage  bool
+	most    int // maximum number of machines of each type
 
 	refusing map[string]bool // zones in which nothing can be rented
 }
 
 func newCloud(w *World) *cloud {
-	return &cloud{w: w, hires: map[string][]string{}, refusing: map[string]bool{}, most: (w.shape.Machines + 1) / 2}
+	return &cloud{w: w, rentals: map[string][]string{}, refusing: map[string]bool{}, most: (w.shape.Machines + 1) / 2}
 }
 
 func (c *cloud) call(n *node, call controller.CloudCall) {
@@ -77,27 +77,27 @@
 }
 
 func (c *cloud) rent(r wire.Rent) ([]string, bool) {
-	if names, ok := c.hires[r.Request]; ok {
+	if names, ok := c.rentals[r.Request]; ok {
 		return names, true
 	}
-	up, most := 0, c.most
+	rented, limit := 0, c.most
 	for _, h := range c.w.hosts {
 		if !h.gone && h.typ == r.Type && (c.w.shape.Zones == 0 || h.zone == r.Zone) {
-			up++
+			rented++
 		}
 	}
 	if c.w.shape.Zones > 0 {
-		most = c.inZone(r.Zone)
+		limit = c.inZone(r.Zone)
 	}
 	names := []string{}
-	for i := 0; i < r.Count && up+i < most; i++ {
-		names = append(names, c.w.newHost(fmt.Sprintf("i-%06d", c.next), r.Type, r.Zone, r.Spot).id)
-		c.next++
+	for i := 0; i < r.Count && rented+i < limit; i++ {
+		names = append(names, c.w.newHost(fmt.Sprintf("i-%06d", c.nextID), r.Type, r.Zone, r.Spot).id)
+		c.nextID++
 	}
 	if len(names) == 0 {
 		return nil, false
 	}
-	c.hires[r.Request] = names
+	c.rentals[r.Request] = names
 	return names, true
 }
 
--- a/internal/sim/coverage.go
+++ b/internal/sim/coverage.go
@@ -9,9 +9,9 @@
 	"pumicefront/wire"
 )
 
-// waitsToBegin reports whether no task of an accepted job has started yet. Jobs that may
+// waitsForStart reports whether no task of an accepted job has started yet. Jobs that may
 // be cancelled don't count.
-func (j *simJob) waitsToBegin() bool { return j.accepted && !j.begun && !j.mayBeCancelled() }
+func (j *simJob) waitsForStart() bool { return j.accepted && !j.begun && !j.mayBeCancelled() }
 
 func (w *World) leaseTime() time.Duration {
 	return time.Duration(w.cfg.Facts.Workers.LeaseS * float64(time.Second))
@@ -55,22 +55,22 @@
 		w.coverage["leaders change twice within four seconds"]++
 	}
 	w.lastLeader, w.leaderSince = n, w.now
-	full := map[string]float64{}
-	w.running(func(_ *host, t *task) { full[t.job.spec.Team] += t.job.spec.CPUs })
+	cores := map[string]float64{}
+	w.running(func(_ *host, t *task) { cores[t.job.spec.Team] += t.job.spec.CPUs })
 	w.running(func(h *host, t *task) {
-		away := h.cut || h.hung || h.receivesNothing || h.sendsNothing
-		if away {
+		unreachable := h.cut || h.hung || h.receivesNothing || h.sendsNothing
+		if unreachable {
 			w.coverage["leaders change while tasks are on machines that can't be reached"]++
 		}
-		if away && t.job.cancelTold && full[t.job.spec.Team] > w.team(t.job.spec.Team).CPUsMax-4 {
+		if unreachable && t.job.cancelTold && cores[t.job.spec.Team] > w.team(t.job.spec.Team).CPUsMax-4 {
 			w.coverage["the same with a team at its limit and its job cancelled"]++
 		}
 	})
 }
 
 // noteLeaderEnd counts the conditions under which a leader crashes.
-func (w *World) noteLeaderEnd(down time.Duration) {
-	if down < time.Second {
+func (w *World) noteLeaderEnd(downtime time.Duration) {
+	if downtime < time.Second {
 		w.coverage["a leader ends and is back within a second"]++
 	}
 	if w.store.outage {
@@ -131,7 +131,7 @@
 	if r.Session < h.session {
 		w.coverage["a report from an earlier session arrives"]++
 	}
-	if n.leads() && w.now-w.leaderSince < 2*time.Second && r.Token < w.topToken {
+	if n.leads() && w.now-w.leaderSince < 2*time.Second && r.Token < w.highestToken {
 		w.coverage["an old report arrives as a new leader begins"]++
 	}
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -26,59 +26,59 @@
 	})
 }
 
-// drawnFault is a random fault with its parameters.
-type drawnFault struct {
+// randomFault is a random fault with its parameters.
+type randomFault struct {
 	faultSpan
-	node  *node
-	down  time.Duration // downtime of a process that crashes
-	soon  time.Duration // downtime of a process or machine that restarts quickly
-	pick  uint64        // selects a machine
-	share float64       // share of the machines that is affected
+	node          *node
+	downtime      time.Duration // downtime of a process that crashes
+	shortDowntime time.Duration // downtime of a process or machine that restarts quickly
+	machineChoice uint64        // selects a machine
+	share         float64       // share of the machines that is affected
 }
 
 // faultKinds are the kinds of fault that a run draws from.
-var faultKinds = []func(*drawnFault){
-	(*drawnFault).crashOne,
-	(*drawnFault).crashAll,
-	(*drawnFault).stateOutage,
-	(*drawnFault).stateOutageAndCrash,
-	(*drawnFault).refuseOne,
-	(*drawnFault).refuseOneWithoutPeers,
-	(*drawnFault).cutOneFromWorkers,
-	(*drawnFault).isolateOne,
-	(*drawnFault).isolateOneAndCrashOthers,
-	(*drawnFault).pauseOne,
-	(*drawnFault).pauseOneShortly,
-	(*drawnFault).pauseAll,
-	(*drawnFault).pauseOneAndCrashNext,
-	(*drawnFault).stateOutageAndPause,
-	(*drawnFault).crashTwice,
-	(*drawnFault).stateOutageAndQuickRestart,
-	(*drawnFault).refuseAllInTurn,
-	(*drawnFault).restartMachine,
-	(*drawnFault).machineReceivesNothing,
-	(*drawnFault).machineReceivesNothingAndRestarts,
-	(*drawnFault).cutManyMachines,
-	(*drawnFault).hangManyMachines,
-	(*drawnFault).loseManyMachines,
-	(*drawnFault).restartManyMachines,
-	(*drawnFault).crashAndCutManyMachines,
-	(*drawnFault).cloudOutage,
-	(*drawnFault).cutMachine,
-	(*drawnFault).hangMachine,
-	(*drawnFault).loseMachine,
-	(*drawnFault).noticeMachine,
+var faultKinds = []func(*randomFault){
+	(*randomFault).crashOne,
+	(*randomFault).crashAll,
+	(*randomFault).stateOutage,
+	(*randomFault).stateOutageAndCrash,
+	(*randomFault).refuseOne,
+	(*randomFault).refuseOneWithoutPeers,
+	(*randomFault).cutOneFromWorkers,
+	(*randomFault).isolateOne,
+	(*randomFault).isolateOneAndCrashOthers,
+	(*randomFault).pauseOne,
+	(*randomFault).pauseOneBriefly,
+	(*randomFault).pauseAll,
+	(*randomFault).pauseOneAndCrashNext,
+	(*randomFault).stateOutageAndPause,
+	(*randomFault).crashTwice,
+	(*randomFault).stateOutageAndQuickRestart,
+	(*randomFault).refuseAllInTurn,
+	(*randomFault).restartMachine,
+	(*randomFault).machineReceivesNothing,
+	(*randomFault).machineReceivesNothingAndRestarts,
+	(*randomFault).cutManyMachines,
+	(*randomFault).hangManyMachines,
+	(*randomFault).loseManyMachines,
+	(*randomFault).restartManyMachines,
+	(*randomFault).crashAndCutManyMachines,
+	(*randomFault).cloudOutage,
+	(*randomFault).cutMachine,
+	(*randomFault).hangMachine,
+	(*randomFault).loseMachine,
+	(*randomFault).noticeMachine,
 }
 
 // drawFault draws a fault and returns the function that injects it.
 func (w *World) drawFault(end time.Duration) func() {
-	f := &drawnFault{
-		node:      w.nodes[w.rng.IntN(len(w.nodes))],
-		faultSpan: faultSpan{w: w, end: end, duration: w.between(3*time.Second, 30*time.Second)},
-		down:      w.between(100*time.Millisecond, 6*time.Second),
-		soon:      w.between(20*time.Millisecond, 400*time.Millisecond),
-		pick:      w.rng.Uint64(),
-		share:     0.1 + 0.6*w.rng.Float64(),
+	f := &randomFault{
+		node:          w.nodes[w.rng.IntN(len(w.nodes))],
+		faultSpan:     faultSpan{w: w, end: end, duration: w.between(3*time.Second, 30*time.Second)},
+		downtime:      w.between(100*time.Millisecond, 6*time.Second),
+		shortDowntime: w.between(20*time.Millisecond, 400*time.Millisecond),
+		machineChoice: w.rng.Uint64(),
+		share:         0.1 + 0.6*w.rng.Float64(),
 	}
 	kind := faultKinds[w.rng.IntN(len(faultKinds))]
 	return func() { kind(f) }
@@ -89,28 +89,28 @@
 	return min(duration, max(end-w.now, 0))
 }
 
-func (f *drawnFault) crashOne() { f.node.crash(f.down) }
+func (f *randomFault) crashOne() { f.node.crash(f.downtime) }
 
-func (f *drawnFault) crashAll() {
+func (f *randomFault) crashAll() {
 	for _, n := range f.w.nodes {
-		n.crash(f.down)
+		n.crash(f.downtime)
 	}
 }
 
-func (f *drawnFault) stateOutage() {
+func (f *randomFault) stateOutage() {
 	f.w.store.setOutage(true)
 	f.undo(func() { f.w.store.setOutage(false) })
 }
 
-func (f *drawnFault) stateOutageAndCrash() {
+func (f *randomFault) stateOutageAndCrash() {
 	f.w.store.setOutage(true)
-	f.node.crash(f.down)
+	f.node.crash(f.downtime)
 	f.undo(func() { f.w.store.setOutage(false) })
 }
 
-func (f *drawnFault) refuseOne() { f.w.refuse(f.node, f.duration, f.end) }
+func (f *randomFault) refuseOne() { f.w.refuse(f.node, f.duration, f.end) }
 
-func (f *drawnFault) refuseOneWithoutPeers() {
+func (f *randomFault) refuseOneWithoutPeers() {
 	f.node.refused, f.node.meshCut = true, true
 	f.undo(func() {
 		f.node.refused, f.node.meshCut = false, false
@@ -118,27 +118,27 @@
 	})
 }
 
-func (f *drawnFault) cutOneFromWorkers() {
+func (f *randomFault) cutOneFromWorkers() {
 	f.node.workersCut = true
 	f.undo(func() { f.node.workersCut = false })
 }
 
-func (f *drawnFault) isolateOne() { f.isolate(f.node) }
+func (f *randomFault) isolateOne() { f.isolate(f.node) }
 
-func (f *drawnFault) isolateOneAndCrashOthers() {
+func (f *randomFault) isolateOneAndCrashOthers() {
 	for _, n := range f.w.nodes {
 		if n != f.node {
-			n.crash(f.down)
+			n.crash(f.downtime)
 		}
 	}
 	f.isolate(f.node)
 }
 
-func (f *drawnFault) pauseOne() { f.node.pause(f.duration) }
+func (f *randomFault) pauseOne() { f.node.pause(f.duration) }
 
-func (f *drawnFault) pauseOneShortly() { f.node.pause(f.down / 3) }
+func (f *randomFault) pauseOneBriefly() { f.node.pause(f.downtime / 3) }
 
-func (f *drawnFault) pauseAll() {
+func (f *randomFault) pauseAll() {
 	for _, n := range f.w.nodes {
 		n.pause(f.w.between(0, f.duration))
 	}
@@ -146,36 +146,36 @@
 
 // pauseOneAndCrashNext pauses one controller, so that another takes over, and crashes the
 // next one within four seconds, which may be the one that took over.
-func (f *drawnFault) pauseOneAndCrashNext() {
+func (f *randomFault) pauseOneAndCrashNext() {
 	f.node.pause(f.duration)
 	next := f.w.nodes[(f.node.i+1)%len(f.w.nodes)]
-	f.w.after(f.w.between(0, 4*time.Second), func() { next.crash(f.soon) })
+	f.w.after(f.w.between(0, 4*time.Second), func() { next.crash(f.shortDowntime) })
 }
 
-func (f *drawnFault) stateOutageAndPause() {
+func (f *randomFault) stateOutageAndPause() {
 	f.w.store.setOutage(true)
 	f.node.pause(f.duration / 2)
 	f.undo(func() { f.w.store.setOutage(false) })
 }
 
-func (f *drawnFault) crashTwice() {
-	f.node.crash(f.soon)
-	f.w.after(f.soon+f.w.between(0, 2*time.Second), func() { f.node.crash(f.soon) })
+func (f *randomFault) crashTwice() {
+	f.node.crash(f.shortDowntime)
+	f.w.after(f.shortDowntime+f.w.between(0, 2*time.Second), func() { f.node.crash(f.shortDowntime) })
 }
 
-func (f *drawnFault) stateOutageAndQuickRestart() {
+func (f *randomFault) stateOutageAndQuickRestart() {
 	f.w.store.setOutage(true)
-	f.w.after(f.w.between(time.Second, 4*time.Second), func() { f.node.crash(f.soon) })
+	f.w.after(f.w.between(time.Second, 4*time.Second), func() { f.node.crash(f.shortDowntime) })
 	f.undo(func() { f.w.store.setOutage(false) })
 }
 
-// refuseAllInTurn makes the state service refuse all controllers, until after their leases
-// may have run out, and accept them again at different times; one of them also crashes.
-func (f *drawnFault) refuseAllInTurn() {
+// refuseAllInTurn makes the state service refuse each controller for a different time, so
+// that their leases run out and they return one by one. One of them also crashes.
+func (f *randomFault) refuseAllInTurn() {
 	for _, n := range f.w.nodes {
 		f.w.refuse(n, f.duration/4+f.w.between(0, 4*time.Second), f.end)
 	}
-	f.w.after(f.w.between(0, 3*time.Second), func() { f.node.crash(f.soon) })
+	f.w.after(f.w.between(0, 3*time.Second), func() { f.node.crash(f.shortDowntime) })
 }
 
 // refuse makes the state service refuse the calls of one controller for a while.
@@ -187,75 +187,75 @@
 	})
 }
 
-func (f *drawnFault) restartMachine() {
-	f.oneMachine(func(h *host) { h.restart(f.soon) })
+func (f *randomFault) restartMachine() {
+	f.oneMachine(func(h *host) { h.restart(f.shortDowntime) })
 }
 
-func (f *drawnFault) machineReceivesNothing() {
+func (f *randomFault) machineReceivesNothing() {
 	f.oneMachine(func(h *host) {
 		h.receivesNothing = true
 		f.undo(func() { h.receivesNothing = false })
 	})
 }
 
-func (f *drawnFault) machineReceivesNothingAndRestarts() {
+func (f *randomFault) machineReceivesNothingAndRestarts() {
 	f.oneMachine(func(h *host) {
 		h.receivesNothing = true
 		f.undo(func() {
 			h.receivesNothing = false
-			h.restart(f.soon)
+			h.restart(f.shortDowntime)
 		})
 	})
 }
 
-func (f *drawnFault) cutManyMachines()  { f.manyMachines(f.cut) }
-func (f *drawnFault) hangManyMachines() { f.manyMachines(f.hang) }
-func (f *drawnFault) loseManyMachines() { f.manyMachines((*host).vanish) }
+func (f *randomFault) cutManyMachines()  { f.manyMachines(f.cut) }
+func (f *randomFault) hangManyMachines() { f.manyMachines(f.hang) }
+func (f *randomFault) loseManyMachines() { f.manyMachines((*host).vanish) }
 
-func (f *drawnFault) restartManyMachines() {
+func (f *randomFault) restartManyMachines() {
 	f.manyMachines(func(h *host) { h.restart(f.w.between(20*time.Millisecond, 6*time.Second)) })
 }
 
-func (f *drawnFault) crashAndCutManyMachines() {
-	f.node.crash(f.down)
+func (f *randomFault) crashAndCutManyMachines() {
+	f.node.crash(f.downtime)
 	f.manyMachines(f.cut)
 }
 
-func (f *drawnFault) cloudOutage() {
+func (f *randomFault) cloudOutage() {
 	f.w.cloud.outage = true
 	f.undo(func() { f.w.cloud.outage = false })
 }
 
-func (f *drawnFault) cutMachine()  { f.oneMachine(f.cut) }
-func (f *drawnFault) hangMachine() { f.oneMachine(f.hang) }
-func (f *drawnFault) loseMachine() { f.oneMachine((*host).vanish) }
+func (f *randomFault) cutMachine()  { f.oneMachine(f.cut) }
+func (f *randomFault) hangMachine() { f.oneMachine(f.hang) }
+func (f *randomFault) loseMachine() { f.oneMachine((*host).vanish) }
 
-func (f *drawnFault) noticeMachine() {
+func (f *randomFault) noticeMachine() {
 	f.oneMachine(func(h *host) {
 		h.notice = true
 		f.w.after(5*time.Second, h.vanish)
 	})
 }
 
-func (f *drawnFault) cut(h *host) {
+func (f *randomFault) cut(h *host) {
 	h.setCut(true)
 	f.undo(func() { h.setCut(false) })
 }
 
-func (f *drawnFault) hang(h *host) {
+func (f *randomFault) hang(h *host) {
 	h.setHung(true)
 	f.undo(func() { h.setHung(false) })
 }
 
 // oneMachine injects a fault into one of the machines that are up.
-func (f *drawnFault) oneMachine(cause func(h *host)) {
+func (f *randomFault) oneMachine(cause func(h *host)) {
 	if hosts := f.w.hostsUp(); len(hosts) > 0 {
-		cause(hosts[f.pick%uint64(len(hosts))])
+		cause(hosts[f.machineChoice%uint64(len(hosts))])
 	}
 }
 
 // manyMachines injects a fault into a random share of the machines that are up.
-func (f *drawnFault) manyMachines(cause func(h *host)) {
+func (f *randomFault) manyMachines(cause func(h *host)) {
 	for _, h := range f.w.hostsUp() {
 		if f.w.chance(f.share) {
 			cause(h)
--- a/internal/sim/histories.go
+++ b/internal/sim/histories.go
@@ -2,8 +2,8 @@
 
 import "pumicefront/internal/history"
 
-// note appends an event to the history, if the run keeps one.
-func (w *World) note(e history.Event) {
+// recordEvent appends an event to the history, if the run keeps one.
+func (w *World) recordEvent(e history.Event) {
 	if !w.keepHistory {
 		return
 	}
@@ -16,16 +16,16 @@
 	w.history = append(w.history, e)
 }
 
-// noteEnd records the end of a task in the history.
-func (h *host) noteEnd(t *task) {
-	h.w.note(history.Event{Kind: history.Ended, Task: t.id, Attempt: t.attempt, Machine: h.id})
+// recordTaskEnd records the end of a task in the history.
+func (h *host) recordTaskEnd(t *task) {
+	h.w.recordEvent(history.Event{Kind: history.Ended, Task: t.id, Attempt: t.attempt, Machine: h.id})
 }
 
-// noteEnds records the end of every task that runs or saves on the machine.
-func (h *host) noteEnds() {
+// recordTaskEnds records the end of every task that runs or saves on the machine.
+func (h *host) recordTaskEnds() {
 	for _, t := range h.tasks {
 		if t.onMachine() {
-			h.noteEnd(t)
+			h.recordTaskEnd(t)
 		}
 	}
 }
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -15,30 +15,30 @@
 	w             *World
 	id, typ, zone string
 	spot          bool
-	born, up      time.Duration
+	born, up      time.Duration // when it was rented, and when it has booted
 	gone          bool
 	goneAt        time.Duration
-	drift         float64
+	drift         float64 // of its clock, as a fraction of the time
 
 	session, seq, token uint64
 	tasks               []*task
 	images              map[string]bool
-	leaseFrom           time.Duration
-	node                int
-	reporting           int // number of the latest report; an earlier one's answer or time-out is ignored
-	busy                bool
-	lastSent            time.Duration
-	notice              bool
-	faulty              bool
-
-	cut, hung       bool
-	receivesNothing bool     // its reports arrive, but answers and commands are lost
-	sendsNothing    bool     // it can't connect to controllers, but receives commands
-	noReports       bool     // it runs but sends no reports
-	off             bool     // it is restarting
-	listens         string   // address on which it takes commands from real controllers; empty in virtual time
-	deferred        []func() // messages to or from it to deliver when the network partition heals
-	whileHung       []func() // actions of a hung machine, to run when it resumes
+	leaseStart          time.Duration
+	node                int // index of the controller to which it reports
+	reportNumber        int // number of the latest report; an earlier one's answer or time-out is ignored
+	reportInFlight      bool
+	lastReportAt        time.Duration
+	notice              bool // the cloud has announced the end of the machine
+	faulty              bool // every task on it fails
+
+	cut, hung         bool // partitioned from the controllers; not executing anything
+	receivesNothing   bool // its reports arrive, but answers and commands are lost
+	sendsNothing      bool // it can't connect to controllers, but receives commands
+	noReports         bool // it runs but sends no reports
+	restarting        bool
+	listens           string   // address on which it takes commands from real controllers; empty in virtual time
+	deferredMessages  []func() // messages to or from it to deliver when the network partition heals
+	deferredWhileHung []func() // actions of a hung machine, to run when it resumes
 }
 
 // task is an attempt to run a task, on one machine.
@@ -62,7 +62,7 @@
 		boot = w.between(200*time.Millisecond, 2*time.Second)
 	}
 	if w.chance(0.05) {
-		boot = time.Hour // never comes up
+		boot = time.Hour // does not boot during the run
 	}
 	if w.alwaysUp {
 		boot, h.faulty = min(boot, 14*time.Second), false
@@ -74,7 +74,7 @@
 	}
 	w.hosts = append(w.hosts, h)
 	w.after(boot, func() {
-		h.leaseFrom = w.now
+		h.leaseStart = w.now
 		h.watchLease()
 		h.report()
 	})
@@ -93,9 +93,9 @@
 // restarting, and deferred while the machine hangs.
 func (h *host) do(fn func()) {
 	switch {
-	case h.gone || h.off:
+	case h.gone || h.restarting:
 	case h.hung:
-		h.whileHung = append(h.whileHung, fn)
+		h.deferredWhileHung = append(h.deferredWhileHung, fn)
 	default:
 		fn()
 	}
@@ -108,7 +108,7 @@
 		return
 	}
 	if h.cut {
-		h.deferred = append(h.deferred, func() { h.do(fn) })
+		h.deferredMessages = append(h.deferredMessages, func() { h.do(fn) })
 		return
 	}
 	h.do(fn)
@@ -117,8 +117,8 @@
 func (h *host) setCut(on bool) {
 	h.cut = on
 	if !on {
-		held := h.deferred
-		h.deferred = nil
+		held := h.deferredMessages
+		h.deferredMessages = nil
 		for _, fn := range held {
 			h.w.after(h.w.latency(), fn)
 		}
@@ -130,14 +130,14 @@
 	if on { // tasks still on it when its lease ends are killed before it resumes
 		h.w.after(h.leaseEnd()-h.w.now, func() {
 			if h.hung && !h.gone && h.w.now >= h.leaseEnd() {
-				h.noteEnds()
+				h.recordTaskEnds()
 			}
 		})
 	}
 	if !on && !h.gone {
-		h.expire()
-		frozen := h.whileHung
-		h.whileHung = nil
+		h.expireLease()
+		frozen := h.deferredWhileHung
+		h.deferredWhileHung = nil
 		for _, fn := range frozen {
 			h.do(fn)
 		}
@@ -146,20 +146,20 @@
 
 // restart ends all tasks on the machine, which is back after the given downtime in a new
 // session. Half of the restarts lose the highest token that the worker had seen.
-func (h *host) restart(down time.Duration) {
+func (h *host) restart(downtime time.Duration) {
 	w := h.w
 	w.Log("%v %s restarts with %d tasks", w.now, h.id, len(h.tasks))
-	h.noteEnds()
-	h.off, h.tasks, h.deferred, h.whileHung, h.hung = true, nil, nil, nil, false
-	h.reporting++
-	fresh := w.chance(0.5)
-	w.after(down, func() {
+	h.recordTaskEnds()
+	h.restarting, h.tasks, h.deferredMessages, h.deferredWhileHung, h.hung = true, nil, nil, nil, false
+	h.reportNumber++
+	losesToken := w.chance(0.5)
+	w.after(downtime, func() {
 		if h.gone {
 			return
 		}
-		h.off, h.busy, h.leaseFrom = false, false, w.now
+		h.restarting, h.reportInFlight, h.leaseStart = false, false, w.now
 		h.session++
-		if fresh {
+		if losesToken {
 			h.token = 0
 		}
 		h.watchLease()
@@ -167,42 +167,44 @@
 	})
 }
 
+// vanish ends the machine and all tasks on it.
 func (h *host) vanish() {
 	h.w.noteLostTasks(h)
-	h.noteEnds()
+	h.recordTaskEnds()
 	h.gone, h.goneAt = true, h.w.now
 }
 
+// leaseEnd returns the end of the lease by the machine's own clock.
 func (h *host) leaseEnd() time.Duration {
 	lease := h.w.cfg.Facts.Workers.LeaseS * (1 + h.drift)
-	return h.leaseFrom + time.Duration(lease*float64(time.Second))
+	return h.leaseStart + time.Duration(lease*float64(time.Second))
 }
 
 func (h *host) watchLease() {
 	h.w.after(max(h.leaseEnd()-h.w.now, 50*time.Millisecond), func() {
 		h.do(func() {
-			h.expire()
+			h.expireLease()
 			h.watchLease()
 		})
 	})
 }
 
-// expire ends the session and all of its tasks if the lease has run out.
-func (h *host) expire() {
+// expireLease ends the session and all of its tasks if the lease has run out.
+func (h *host) expireLease() {
 	if h.w.now < h.leaseEnd() {
 		return
 	}
 	h.w.Log("%v %s lease ran out with %d tasks", h.w.now, h.id, len(h.tasks))
 	h.session++
-	h.noteEnds()
+	h.recordTaskEnds()
 	h.tasks = nil
-	h.leaseFrom = h.w.now
-	h.reporting++
-	h.busy = false
-	h.soon()
+	h.leaseStart = h.w.now
+	h.reportNumber++
+	h.reportInFlight = false
+	h.reportSoon()
 }
 
-func (h *host) snapshot() wire.Report {
+func (h *host) buildReport() wire.Report {
 	h.seq++
 	r := wire.Report{Machine: h.id, Addr: h.address(), Type: h.typ, Zone: h.zone, Spot: h.spot, Session: h.session, Seq: h.seq, Token: h.token}
 	if h.notice {
@@ -215,13 +217,14 @@
 	return r
 }
 
-// soon schedules a report of a change, at least half a second after the previous report.
-func (h *host) soon() {
-	h.w.after(max(h.lastSent+500*time.Millisecond-h.w.now, 0), func() { h.do(h.report) })
+// reportSoon schedules a report of a change, at least half a second after the previous report.
+func (h *host) reportSoon() {
+	h.w.after(max(h.lastReportAt+500*time.Millisecond-h.w.now, 0), func() { h.do(h.report) })
 }
 
+// report sends a report, unless one is in flight, and schedules the next.
 func (h *host) report() {
-	if h.busy {
+	if h.reportInFlight {
 		return
 	}
 	w := h.w
@@ -229,31 +232,31 @@
 		w.after(100*time.Millisecond, func() { h.do(h.report) })
 		return
 	}
-	h.busy = true
-	h.reporting++
-	h.lastSent = w.now
-	number, sent, rep := h.reporting, w.now, h.snapshot()
+	h.reportInFlight = true
+	h.reportNumber++
+	h.lastReportAt = w.now
+	number, sent, rep := h.reportNumber, w.now, h.buildReport()
 	next := time.Duration(w.cfg.Facts.Workers.ReportS * (0.75 + w.rng.Float64()/2) * float64(time.Second))
 	w.after(next, func() { h.do(h.report) })
-	w.after(4*time.Second, func() { h.do(func() { h.failed(number) }) })
+	w.after(4*time.Second, func() { h.do(func() { h.reportFailed(number) }) })
 	h.copyReport(rep)
 	if h.sendsNothing {
-		w.after(time.Second, func() { h.do(func() { h.failed(number) }) })
+		w.after(time.Second, func() { h.do(func() { h.reportFailed(number) }) })
 		return
 	}
 	n := w.nodes[h.node]
 	send := func() {
 		if n.down() {
-			w.after(w.latency(), func() { h.reach(func() { h.failed(number) }) })
+			w.after(w.latency(), func() { h.reach(func() { h.reportFailed(number) }) })
 			return
 		}
-		if !n.workersCut && !w.faults.isolated.parts(n, h) {
-			h.askReport(n, rep, number, sent)
+		if !n.workersCut && !w.faults.isolated.separates(n, h) {
+			h.sendReport(n, rep, number, sent)
 		}
 	}
 	w.after(w.latency(), func() {
 		if h.cut {
-			h.deferred = append(h.deferred, send)
+			h.deferredMessages = append(h.deferredMessages, send)
 			return
 		}
 		send()
@@ -268,13 +271,13 @@
 		late := rep
 		return func() {
 			if !x.down() {
-				h.tamper(true, &late)
+				h.tamperReport(true, &late)
 				w.noteOldReport(h, x, &late)
 				x.ask(func(req uint64) controller.Input { return controller.ReportRequest{Req: req, Report: late} }, func(controller.Answer) {})
 			}
 		}
 	}
-	if w.byChance(0.02) || w.chance(w.faults.duplicateReports) { // from 2 s to well over a lease of 10 s later
+	if w.sporadicFault(0.02) || w.chance(w.faults.duplicateReports) { // from 2 s to well over a lease of 10 s later
 		w.after(w.between(2*time.Second, 25*time.Second), copyTo(w.nodes[w.rng.IntN(len(w.nodes))]))
 	}
 	if w.chance(w.faults.keepReports) { // delivered to every controller once a higher token is used
@@ -284,60 +287,62 @@
 	}
 }
 
-func (h *host) askReport(n *node, rep wire.Report, number int, sent time.Duration) {
+func (h *host) sendReport(n *node, rep wire.Report, number int, sent time.Duration) {
 	w := h.w
-	h.tamper(false, &rep)
+	h.tamperReport(false, &rep)
 	in := controller.ReportRequest{Report: rep}
 	n.ask(func(req uint64) controller.Input { in.Req = req; return in }, func(a controller.Answer) {
 		if w.Tamper.Answer != nil {
 			w.Tamper.Answer(w, &in, &a)
 		}
-		w.after(w.latency(), func() { h.reach(func() { h.answered(number, sent, a) }) })
+		w.after(w.latency(), func() { h.reach(func() { h.reportAnswered(number, sent, a) }) })
 	})
 }
 
-func (h *host) tamper(late bool, r *wire.Report) {
+func (h *host) tamperReport(late bool, r *wire.Report) {
 	if h.w.Tamper.Report != nil {
 		h.w.Tamper.Report(h, late, r)
 	}
 }
 
-// failed makes the machine send its next report to the next controller, a second later.
-func (h *host) failed(number int) {
-	if h.reporting != number || !h.busy {
+// reportFailed makes the machine send its next report to the next controller, a second later.
+func (h *host) reportFailed(number int) {
+	if h.reportNumber != number || !h.reportInFlight {
 		return
 	}
-	h.busy = false
+	h.reportInFlight = false
 	h.node = (h.node + 1) % len(h.w.nodes)
 	h.w.after(time.Second, func() { h.do(h.report) })
 }
 
-func (h *host) answered(number int, sent time.Duration, a controller.Answer) {
-	if h.reporting != number || !h.busy || h.w.now > sent+4*time.Second {
+// reportAnswered handles the answer to a report: a redirect to the leader, or a renewal of
+// the lease with commands. An answer with an outdated token has no effect.
+func (h *host) reportAnswered(number int, sent time.Duration, a controller.Answer) {
+	if h.reportNumber != number || !h.reportInFlight || h.w.now > sent+4*time.Second {
 		return
 	}
 	if a.Status != http.StatusOK {
 		if r, ok := a.Body.(wire.Redirect); ok && r.Leader != "" {
 			i := slices.IndexFunc(h.w.nodes, func(n *node) bool { return n.name == r.Leader })
 			if i >= 0 && i != h.node {
-				h.busy = false
+				h.reportInFlight = false
 				h.node = i
 				h.w.after(h.w.between(0, 500*time.Millisecond), func() { h.do(h.report) })
 				return
 			}
 		}
-		h.failed(number)
+		h.reportFailed(number)
 		return
 	}
-	h.busy = false
+	h.reportInFlight = false
 	body := a.Body.(wire.ReportAnswer)
 	if body.Token < h.token {
 		return
 	}
-	h.leaseFrom = sent
+	h.leaseStart = sent
 	if body.Token > h.token {
 		h.token = body.Token
-		h.soon()
+		h.reportSoon()
 	}
 	h.execute(body.Commands)
 }
@@ -346,14 +351,14 @@
 // of another session.
 func (h *host) commands(c wire.Commands) (int, wire.Report) {
 	if c.Token < h.token || c.Session != h.session {
-		return http.StatusConflict, h.snapshot()
+		return http.StatusConflict, h.buildReport()
 	}
 	if c.Token > h.token {
 		h.token = c.Token
-		h.soon()
+		h.reportSoon()
 	}
 	h.execute(c.Commands)
-	return http.StatusOK, h.snapshot()
+	return http.StatusOK, h.buildReport()
 }
 
 func (h *host) find(id string, attempt uint64) *task {
@@ -371,11 +376,11 @@
 		switch c.Op {
 		case wire.OpRun:
 			if t == nil {
-				h.run(c.Task, c.Attempt)
+				h.startTask(c.Task, c.Attempt)
 			}
 		case wire.OpStop:
 			if t != nil && t.state != wire.TaskExited {
-				h.stop(t, c.GraceS)
+				h.stopTask(t, c.GraceS)
 			}
 		case wire.OpForget:
 			if t != nil && t.state == wire.TaskExited {
@@ -385,26 +390,26 @@
 	}
 }
 
-// stop ends a task. A running task that can save its progress does so first if the grace
+// stopTask ends a task. A running task that can save its progress does so first if the grace
 // period is long enough.
-func (h *host) stop(t *task, grace float64) {
-	if t.job == nil || t.job.saved == nil || t.state != wire.TaskRunning || grace < t.job.spec.SaveS {
-		if t.state != wire.TaskSaving || grace == 0 {
-			h.stopped(t)
+func (h *host) stopTask(t *task, graceS float64) {
+	if t.job == nil || t.job.saved == nil || t.state != wire.TaskRunning || graceS < t.job.spec.SaveS {
+		if t.state != wire.TaskSaving || graceS == 0 {
+			h.taskStopped(t)
 		}
 		return
 	}
 	t.state = wire.TaskSaving
-	h.soon()
+	h.reportSoon()
 	h.later(t, time.Duration(t.job.spec.SaveS*float64(time.Second)), func() {
 		_, n, _ := wire.SplitTask(t.id)
 		t.job.saved[n] += h.w.now - t.started
-		h.stopped(t)
+		h.taskStopped(t)
 	})
 }
 
-// stopped ends a task because of a stop command.
-func (h *host) stopped(t *task) {
+// taskStopped ends a task because of a stop command.
+func (h *host) taskStopped(t *task) {
 	h.exit(t, wire.WhyStopped)
 	if h.w.onStopped != nil {
 		h.w.onStopped(t)
@@ -413,14 +418,14 @@
 
 func (h *host) exit(t *task, why string) {
 	if t.onMachine() {
-		h.noteEnd(t)
+		h.recordTaskEnd(t)
 	}
 	t.state, t.why = wire.TaskExited, why
-	h.soon()
+	h.reportSoon()
 }
 
-// run handles a run command: the attempt is refused, or it fetches its image and then runs.
-func (h *host) run(id string, attempt uint64) {
+// startTask handles a run command: the attempt is refused, or it fetches its image and then runs.
+func (h *host) startTask(id string, attempt uint64) {
 	j := h.w.users.jobOf(id)
 	t := &task{id: id, job: j, attempt: attempt, state: wire.TaskFetching}
 	h.tasks = append(h.tasks, t)
@@ -428,9 +433,9 @@
 		h.exit(t, wire.WhyUnknown)
 		return
 	}
-	free := h.size()
-	takes := func(s *wire.Job) { free.CPUs, free.GPUs = free.CPUs-s.CPUs, free.GPUs-s.GPUs }
-	takes(&j.spec)
+	free := h.capacity()
+	reserve := func(s *wire.Job) { free.CPUs, free.GPUs = free.CPUs-s.CPUs, free.GPUs-s.GPUs }
+	reserve(&j.spec)
 	for _, o := range h.tasks {
 		if o == t || o.state == wire.TaskExited {
 			continue
@@ -439,7 +444,7 @@
 			h.exit(t, wire.WhyBusy)
 			return
 		}
-		takes(&o.job.spec)
+		reserve(&o.job.spec)
 	}
 	if min(free.CPUs, free.GPUs) < -1e-6 {
 		h.exit(t, wire.WhyNoRoom)
@@ -463,7 +468,7 @@
 	})
 }
 
-func (h *host) size() wire.MachineType {
+func (h *host) capacity() wire.MachineType {
 	types := h.w.shape.types()
 	return types[slices.IndexFunc(types, func(t wire.MachineType) bool { return t.Name == h.typ })]
 }
@@ -479,6 +484,7 @@
 	})
 }
 
+// start starts a task whose image has been fetched.
 func (h *host) start(t *task, j *simJob) {
 	h.images[j.spec.Image] = true
 	h.w.checkStart(h, t, j)
@@ -486,8 +492,8 @@
 	if h.w.onStart != nil {
 		h.w.onStart(h, t)
 	}
-	h.w.note(history.Event{Kind: history.Started, Task: t.id, Attempt: t.attempt, Machine: h.id})
-	h.soon()
+	h.w.recordEvent(history.Event{Kind: history.Started, Task: t.id, Attempt: t.attempt, Machine: h.id})
+	h.reportSoon()
 	_, n, _ := wire.SplitTask(t.id)
 	switch {
 	case h.faulty || j.broken:
@@ -510,8 +516,8 @@
 	j.done[n] = true
 	h.exit(t, wire.WhyDone)
 	h.w.noteTaskEnd(j)
-	if j.left() == 0 && !j.ended {
-		j.ended = true
-		h.w.users.ended(j)
+	if j.left() == 0 && !j.lastTaskEnded {
+		j.lastTaskEnded = true
+		h.w.users.jobEnded(j)
 	}
 }
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -15,23 +15,23 @@
 // its calls and messages.
 type node struct {
 	w              *World
-	i              int
+	i              int // index in World.nodes
 	name           string
-	drift          float64
+	drift          float64 // of its clock, as a fraction of the time
 	core           *controller.Core
 	life           int // number of process starts; replies addressed to an earlier process are dropped
 	wakeAt         time.Duration
 	requests       map[uint64]func(controller.Answer)
-	nextReq        uint64
-	refused        bool // the state service refuses its calls
-	meshCut        bool
+	nextRequest    uint64
+	refused        bool             // the state service refuses its calls
+	meshCut        bool             // partitioned from the other controllers
 	workersCut     bool             // partitioned from the workers
 	isolated       bool             // partitioned from the state service and from the other controllers
 	pauseAfterStep time.Duration    // how long the process pauses after its next step; 0: no pause is due
 	paused         bool             // the process does not run, while its clock does
 	deferred       []func()         // inputs and outputs to process on resume
-	cause          controller.Input // input of the current step
-	sent           []func()         // recent direct commands, any of which may be delivered again after a crash
+	currentInput   controller.Input // input of the current step
+	recentCommands []func()         // recent direct commands, any of which may be delivered again after a crash
 	live           *liveNode        // a real controller; nil: a core in virtual time
 }
 
@@ -46,6 +46,7 @@
 	return now
 }
 
+// boot starts a new process.
 func (n *node) boot() {
 	cfg := n.w.cfg
 	cfg.Member = n.name
@@ -70,45 +71,48 @@
 
 // crash ends the process and starts a new one after the given downtime. Copies of its
 // recent commands may still arrive.
-func (n *node) crash(down time.Duration) {
+func (n *node) crash(downtime time.Duration) {
 	if n.core == nil {
 		return
 	}
 	n.w.Log("%v crash %s", n.w.now, n.name)
 	if n.leads() {
-		n.w.noteLeaderEnd(down)
+		n.w.noteLeaderEnd(downtime)
 	}
 	n.core = nil
 	n.pauseAfterStep, n.paused, n.deferred = 0, false, nil
-	for _, again := range n.sent {
+	for _, again := range n.recentCommands {
 		if n.w.chance(0.5) {
 			n.w.after(n.w.between(0, 30*time.Second), again)
 		}
 	}
-	n.sent = nil
-	n.w.after(down, n.boot)
+	n.recentCommands = nil
+	n.w.after(downtime, n.boot)
 }
 
 // pause stops the process in the middle of its next step, while its clock runs on, as a
 // long garbage collection or a frozen virtual machine does. On resume, the outputs of that
 // step are sent, and then the inputs that arrived during the pause are processed.
-func (n *node) pause(still time.Duration) { n.pauseAfterStep = still }
+func (n *node) pause(duration time.Duration) { n.pauseAfterStep = duration }
 
-func (n *node) goOn(life int) {
+// resume ends a pause, unless the paused process has crashed meanwhile.
+func (n *node) resume(life int) {
 	if n.life != life || !n.paused {
 		return
 	}
 	n.w.Log("%v %s goes on", n.w.now, n.name)
 	n.paused = false
-	held := n.deferred
+	deferred := n.deferred
 	n.deferred = nil
-	for _, fn := range held {
+	for _, fn := range deferred {
 		if n.life == life {
 			fn()
 		}
 	}
 }
 
+// step passes an input to the core, carries out its outputs, and schedules the next tick
+// for the time at which the core asks to be woken.
 func (n *node) step(in controller.Input) {
 	if n.core == nil {
 		return
@@ -117,7 +121,7 @@
 		n.deferred = append(n.deferred, func() { n.step(in) })
 		return
 	}
-	n.cause = in
+	n.currentInput = in
 	began := time.Now()
 	outputs := n.core.Step(n.clock(), in)
 	n.w.processor += time.Since(began)
@@ -139,7 +143,7 @@
 	if n.pauseAfterStep > 0 {
 		n.w.Log("%v %s stands still for %v", n.w.now, n.name, n.pauseAfterStep)
 		life := n.life
-		n.w.after(n.pauseAfterStep, func() { n.goOn(life) })
+		n.w.after(n.pauseAfterStep, func() { n.resume(life) })
 		n.pauseAfterStep, n.paused = 0, true
 	}
 	wake := n.w.now + n.core.Wake().Sub(n.clock()) + time.Millisecond
@@ -211,10 +215,10 @@
 	if n.meshCut || to.meshCut || n.isolated || to.isolated {
 		return
 	}
-	copyOf := &mesh.Envelope{From: o.Envelope.From, Body: o.Envelope.Body}
-	deliver := func() { to.step(controller.MeshMessage{Envelope: copyOf}) }
+	envelope := &mesh.Envelope{From: o.Envelope.From, Body: o.Envelope.Body}
+	deliver := func() { to.step(controller.MeshMessage{Envelope: envelope}) }
 	n.w.after(n.w.latency(), deliver)
-	if n.w.byChance(0.01) { // a duplicate, up to 15 s late
+	if n.w.sporadicFault(0.01) { // a duplicate, up to 15 s late
 		n.w.after(n.w.between(100*time.Millisecond, 15*time.Second), deliver)
 	}
 }
@@ -226,8 +230,8 @@
 		n.live.ask(in(0), fn)
 		return
 	}
-	n.nextReq++
-	req := n.nextReq
+	n.nextRequest++
+	req := n.nextRequest
 	n.requests[req] = fn
 	n.step(in(req))
 }
@@ -253,10 +257,10 @@
 	if n.isolated {
 		return // the call times out
 	}
-	late, lost := w.latency()+w.between(0, w.faults.slowState), w.byChance(0.004)
+	late, lost := w.latency()+w.between(0, w.faults.slowState), w.sporadicFault(0.004)
 	sent := w.now
 	if call.Op == controller.OpTxn {
-		if w.byChance(0.004) || w.chance(w.faults.lateWrites) {
+		if w.sporadicFault(0.004) || w.chance(w.faults.lateWrites) {
 			late, lost = w.between(time.Second, 20*time.Second), true
 		}
 		lost = lost || w.chance(w.faults.lostAnswers)
@@ -297,20 +301,20 @@
 			})
 		}
 	}
-	n.sent = append(n.sent, run(false))
-	if len(n.sent) > 40 {
-		n.sent = n.sent[1:]
+	n.recentCommands = append(n.recentCommands, run(false))
+	if len(n.recentCommands) > 40 {
+		n.recentCommands = n.recentCommands[1:]
 	}
-	if n.workersCut || w.faults.isolated.parts(n, h) {
+	if n.workersCut || w.faults.isolated.separates(n, h) {
 		return
 	}
 	delay := w.latency()
-	if w.byChance(0.01) || w.chance(w.faults.delayedCommands) { // delivered late, possibly long after the sender has timed out
-		held := w.between(2*time.Second, 40*time.Second)
+	if w.sporadicFault(0.01) || w.chance(w.faults.delayedCommands) { // delivered late, possibly long after the sender has timed out
+		lateBy := w.between(2*time.Second, 40*time.Second)
 		if w.faults.commandDelay > 0 {
-			held = w.faults.commandDelay
+			lateBy = w.faults.commandDelay
 		}
-		w.after(held, run(false))
+		w.after(lateBy, run(false))
 		return
 	}
 	w.after(delay, run(!w.chance(w.faults.lostCommandAnswers)))
--- a/internal/sim/odd_requests.go
+++ b/internal/sim/odd_requests.go
@@ -9,8 +9,8 @@
 	"pumicefront/wire"
 )
 
-// lacking encodes a submission without one of its required fields.
-func (w *World) lacking(s wire.Job) []byte {
+// encodeWithoutField encodes a submission without one of its required fields.
+func (w *World) encodeWithoutField(s wire.Job) []byte {
 	var fields map[string]any
 	if err := wire.Unmarshal(body(s), &fields); err != nil {
 		panic(err)
@@ -26,10 +26,10 @@
 	return wire.Marshal(fields)
 }
 
-// oddRequests submits a known job again, cancels it if it is done, and submits a job that
-// must be refused: it fits no machine, names an unknown team or an unknown machine type, or
-// lacks a required field.
-func (u *users) oddRequests() {
+// edgeCaseRequests submits an accepted job again, cancels it if it is done, and submits a
+// job that must be refused: it is too large for every machine and for most teams' limits,
+// names an unknown team or machine type, or lacks a required field.
+func (u *users) edgeCaseRequests() {
 	w := u.w
 	if len(u.list) == 0 {
 		return
@@ -37,29 +37,29 @@
 	j := u.list[w.rng.IntN(len(u.list))]
 	if j.accepted {
 		u.askNode(w.nodes[w.rng.IntN(len(w.nodes))], j, controller.UserRequest{Op: controller.UserSubmit, Job: j.spec.ID, Body: body(j.spec)})
-		if j.doneTold {
+		if j.reportedDone {
 			u.cancel(j)
 		}
 	}
-	odd := j.spec
-	odd.ID = fmt.Sprintf("req-8%08d", w.rng.IntN(1e8))
+	invalid := j.spec
+	invalid.ID = fmt.Sprintf("req-8%08d", w.rng.IntN(1e8))
 	want := http.StatusUnprocessableEntity
-	raw := body(odd)
+	raw := body(invalid)
 	switch w.rng.IntN(4) {
 	case 0:
-		odd.CPUs = 1000
-		raw = body(odd)
+		invalid.CPUs = 1000
+		raw = body(invalid)
 	case 1:
-		odd.Team = "nobody"
-		raw = body(odd)
+		invalid.Team = "nobody"
+		raw = body(invalid)
 	case 2:
-		odd.Types = []string{"none"}
-		raw = body(odd)
+		invalid.Types = []string{"none"}
+		raw = body(invalid)
 	case 3:
-		odd.Types, odd.Zone, odd.DeadlineS, odd.Needs = nil, "", nil, nil // a missing optional field is no error
-		raw, want = w.lacking(odd), http.StatusBadRequest
+		invalid.Types, invalid.Zone, invalid.DeadlineS, invalid.Needs = nil, "", nil, nil // optional fields may be missing; null ones are never the one removed
+		raw, want = w.encodeWithoutField(invalid), http.StatusBadRequest
 	}
-	u.request(controller.UserRequest{Op: controller.UserSubmit, Job: odd.ID, Body: raw}, func(a controller.Answer) {
+	u.request(controller.UserRequest{Op: controller.UserSubmit, Job: invalid.ID, Body: raw}, func(a controller.Answer) {
 		switch a.Status {
 		case want, 0, http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		default:
--- a/internal/sim/paired_faults.go
+++ b/internal/sim/paired_faults.go
@@ -9,11 +9,11 @@
 // change the behaviour of the environment for a while.
 type pairedFault struct {
 	faultSpan
-	share float64
-	hang  time.Duration // how long machines of cancelled jobs hang
-	soon  time.Duration // downtime of a process that restarts quickly
-	count int           // number of jobs to cancel
-	pick  uint64        // selects the kind of fault and a controller
+	share         float64
+	hangDuration  time.Duration // how long machines of cancelled jobs hang
+	shortDowntime time.Duration // downtime of a process that restarts quickly
+	cancelCount   int           // number of jobs to cancel
+	pick          uint64        // selects the kind of fault and a controller
 }
 
 // pairedFaultKinds are the kinds from which the first fault of a pair is drawn.
@@ -30,30 +30,30 @@
 	(*pairedFault).askAllNodes,
 	(*pairedFault).machinesReceiveNothing,
 	(*pairedFault).machinesSendNothing,
-	func(f *pairedFault) { f.w.users.cancelRunning(f.count, 0) },
-	func(f *pairedFault) { f.w.users.cancelRunning(f.count, f.hang) },
-	(*pairedFault).oddRequests,
+	func(f *pairedFault) { f.w.users.cancelRunning(f.cancelCount, 0) },
+	func(f *pairedFault) { f.w.users.cancelRunning(f.cancelCount, f.hangDuration) },
+	(*pairedFault).edgeCaseRequests,
 	(*pairedFault).smallJobs,
 	(*pairedFault).outageAfterCancellations,
-	(*pairedFault).handOverAndBack,
-	(*pairedFault).manyLeaders,
+	(*pairedFault).repeatedLeaderCrashes,
+	(*pairedFault).repeatedLeaderRefusals,
 	(*pairedFault).isolateLeader,
 	(*pairedFault).isolateZone,
 	(*pairedFault).overloadSlowLinks,
 	(*pairedFault).crashWithNewMachines,
-	(*pairedFault).crashAtTheLimits,
-	(*pairedFault).allAwayForALease,
+	(*pairedFault).crashAtTeamLimits,
+	(*pairedFault).allDownForALease,
 }
 
 // drawPairedFault draws a fault of pairedFaultKinds and returns the function that injects it.
 func (w *World) drawPairedFault(end time.Duration) func() {
 	f := &pairedFault{
-		faultSpan: faultSpan{w: w, end: end, duration: w.between(4*time.Second, 30*time.Second)},
-		share:     0.05 + 0.5*w.rng.Float64(),
-		hang:      w.between(2*time.Second, 20*time.Second),
-		soon:      w.between(50*time.Millisecond, 900*time.Millisecond),
-		count:     1 + w.rng.IntN(12),
-		pick:      w.rng.Uint64(),
+		faultSpan:     faultSpan{w: w, end: end, duration: w.between(4*time.Second, 30*time.Second)},
+		share:         0.05 + 0.5*w.rng.Float64(),
+		hangDuration:  w.between(2*time.Second, 20*time.Second),
+		shortDowntime: w.between(50*time.Millisecond, 900*time.Millisecond),
+		cancelCount:   1 + w.rng.IntN(12),
+		pick:          w.rng.Uint64(),
 	}
 	kind := pairedFaultKinds[f.pick%uint64(len(pairedFaultKinds))]
 	return func() { kind(f) }
@@ -104,9 +104,9 @@
 	}
 }
 
-func (f *pairedFault) oddRequests() {
+func (f *pairedFault) edgeCaseRequests() {
 	for range 20 {
-		f.w.after(f.w.between(0, f.duration), f.w.users.oddRequests)
+		f.w.after(f.w.between(0, f.duration), f.w.users.edgeCaseRequests)
 	}
 }
 
@@ -116,7 +116,7 @@
 	for at := time.Duration(0); at < f.duration; at += 250 * time.Millisecond {
 		f.w.after(at, func() {
 			if f.w.now < f.end {
-				f.w.users.submitOne()
+				f.w.users.submitSmallJob()
 			}
 		})
 	}
@@ -128,25 +128,26 @@
 func (f *pairedFault) outageAfterCancellations() {
 	w := f.w
 	w.refuse(w.leading(), w.cancelTime()+f.duration, f.end)
-	w.after(w.between(0, 500*time.Millisecond), func() { w.users.cancelRunning(f.count, 0) })
+	w.after(w.between(0, 500*time.Millisecond), func() { w.users.cancelRunning(f.cancelCount, 0) })
 	w.after(w.between(600*time.Millisecond, 2*time.Second), func() {
 		w.store.setOutage(true)
-		w.after(w.untilEnd(w.cancelTime()+f.hang, f.end), func() { w.store.setOutage(false) })
+		w.after(w.untilEnd(w.cancelTime()+f.hangDuration, f.end), func() { w.store.setOutage(false) })
 	})
 }
 
-// handOverAndBack crashes the current leader four times within four seconds, while jobs
+// repeatedLeaderCrashes crashes the current leader four times within four seconds, while jobs
 // are cancelled.
-func (f *pairedFault) handOverAndBack() {
+func (f *pairedFault) repeatedLeaderCrashes() {
 	w := f.w
 	for range 4 {
-		w.after(w.between(0, 4*time.Second), func() { w.leading().crash(f.soon) })
+		w.after(w.between(0, 4*time.Second), func() { w.leading().crash(f.shortDowntime) })
 	}
-	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.count, 0) })
+	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.cancelCount, 0) })
 }
 
-// manyLeaders makes the state service refuse the current leader, every two seconds anew.
-func (f *pairedFault) manyLeaders() {
+// repeatedLeaderRefusals makes the state service refuse the current leader, ten times with
+// two seconds in between.
+func (f *pairedFault) repeatedLeaderRefusals() {
 	w := f.w
 	for i := range 10 {
 		w.after(time.Duration(i)*2*time.Second, func() {
@@ -161,7 +162,7 @@
 // controllers, while jobs are cancelled. It still reaches workers and users.
 func (f *pairedFault) isolateLeader() {
 	w := f.w
-	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.count, 0) })
+	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.cancelCount, 0) })
 	f.isolate(w.leading())
 }
 
@@ -171,7 +172,7 @@
 	w := f.w
 	n := w.nodes[f.pick>>8%uint64(len(w.nodes))]
 	w.isolate("a", n, w.untilEnd(w.leaseTime()+f.duration, f.end))
-	w.users.cancelRunning(f.count, 0)
+	w.users.cancelRunning(f.cancelCount, 0)
 }
 
 // overloadSlowLinks submits more work than the machines can run at once, over slow links.
@@ -180,7 +181,7 @@
 	w.faults.slowLinks = f.delay(400 * time.Millisecond)
 	f.undo(func() {
 		w.faults.slowLinks = 0
-		if slices.ContainsFunc(w.users.list, (*simJob).waitsToBegin) {
+		if slices.ContainsFunc(w.users.list, (*simJob).waitsForStart) {
 			w.coverage["much more work than room over slow links"]++
 		}
 	})
@@ -189,7 +190,7 @@
 
 func (f *pairedFault) submit(jobs int) {
 	for range jobs {
-		f.w.users.submitNew()
+		f.w.users.submitRandomJob()
 	}
 }
 
@@ -200,21 +201,21 @@
 	w.faults.fastBoots, w.faults.slowState = true, f.delay(2*time.Second)
 	f.undo(func() { w.faults.fastBoots, w.faults.slowState = false, 0 })
 	f.submit(4)
-	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { w.leading().crash(f.soon) })
+	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { w.leading().crash(f.shortDowntime) })
 }
 
-// crashAtTheLimits submits work beyond the teams' limits, cancels jobs whose machines
+// crashAtTeamLimits submits work beyond the teams' limits, cancels jobs whose machines
 // hang, and crashes the leader.
-func (f *pairedFault) crashAtTheLimits() {
+func (f *pairedFault) crashAtTeamLimits() {
 	w := f.w
 	f.submit(12)
-	w.after(f.duration/4, func() { w.users.cancelRunning(f.count, f.hang) })
-	w.after(f.duration/4+w.between(0, time.Second), func() { w.leading().crash(f.soon) })
+	w.after(f.duration/4, func() { w.users.cancelRunning(f.cancelCount, f.hangDuration) })
+	w.after(f.duration/4+w.between(0, time.Second), func() { w.leading().crash(f.shortDowntime) })
 }
 
-// allAwayForALease crashes all controllers for at least the duration of a lease; they
+// allDownForALease crashes all controllers for at least the duration of a lease; they
 // return one after the other.
-func (f *pairedFault) allAwayForALease() {
+func (f *pairedFault) allDownForALease() {
 	w := f.w
 	w.after(w.leaseTime()-time.Millisecond, func() { // the first controller returns one millisecond later
 		if !slices.ContainsFunc(w.nodes, func(n *node) bool { return n.core != nil }) {
@@ -222,6 +223,6 @@
 		}
 	})
 	for i, n := range w.nodes {
-		n.crash(min(w.leaseTime()+time.Duration(i)*f.soon, max(f.end-w.now, f.soon)))
+		n.crash(min(w.leaseTime()+time.Duration(i)*f.shortDowntime, max(f.end-w.now, f.shortDowntime)))
 	}
 }
--- a/internal/sim/pipelines.go
+++ b/internal/sim/pipelines.go
@@ -7,11 +7,11 @@
 	"pumicefront/wire"
 )
 
-// pipeline submits a chain of two to four stages of jobs. The jobs of a stage need those of the
-// previous one and are submitted as soon as these are accepted; in some chains, the last
-// stage is submitted only when the stage before it has ended. The first stage may need a
-// job that was submitted before. Jobs of any stage may be cancelled, at any time.
-func (u *users) pipeline() {
+// submitChain submits a chain of two to four stages of jobs. The jobs of a stage need those
+// of the previous one and are submitted as soon as these are accepted; in some chains, the
+// last stage is submitted only when the stage before it has ended. The first stage may need
+// a job that was submitted before. Jobs of any stage may be cancelled, at any time.
+func (u *users) submitChain() {
 	w := u.w
 	var before []*simJob
 	if len(u.list) > 0 && w.chance(0.4) {
@@ -19,17 +19,17 @@
 			before = append(before, j)
 		}
 	}
-	u.stage(before, 0, 2+w.rng.IntN(3), w.chance(0.2))
+	u.submitStage(before, 0, 2+w.rng.IntN(3), w.chance(0.2))
 }
 
 // wideStage is the number of jobs of a wide stage: with it, a job of the next stage needs
 // more jobs than a transaction may have conditions.
 const wideStage = 25
 
-// stage submits stage n, of one job, two jobs or wideStage jobs that all need the jobs in
-// before. It then waits to submit the next stage; late delays the last stage until the
-// stage before it has ended.
-func (u *users) stage(before []*simJob, n, stages int, late bool) {
+// submitStage submits stage n, of one job, two jobs or wideStage jobs that all need the
+// jobs in before, and then the later stages. delayLast delays the last stage until the jobs
+// of the stage before it have ended.
+func (u *users) submitStage(before []*simJob, n, stages int, delayLast bool) {
 	w := u.w
 	if n == stages {
 		return
@@ -43,7 +43,7 @@
 	}
 	var jobs []*simJob
 	for range width {
-		j := u.draw()
+		j := u.drawJob()
 		j.spec.Kind, j.spec.Class, j.spec.Priority = wire.KindArray, "stage", "best_effort"
 		j.spec.Tasks, j.run = 1+w.rng.IntN(4), w.between(time.Second, 8*time.Second)
 		if width == wideStage {
@@ -66,18 +66,18 @@
 			w.after(w.between(0, 30*time.Second), func() { u.cancel(j) })
 		}
 	}
-	all := func(is func(*simJob) bool) bool {
-		return !slices.ContainsFunc(jobs, func(j *simJob) bool { return !is(j) })
+	all := func(holds func(*simJob) bool) bool {
+		return !slices.ContainsFunc(jobs, func(j *simJob) bool { return !holds(j) })
 	}
 	var next func()
 	next = func() {
 		switch {
 		case w.now > u.stop+30*time.Second:
 		case !all(func(j *simJob) bool { return j.accepted }),
-			late && n == stages-2 && !all(func(j *simJob) bool { return j.doneTold || j.cancelTold }):
+			delayLast && n == stages-2 && !all(func(j *simJob) bool { return j.reportedDone || j.cancelTold }):
 			w.after(200*time.Millisecond, next)
 		default:
-			u.stage(jobs, n+1, stages, late)
+			u.submitStage(jobs, n+1, stages, delayLast)
 		}
 	}
 	next()
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -34,17 +34,17 @@
 	cores, gpus := j.spec.CPUs, j.spec.GPUs
 	var others []string
 	zones := map[string]int{h.zone: 1}
-	w.running(func(oh *host, o *task) {
-		oj := o.job
-		if oj == j && o.id == t.id {
-			w.broken("ran_twice", "%s attempt %d starts on %s while attempt %d runs on %s", t.id, t.attempt, h.id, o.attempt, oh.id)
+	w.running(func(otherHost *host, other *task) {
+		otherJob := other.job
+		if otherJob == j && other.id == t.id {
+			w.broken("ran_twice", "%s attempt %d starts on %s while attempt %d runs on %s", t.id, t.attempt, h.id, other.attempt, otherHost.id)
 		}
-		if oj.spec.Team == j.spec.Team {
-			cores, gpus = cores+oj.spec.CPUs, gpus+oj.spec.GPUs
-			others = append(others, fmt.Sprintf("%s attempt %d on %s", o.id, o.attempt, oh.id))
+		if otherJob.spec.Team == j.spec.Team {
+			cores, gpus = cores+otherJob.spec.CPUs, gpus+otherJob.spec.GPUs
+			others = append(others, fmt.Sprintf("%s attempt %d on %s", other.id, other.attempt, otherHost.id))
 		}
-		if oj == j {
-			zones[oh.zone]++
+		if otherJob == j {
+			zones[otherHost.zone]++
 		}
 	})
 	beyond := func(used, limit float64) bool { return limit > 0 && used > limit+1e-6 }
@@ -68,12 +68,12 @@
 // fencing token lower than one already used. A controller that only forwards the leader's
 // answer is exempt: that answer was checked when the leader gave it.
 func (w *World) checkAuthority(n *node, o controller.Output) {
-	token := w.topToken
+	token := w.highestToken
 	switch o := o.(type) {
 	case controller.WorkerCall:
 		token = o.Commands.Token
 	case controller.Answer:
-		if _, asked := n.cause.(controller.ReportRequest); !asked {
+		if _, asked := n.currentInput.(controller.ReportRequest); !asked {
 			return
 		}
 		if body, ok := o.Body.(wire.ReportAnswer); ok {
@@ -81,108 +81,108 @@
 			w.noteRenewal(n)
 		}
 	}
-	if token < w.topToken {
-		w.broken("authority", "%s acts with token %d, but token %d has been used already", n.name, token, w.topToken)
+	if token < w.highestToken {
+		w.broken("authority", "%s acts with token %d, but token %d has been used already", n.name, token, w.highestToken)
 	}
-	if token > w.topToken {
+	if token > w.highestToken {
 		w.noteLeaderChange(n)
 		for _, fn := range w.keptReports { // there is a new leader, or the leader has raised its token
 			w.after(w.latency(), fn)
 		}
 		w.keptReports = nil
 	}
-	w.topToken = token
+	w.highestToken = token
 }
 
 // checkRuns checks that no run command is sent for a cancelled job so late that, if the
 // machine then became unreachable, its lease would end after the time for the cancellation.
 func (w *World) checkRuns(o controller.Output) {
-	var cs []wire.Command
+	var commands []wire.Command
 	switch o := o.(type) {
 	case controller.WorkerCall:
-		cs = o.Commands.Commands
+		commands = o.Commands.Commands
 	case controller.Answer:
 		if body, ok := o.Body.(wire.ReportAnswer); ok {
-			cs = body.Commands
+			commands = body.Commands
 		}
 	}
 	late := w.cancelTime() - w.leaseTime()
-	for _, c := range cs {
+	for _, c := range commands {
 		if j := w.users.jobOf(c.Task); c.Op == wire.OpRun && j != nil && j.cancelTold && w.now > j.cancelledAt+late {
 			w.broken("ran_cancelled", "run command for %s, whose job was reported cancelled at %v", c.Task, j.cancelledAt)
 		}
 	}
 }
 
-// waitsAtMost is how long a job may wait, once all faults have ended, while a suitable
-// machine has room for one of its tasks and the team's quota allows it.
-const waitsAtMost = 90 * time.Second
+// maxWaitDespiteCapacity is how long a job may wait, once all faults have ended, while a
+// suitable machine has room for one of its tasks and the team's quota allows it.
+const maxWaitDespiteCapacity = 90 * time.Second
 
 // watchWaiting checks at regular intervals, starting now, that no job waits longer than
-// waitsAtMost despite free capacity. It is called when the faults end.
-func (w *World) watchWaiting(every time.Duration) {
+// maxWaitDespiteCapacity despite free capacity. Callers start it once the faults have ended.
+func (w *World) watchWaiting(interval time.Duration) {
 	since := map[*simJob]time.Duration{}
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		for _, j := range w.users.list {
-			if !w.waitsBesideRoom(j) {
+			if !w.waitsDespiteCapacity(j) {
 				delete(since, j)
 			} else if at, ok := since[j]; !ok {
 				since[j] = w.now
-			} else if w.now-at > waitsAtMost {
+			} else if w.now-at > maxWaitDespiteCapacity {
 				w.broken("kept_waiting", "%s has waited since %v despite free capacity", j.spec.ID, at)
 			}
 		}
-		w.after(every, look)
+		w.after(interval, check)
 	}
-	look()
+	check()
 }
 
-// waitsBesideRoom reports whether a job has a task that is on no machine although a
+// waitsDespiteCapacity reports whether a job has a task that is on no machine although a
 // healthy machine has room for it and the team's quota allows it. Jobs whose placement
 // depends on their other tasks (OneZone, Spread) are left out.
-func (w *World) waitsBesideRoom(j *simJob) bool {
+func (w *World) waitsDespiteCapacity(j *simJob) bool {
 	if !j.accepted || j.mayBeCancelled() || j.waits() || j.spec.OneZone || j.spec.Spread || j.left() == 0 && j.spec.Kind == wire.KindArray {
 		return false
 	}
 	team, s := w.team(j.spec.Team), j.spec
-	cores, gpus, there := s.CPUs, s.GPUs, 0
-	room := false
+	cores, gpus, placed := s.CPUs, s.GPUs, 0
+	hasRoom := false
 	for _, h := range w.hosts {
-		size := h.size()
+		free := h.capacity()
 		for _, t := range h.tasks {
 			if h.gone || t.state == wire.TaskExited || t.job == nil {
 				continue
 			}
-			size.CPUs, size.GPUs = size.CPUs-t.job.spec.CPUs, size.GPUs-t.job.spec.GPUs
+			free.CPUs, free.GPUs = free.CPUs-t.job.spec.CPUs, free.GPUs-t.job.spec.GPUs
 			if t.job.spec.Team == s.Team {
 				cores, gpus = cores+t.job.spec.CPUs, gpus+t.job.spec.GPUs
 			}
 			if t.job == j {
-				there++
+				placed++
 			}
 		}
 		fits := (len(s.Types) == 0 || s.Types[0] == h.typ) && (s.Zone == "" || s.Zone == h.zone) && (s.Spot || !h.spot)
-		well := !h.gone && !h.off && !h.cut && !h.hung && !h.receivesNothing && !h.sendsNothing && !h.notice && !h.faulty && h.up < w.now
-		room = room || fits && well && size.CPUs >= s.CPUs && size.GPUs >= s.GPUs
+		healthy := !h.gone && !h.restarting && !h.cut && !h.hung && !h.receivesNothing && !h.sendsNothing && !h.notice && !h.faulty && h.up < w.now
+		hasRoom = hasRoom || fits && healthy && free.CPUs >= s.CPUs && free.GPUs >= s.GPUs
 	}
 	within := func(used, limit float64) bool { return limit == 0 || used <= limit }
 	left := s.Tasks
 	if s.Kind == wire.KindArray {
 		left = j.left()
 	}
-	return room && there < left && within(cores, team.CPUsMax) && within(gpus, team.GPUsMax)
+	return hasRoom && placed < left && within(cores, team.CPUsMax) && within(gpus, team.GPUsMax)
 }
 
 // waits reports whether a job that this one needs has not been reported done yet.
 func (j *simJob) waits() bool {
-	return slices.ContainsFunc(j.needs, func(p *simJob) bool { return !p.doneTold })
+	return slices.ContainsFunc(j.needs, func(p *simJob) bool { return !p.reportedDone })
 }
 
 // checkServed checks that at least half of the jobs of every class and of every team have
 // started. Jobs that may be cancelled don't count.
 func (w *World) checkServed() {
-	all, served := map[string]int{}, map[string]int{}
+	all, started := map[string]int{}, map[string]int{}
 	for _, j := range w.users.list {
 		if !j.accepted || j.mayBeCancelled() {
 			continue
@@ -190,36 +190,37 @@
 		for _, group := range []string{"class " + j.spec.Class, "team " + j.spec.Team} {
 			all[group]++
 			if j.begun {
-				served[group]++
+				started[group]++
 			}
 		}
 	}
 	for group, n := range all {
-		if 2*served[group] < n {
-			w.broken("unserved", "of %d jobs of %s only %d have started", n, group, served[group])
+		if 2*started[group] < n {
+			w.broken("unserved", "of %d jobs of %s only %d have started", n, group, started[group])
 		}
 	}
 }
 
 const (
-	// forgottenAfter is the longest time without an answer about a job once all faults
+	// maxTimeUnanswered is the longest time without an answer about a job once all faults
 	// have ended.
-	forgottenAfter = 75 * time.Second
-	// beginWithin is the time within which the largest jobs of a class must start.
-	beginWithin = 4 * time.Minute
+	maxTimeUnanswered = 75 * time.Second
+	// maxTimeToStart is the time within which the largest jobs of a class must start.
+	maxTimeToStart = 4 * time.Minute
 )
 
 // checkKnown checks that the controllers still answer queries about an accepted job,
 // whether it has finished or not.
 func (w *World) checkKnown(j *simJob) {
-	if w.faultsEnd > 0 && j.accepted && !j.mayBeCancelled() && w.now-max(j.known, w.faultsEnd) > forgottenAfter {
-		w.broken("forgotten", "no query about %s has been answered since %v", j.spec.ID, j.known)
+	if w.faultsEnd > 0 && j.accepted && !j.mayBeCancelled() && w.now-max(j.lastAnswered, w.faultsEnd) > maxTimeUnanswered {
+		w.broken("forgotten", "no query about %s has been answered since %v", j.spec.ID, j.lastAnswered)
 	}
 }
 
-// checkBegins checks that a job starts within beginWithin if it is one of the largest of
-// its class, so that small jobs can't starve it. Jobs that need others are left out.
-func (w *World) checkBegins(j *simJob) {
+// checkStartsInTime checks that a job starts within maxTimeToStart if it is one of the
+// largest of its class, so that small jobs can't starve it. Jobs that need others are left
+// out.
+func (w *World) checkStartsInTime(j *simJob) {
 	largest := 0
 	for _, o := range w.users.list {
 		if o.spec.Class == j.spec.Class {
@@ -229,7 +230,7 @@
 	if j.spec.Tasks < largest || len(j.needs) > 0 {
 		return
 	}
-	w.after(beginWithin, func() {
+	w.after(maxTimeToStart, func() {
 		if !j.begun && !j.mayBeCancelled() {
 			w.broken("starved", "%s with %d tasks has not started", j.spec.ID, j.spec.Tasks)
 		}
@@ -261,16 +262,16 @@
 	})
 }
 
-// checkState checks the state of a job in an answer to a user. before is what users knew
+// checkState checks the state of a job in an answer to a user. known is what users knew
 // when the request was sent: answers may arrive out of order, so this one may be older
 // than others that have arrived since.
-func (w *World) checkState(j *simJob, before told, s wire.JobState) {
-	w.note(history.Event{Kind: history.Answered, Job: j.spec.ID, Asked: before.at, State: s.State,
+func (w *World) checkState(j *simJob, known knownState, s wire.JobState) {
+	w.recordEvent(history.Event{Kind: history.Answered, Job: j.spec.ID, Asked: known.at, State: s.State,
 		Final: s.State == wire.StateDone || s.State == wire.StateCancelled})
 	switch {
-	case before.done && s.State != wire.StateDone, before.cancelled && s.State != wire.StateCancelled:
+	case known.done && s.State != wire.StateDone, known.cancelled && s.State != wire.StateCancelled:
 		w.broken("went_back", "%s is reported %s after a different final state", j.spec.ID, s.State)
-	case before.orphaned && (s.State == wire.StateQueued || s.State == wire.StateRunning):
+	case known.orphaned && (s.State == wire.StateQueued || s.State == wire.StateRunning):
 		w.broken("orphaned", "%s is reported %s long after a job that it needs was cancelled", j.spec.ID, s.State)
 	case s.State == wire.StateCancelled && !j.mayBeCancelled():
 		w.broken("went_back", "%s is reported cancelled without a request", j.spec.ID)
@@ -278,7 +279,7 @@
 		w.broken("not_done", "%s is reported done with %d tasks left", j.spec.ID, j.left())
 	}
 	if s.State == wire.StateDone {
-		j.doneTold = true
+		j.reportedDone = true
 	}
 	if s.State == wire.StateCancelled && !j.cancelTold {
 		if !j.askedCancel {
@@ -298,7 +299,7 @@
 		for _, d := range j.done {
 			ran = ran || d
 		}
-		if j.accepted && !j.mayBeCancelled() && j.spec.Kind == wire.KindArray && !j.doneTold {
+		if j.accepted && !j.mayBeCancelled() && j.spec.Kind == wire.KindArray && !j.reportedDone {
 			w.broken("unfinished", "%s is not reported done, %d of %d tasks left: %+v", j.spec.ID, j.left(), j.spec.Tasks, j.spec)
 		}
 	}
--- a/internal/sim/runs.go
+++ b/internal/sim/runs.go
@@ -37,11 +37,11 @@
 	w.after(faultTime, func() { w.watchWaiting(5 * time.Second) })
 	if w.shape.Chains {
 		for at := 3 * time.Second; at < faultTime-20*time.Second; at += w.between(2*time.Second, 14*time.Second) {
-			w.after(at, w.users.pipeline)
+			w.after(at, w.users.submitChain)
 		}
 		w.after(w.between(20*time.Second, faultTime), func() {
 			w.coverage["the state service lowers its limits"]++
-			w.store.lower()
+			w.store.lowerLimits()
 		})
 	}
 	for at := 20 * time.Second; at < faultTime; at += w.between(4*time.Second, 16*time.Second) {
--- a/internal/sim/runs_test.go
+++ b/internal/sim/runs_test.go
@@ -20,8 +20,8 @@
 // TestFaults simulates runs from fixed seeds. PUMICEFRONT_SEED=N replays one seed and
 // prints its log; PUMICEFRONT_RUNS=N sets the number of runs.
 func TestFaults(t *testing.T) {
-	if one := os.Getenv("PUMICEFRONT_SEED"); one != "" {
-		replay(t, one, func(uint64) Shape { return Small }, RunFaults)
+	if seedText := os.Getenv("PUMICEFRONT_SEED"); seedText != "" {
+		replay(t, seedText, func(uint64) Shape { return Small }, RunFaults)
 		return
 	}
 	runAll(t, "PUMICEFRONT_RUNS", 40, Small)
@@ -46,8 +46,8 @@
 // TestFaultPairs simulates runs in which faults overlap. PUMICEFRONT_PAIR_RUNS=N sets the
 // number of runs, PUMICEFRONT_PAIR_SEED=N replays one seed and prints its log.
 func TestFaultPairs(t *testing.T) {
-	if one := os.Getenv("PUMICEFRONT_PAIR_SEED"); one != "" {
-		replay(t, one, pairShape, runOverload)
+	if seedText := os.Getenv("PUMICEFRONT_PAIR_SEED"); seedText != "" {
+		replay(t, seedText, pairShape, runFaultPairsLongRecovery)
 		return
 	}
 	runPairs(t, runsOf("PUMICEFRONT_PAIR_RUNS", 48), pairShape, pairCoverage)
@@ -64,23 +64,23 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				w := New(seed, shapeOf(seed))
-				runOverload(w, faultPhase, recoveryOf(w))
+				runFaultPairsLongRecovery(w, faultPhase, recoveryTime(w))
 				report(t, seed, w)
 				if w.store.tooLarge > 0 {
 					t.Errorf("seed %d: state service refused %d transactions that exceed its size limits", seed, w.store.tooLarge)
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				for what := range w.coverage {
-					reached[what]++
+				for combination := range w.coverage {
+					reached[combination]++
 				}
 			})
 		}
 	})
-	for _, what := range combinations {
-		t.Logf("%4d of %d runs: %s", reached[what], runs, what)
-		if reached[what] == 0 {
-			t.Errorf("combination did not occur in any run: %s", what)
+	for _, combination := range combinations {
+		t.Logf("%4d of %d runs: %s", reached[combination], runs, combination)
+		if reached[combination] == 0 {
+			t.Errorf("combination did not occur in any run: %s", combination)
 		}
 	}
 }
@@ -117,21 +117,21 @@
 	"a direct command reaches a machine that reaches nobody",
 }
 
-// runOverload is RunFaultPairs with a recovery period that is 90 s longer: some of its
-// faults submit more work than the machines can run at once, and that has to finish.
-func runOverload(w *World, faultTime, recovery time.Duration) {
+// runFaultPairsLongRecovery is RunFaultPairs with a recovery period that is 90 s longer:
+// some of its faults submit more work than the machines can run at once, which has to finish.
+func runFaultPairsLongRecovery(w *World, faultTime, recovery time.Duration) {
 	RunFaultPairs(w, faultTime, recovery+90*time.Second)
 }
 
 // pairShape returns the GPUs shape for a quarter of the seeds, Small with five controllers
 // for another quarter, and Small for the rest.
 func pairShape(seed uint64) Shape {
-	switch five := Small; seed % 4 {
+	switch fiveControllers := Small; seed % 4 {
 	case 2:
 		return GPUs
 	case 3:
-		five.Controllers = 5
-		return five
+		fiveControllers.Controllers = 5
+		return fiveControllers
 	}
 	return Small
 }
@@ -140,8 +140,8 @@
 // a state service that lowers its limits during the run. PUMICEFRONT_CHAIN_RUNS=N sets
 // the number of runs, PUMICEFRONT_CHAIN_SEED=N replays one seed.
 func TestChainFaults(t *testing.T) {
-	if one := os.Getenv("PUMICEFRONT_CHAIN_SEED"); one != "" {
-		replay(t, one, func(uint64) Shape { return Chains }, runOverload)
+	if seedText := os.Getenv("PUMICEFRONT_CHAIN_SEED"); seedText != "" {
+		replay(t, seedText, func(uint64) Shape { return Chains }, runFaultPairsLongRecovery)
 		return
 	}
 	runPairs(t, runsOf("PUMICEFRONT_CHAIN_RUNS", 24), func(uint64) Shape { return Chains }, []string{
@@ -161,7 +161,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(seed, shape)
-			RunFaults(w, faultPhase, recoveryOf(w))
+			RunFaults(w, faultPhase, recoveryTime(w))
 			report(t, seed, w)
 		})
 	}
@@ -177,22 +177,22 @@
 }
 
 // replay simulates one seed and prints its log.
-func replay(t *testing.T, one string, shapeOf func(seed uint64) Shape, run func(w *World, faultTime, recovery time.Duration)) {
+func replay(t *testing.T, seedText string, shapeOf func(seed uint64) Shape, run func(w *World, faultTime, recovery time.Duration)) {
 	t.Helper()
-	seed, err := strconv.ParseUint(one, 10, 64)
+	seed, err := strconv.ParseUint(seedText, 10, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := New(seed, shapeOf(seed))
 	w.Log = func(f string, args ...any) { fmt.Printf(f+"\n", args...) }
-	run(w, faultPhase, recoveryOf(w))
+	run(w, faultPhase, recoveryTime(w))
 	report(t, seed, w)
 }
 
-// recoveryOf returns the recovery period of a run. The GPU shapes have long leases, and
+// recoveryTime returns the recovery period of a run. The GPU shapes have long leases, and
 // the leader waits for a lease to end before it replaces the tasks of a lost machine, so
 // these runs get two leases more.
-func recoveryOf(w *World) time.Duration {
+func recoveryTime(w *World) time.Duration {
 	if w.shape.GPUs {
 		return recoveryPhase + 2*config.Seconds(w.cfg.Facts.Workers.LeaseS)
 	}
@@ -209,14 +209,14 @@
 // TestSameSeedSameDay checks that a seed always produces the same log, without which a
 // failing seed could not be replayed.
 func TestSameSeedSameDay(t *testing.T) {
-	play := func() string {
+	simulate := func() string {
 		var log strings.Builder
 		w := New(3, Small)
 		w.Log = func(f string, args ...any) { fmt.Fprintf(&log, f+"\n", args...) }
 		RunFaults(w, 80*time.Second, 10*time.Second)
 		return log.String()
 	}
-	if a, b := play(), play(); a != b {
+	if a, b := simulate(), simulate(); a != b {
 		t.Fatal("two runs of the same seed have different logs")
 	}
 }
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -30,8 +30,8 @@
 }
 
 type lease struct {
-	life time.Duration
-	ends time.Duration
+	duration  time.Duration
+	expiresAt time.Duration
 }
 
 type watch struct {
@@ -44,39 +44,39 @@
 
 func newStore(w *World) *store {
 	s := &store{w: w, items: map[string]wire.Item{}, leases: map[uint64]*lease{}, limits: w.cfg.Facts.State.Limits, writes: rate.NewLimiter(rate.Inf, 0)}
-	s.expire()
+	s.expireLeases()
 	return s
 }
 
-// expire ends the leases that have run out, and schedules its next call. No lease ends
+// expireLeases ends the leases that have run out, and schedules its next call. No lease ends
 // during an outage, and each has its full duration again afterwards.
-func (s *store) expire() {
+func (s *store) expireLeases() {
 	if !s.outage {
 		for id, l := range s.leases {
-			if l.ends <= s.w.now {
-				s.end(id)
+			if l.expiresAt <= s.w.now {
+				s.endLease(id)
 			}
 		}
 	}
-	s.w.after(20*time.Millisecond, s.expire)
+	s.w.after(20*time.Millisecond, s.expireLeases)
 }
 
-// lower puts the announced future limits of the state service into force.
-func (s *store) lower() {
+// lowerLimits puts the announced future limits of the state service into force.
+func (s *store) lowerLimits() {
 	s.limits = s.w.cfg.Facts.State.Coming()
 	s.writes = rate.NewLimiter(rate.Limit(s.limits.WriteRPS), int(s.limits.WriteRPS))
 }
 
-func (s *store) end(id uint64) {
+func (s *store) endLease(id uint64) {
 	delete(s.leases, id)
-	var drops []wire.Change
+	var deletions []wire.Change
 	for k, it := range s.items {
 		if it.Lease == id {
-			drops = append(drops, wire.Change{Delete: k})
+			deletions = append(deletions, wire.Change{Delete: k})
 		}
 	}
-	if len(drops) > 0 {
-		s.apply(drops)
+	if len(deletions) > 0 {
+		s.apply(deletions)
 	}
 }
 
@@ -84,7 +84,7 @@
 	s.outage = on
 	if !on {
 		for _, l := range s.leases {
-			l.ends = s.w.now + l.life
+			l.expiresAt = s.w.now + l.duration
 		}
 		s.notify()
 	}
@@ -117,10 +117,10 @@
 			reply(controller.StateReply{Status: http.StatusNotFound})
 			return
 		}
-		l.ends = s.w.now + l.life
+		l.expiresAt = s.w.now + l.duration
 		reply(controller.StateReply{Status: http.StatusOK})
 	case controller.OpEnd:
-		s.end(call.Lease)
+		s.endLease(call.Lease)
 		reply(controller.StateReply{Status: http.StatusOK})
 	case controller.OpWatch:
 		s.watch(n, call, reply)
@@ -130,7 +130,7 @@
 // page returns the first items with the prefix and a key beyond after. Pages are small, so
 // that most range reads need several.
 func (s *store) page(prefix, after string) wire.Page {
-	const most = 20
+	const pageSize = 20
 	var keys []string
 	for k := range s.items {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -138,8 +138,8 @@
 		}
 	}
 	sort.Strings(keys)
-	p := wire.Page{Revision: s.revision, More: len(keys) > most}
-	for _, k := range keys[:min(len(keys), most)] {
+	p := wire.Page{Revision: s.revision, More: len(keys) > pageSize}
+	for _, k := range keys[:min(len(keys), pageSize)] {
 		p.Items = append(p.Items, s.items[k])
 	}
 	return p
@@ -214,9 +214,9 @@
 	}
 }
 
-// answer completes a watch if there are new events, or if it must because the watch has
-// timed out. It reports whether the watch is complete.
-func (s *store) answer(x *watch, must bool) bool {
+// answer completes a watch if there are new events, and also without any if force is set,
+// as when the watch times out. It reports whether the watch is complete.
+func (s *store) answer(x *watch, force bool) bool {
 	if x.done {
 		return true
 	}
@@ -224,7 +224,7 @@
 		return false // the watch stays open until the service is reachable again
 	}
 	events := s.changes(x.prefix, x.after)
-	if len(events) == 0 && !must {
+	if len(events) == 0 && !force {
 		return false
 	}
 	x.done = true
--- a/internal/sim/user_checks.go
+++ b/internal/sim/user_checks.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// told is what the users know for good about a job at some time: whether it was reported
-// done or cancelled, and whether it is orphaned. A job is orphaned once the time for the
-// cancellation of a job that it needs has passed: it may then neither be queued nor run.
-type told struct {
+// knownState is what the users know for good about a job at some time: whether it was
+// reported done or cancelled, and whether it is orphaned. A job is orphaned once the time
+// for the cancellation of a job that it needs has passed: it may then neither be queued nor
+// run.
+type knownState struct {
 	done, cancelled, orphaned bool
 	at                        time.Duration // the time of this knowledge
 }
 
 // told returns what the users know for good about a job now.
-func (w *World) told(j *simJob) told {
-	at, off := j.neededCancelled()
-	return told{j.doneTold, j.cancelTold, off && w.now > at+w.cancelTime(), w.now}
+func (w *World) told(j *simJob) knownState {
+	at, cancelled := j.neededJobCancelled()
+	return knownState{j.reportedDone, j.cancelTold, cancelled && w.now > at+w.cancelTime(), w.now}
 }
 
-// neededCancelled reports whether a job that this one needs, directly or through others,
+// neededJobCancelled reports whether a job that this one needs, directly or through others,
 // was reported cancelled to its user, and when the first of them was.
-func (j *simJob) neededCancelled() (at time.Duration, off bool) {
+func (j *simJob) neededJobCancelled() (at time.Duration, cancelled bool) {
 	for _, p := range j.needs {
-		t, o := p.neededCancelled()
-		if p.cancelTold && (!o || p.cancelledAt < t) {
-			t, o = p.cancelledAt, true
+		t, ok := p.neededJobCancelled()
+		if p.cancelTold && (!ok || p.cancelledAt < t) {
+			t, ok = p.cancelledAt, true
 		}
-		if o && (!off || t < at) {
-			at, off = t, true
+		if ok && (!cancelled || t < at) {
+			at, cancelled = t, true
 		}
 	}
-	return at, off
+	return at, cancelled
 }
 
-// mayBeCancelled reports whether a job may end as cancelled: a user has requested it for this
-// job, or for one that it needs directly or through others, and the job was not reported
-// done.
+// mayBeCancelled reports whether a job may end as cancelled: a user has requested it for
+// this job, or for one that it needs directly or through others, and no job
+// from that one to this one was reported done.
 func (j *simJob) mayBeCancelled() bool {
-	return !j.doneTold && (j.askedCancel || slices.ContainsFunc(j.needs, (*simJob).mayBeCancelled))
+	return !j.reportedDone && (j.askedCancel || slices.ContainsFunc(j.needs, (*simJob).mayBeCancelled))
 }
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -20,21 +20,21 @@
 
 // simJob is a job with its true state, and with what its user has been told of it.
 type simJob struct {
-	spec        wire.Job
-	run         time.Duration
-	done        []bool
-	accepted    bool
-	doneTold    bool
-	askedCancel bool
-	cancelTold  bool
-	cancelledAt time.Duration
-	begun       bool          // at least one task has started
-	ended       bool          // its last task has ended
-	firstEnd    time.Duration // when the first of its tasks ended
-	known       time.Duration // when a query about it was last answered
-	needs       []*simJob
-	saved       map[int]time.Duration // saved progress by task number; nil: its tasks can't save
-	broken      bool                  // its tasks fail on every machine, as with a faulty submission
+	spec          wire.Job
+	run           time.Duration
+	done          []bool
+	accepted      bool
+	reportedDone  bool
+	askedCancel   bool
+	cancelTold    bool
+	cancelledAt   time.Duration
+	begun         bool          // at least one task has started
+	lastTaskEnded bool          // its last task has ended
+	firstEnd      time.Duration // when the first of its tasks ended
+	lastAnswered  time.Duration // when a query about it was last answered
+	needs         []*simJob
+	saved         map[int]time.Duration // saved progress by task number; nil: its tasks can't save
+	broken        bool                  // its tasks fail on every machine, as with a faulty submission
 }
 
 // left returns how many tasks have not finished.
@@ -60,21 +60,21 @@
 }
 
 // arrive submits a job, and schedules the next submission until the submissions end.
-func (u *users) arrive(every time.Duration) {
+func (u *users) arrive(interval time.Duration) {
 	if u.w.now > u.stop {
 		return
 	}
-	u.submitNew()
-	u.w.after(u.w.between(0, 2*every), func() { u.arrive(every) })
+	u.submitRandomJob()
+	u.w.after(u.w.between(0, 2*interval), func() { u.arrive(interval) })
 }
 
-func (u *users) submitNew() {
-	u.enter(u.draw())
+func (u *users) submitRandomJob() {
+	u.enter(u.drawJob())
 }
 
-// submitOne submits a job with one task, and in a quarter of the cases cancels it soon.
-func (u *users) submitOne() {
-	j := u.draw()
+// submitSmallJob submits a job with one task, and in a quarter of the cases cancels it soon.
+func (u *users) submitSmallJob() {
+	j := u.drawJob()
 	j.spec.Tasks, j.done, j.run = 1, j.done[:1], u.w.between(time.Second, 4*time.Second)
 	u.enter(j)
 	if u.w.chance(0.25) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// draw creates a random job.
-func (u *users) draw() *simJob {
+// drawJob creates a random job.
+func (u *users) drawJob() *simJob {
 	w := u.w
 	j := &simJob{spec: wire.Job{
 		ID: fmt.Sprintf("req-%06d", w.rng.IntN(1000)*1000+len(u.list)), Class: "batch", Team: w.cfg.Facts.Teams[w.rng.IntN(len(w.cfg.Facts.Teams))].Name,
@@ -96,7 +96,7 @@
 		j.spec.Tasks = 1 + w.rng.IntN(3)
 	}
 	if w.shape.GPUs {
-		w.needGPUs(j)
+		w.requestGPUs(j)
 	}
 	if w.shape.Zones > 0 && j.spec.Kind == wire.KindArray && w.chance(0.5) {
 		j.spec.Class = "bulk"
@@ -143,9 +143,9 @@
 	}
 }
 
-// needGPUs makes a job request a GPU per task if its team may use any, and so many cores
+// requestGPUs makes a job request a GPU per task if its team may use any, and so many cores
 // that two tasks don't always fit on a small machine. An array job gets a deadline.
-func (w *World) needGPUs(j *simJob) {
+func (w *World) requestGPUs(j *simJob) {
 	j.spec.CPUs, j.spec.MemoryGB = 3.5+3*w.rng.Float64(), 27
 	if team := w.team(j.spec.Team); team.GPUsMax > 0 {
 		j.spec.GPUs = 1
@@ -187,17 +187,17 @@
 // submit submits a job, with retries until it is accepted, and then polls it. It submits an
 // accepted job again later, which must have no effect.
 func (u *users) submit(j *simJob) {
-	before := u.w.told(j)
+	known := u.w.told(j)
 	u.request(controller.UserRequest{Op: controller.UserSubmit, Body: body(j.spec)}, func(a controller.Answer) {
 		switch a.Status {
 		case http.StatusOK, http.StatusCreated:
 			first := !j.accepted
 			j.accepted = true
-			j.known = u.w.now
+			j.lastAnswered = u.w.now
 			if first {
-				u.w.checkBegins(j)
+				u.w.checkStartsInTime(j)
 			}
-			u.w.checkState(j, before, a.Body.(wire.JobState))
+			u.w.checkState(j, known, a.Body.(wire.JobState))
 			if first {
 				if len(j.needs) >= wideStage {
 					u.w.coverage["a job accepted with a long list of needed jobs"]++
@@ -205,7 +205,7 @@
 				for _, p := range j.needs {
 					if p.cancelTold {
 						u.w.coverage["a job accepted that needs a cancelled one"]++
-					} else if p.doneTold {
+					} else if p.reportedDone {
 						u.w.coverage["a job accepted that needs a finished one"]++
 					}
 				}
@@ -221,34 +221,35 @@
 	})
 }
 
-// poll queries a job's state at intervals; seldom once it has ended, until the faults end.
+// poll queries a job's state at intervals, and less often from its end until the end of
+// the faults.
 func (u *users) poll(j *simJob) {
-	before := u.w.told(j)
+	known := u.w.told(j)
 	u.request(controller.UserRequest{Op: controller.UserPoll, Job: j.spec.ID}, func(a controller.Answer) {
 		switch a.Status {
 		case http.StatusOK:
-			j.known = u.w.now
-			u.w.checkState(j, before, a.Body.(wire.JobState))
+			j.lastAnswered = u.w.now
+			u.w.checkState(j, known, a.Body.(wire.JobState))
 		case http.StatusNotFound:
 			u.w.broken("forgotten", "poll of accepted job %s is answered with status 404", j.spec.ID)
 		}
 		u.w.checkKnown(j)
 		wait := u.w.between(2*time.Second, 6*time.Second)
-		if u.w.faultsEnd == 0 && (j.doneTold || j.cancelTold) {
+		if u.w.faultsEnd == 0 && (j.reportedDone || j.cancelTold) {
 			wait *= 6
 		}
 		u.w.after(wait, func() { u.poll(j) })
 	})
 }
 
-// cancel cancels a job, with retries until that is answered.
+// cancel cancels a job, with retries until the request succeeds.
 func (u *users) cancel(j *simJob) {
 	j.askedCancel = true
-	accepted, before := j.accepted, u.w.told(j)
+	accepted, known := j.accepted, u.w.told(j)
 	u.request(controller.UserRequest{Op: controller.UserAbort, Job: j.spec.ID}, func(a controller.Answer) {
 		if a.Status == http.StatusOK {
-			u.w.checkState(j, before, a.Body.(wire.JobState))
-			if j.doneTold && slices.ContainsFunc(u.list, func(later *simJob) bool { return slices.Contains(later.needs, j) }) {
+			u.w.checkState(j, known, a.Body.(wire.JobState))
+			if j.reportedDone && slices.ContainsFunc(u.list, func(later *simJob) bool { return slices.Contains(later.needs, j) }) {
 				u.w.coverage["a cancellation answered with done, and jobs that need the job go on"]++
 			}
 			u.askAllNodes(j)
@@ -272,8 +273,8 @@
 	u.w.after(u.w.between(3*time.Second, 9*time.Second), u.askUnknownJobs)
 }
 
-// ended is called as the last task of a job ends: some users cancel the job at that moment.
-func (u *users) ended(j *simJob) {
+// jobEnded is called as the last task of a job ends: some users cancel the job at that moment.
+func (u *users) jobEnded(j *simJob) {
 	if u.w.chance(u.w.faults.cancelAtEnd) {
 		u.w.coverage["cancelled at the end of its last task"]++
 		u.cancel(j)
@@ -300,14 +301,14 @@
 }
 
 func (u *users) askNode(n *node, j *simJob, r controller.UserRequest) {
-	before, accepted := u.w.told(j), j.accepted
-	if before.done || before.cancelled {
+	known, accepted := u.w.told(j), j.accepted
+	if known.done || known.cancelled {
 		u.w.coverage["asked at all nodes after a final answer"]++
 	}
 	u.requestOf(n, r, func(a controller.Answer) {
 		switch {
 		case a.Status == http.StatusOK:
-			u.w.checkState(j, before, a.Body.(wire.JobState))
+			u.w.checkState(j, known, a.Body.(wire.JobState))
 		case a.Status == http.StatusCreated && accepted:
 			u.w.broken("went_back", "%s is accepted a second time", j.spec.ID)
 		case accepted && (a.Status == http.StatusNotFound || a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity):
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -23,7 +23,7 @@
 // run breaks a safety rule. Tests use it to show that the checks detect the violation.
 type Tamper struct {
 	Answer     func(w *World, r *controller.ReportRequest, a *controller.Answer)
-	Report     func(h *host, late bool, r *wire.Report)
+	Report     func(h *host, late bool, r *wire.Report) // late: r is a delayed copy
 	User       func(r *controller.UserRequest, a *controller.Answer)
 	Output     func(n *node, o controller.Output) controller.Output
 	Boot       func(now time.Time) time.Time // the start time passed to a starting controller process
@@ -36,8 +36,8 @@
 
 // World is one simulated run.
 type World struct {
-	Rules  []string // violations found so far: rule, time and details
-	Log    func(string, ...any)
+	Rules  []string             // violations found so far: rule, time and details
+	Log    func(string, ...any) // called with the format and arguments of each line of the run's log
 	Tamper Tamper
 
 	shape         Shape
@@ -56,7 +56,7 @@
 	history       []history.Event
 	live          *live          // real controllers in real time; nil: cores in virtual time
 	deterministic bool           // disables sporadic loss, duplication and delay of messages
-	topToken      uint64         // highest fencing token sent so far
+	highestToken  uint64         // highest fencing token sent so far
 	keptReports   []func()       // each delivers a copy of a report once a higher token is used
 	coverage      map[string]int // how often each combination of faults has come about
 	lastLeader    *node          // controller that last used a new highest token
@@ -103,8 +103,8 @@
 	token uint64 // highest fencing token that any machine had seen before the partition
 }
 
-// parts reports whether the partition lies between a controller and a machine.
-func (i isolatedZone) parts(n *node, h *host) bool {
+// separates reports whether the partition lies between a controller and a machine.
+func (i isolatedZone) separates(n *node, h *host) bool {
 	return i.node != nil && (i.node == n) != (i.zone == h.zone)
 }
 
@@ -167,12 +167,12 @@
 
 func (w *World) chance(p float64) bool { return w.rng.Float64() < p }
 
-// byChance draws whether a sporadic fault happens; it never does in a deterministic run.
-func (w *World) byChance(p float64) bool { return w.chance(p) && !w.deterministic }
+// sporadicFault draws whether a sporadic fault happens; it never does in a deterministic run.
+func (w *World) sporadicFault(p float64) bool { return w.chance(p) && !w.deterministic }
 
 // latency draws the latency of one message.
 func (w *World) latency() time.Duration {
-	if w.byChance(0.01) {
+	if w.sporadicFault(0.01) {
 		return w.between(50*time.Millisecond, 400*time.Millisecond)
 	}
 	return w.between(200*time.Microsecond, 3*time.Millisecond+w.faults.slowLinks)
