--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -205,8 +205,8 @@
 	})
 }
 
-// TestCheckerDetectsFleetFaults does the same for faults of many machines at once, for
-// paused controllers and for releases of machines that fail.
+// TestCheckerDetectsFleetFaults does the same for partitions of many machines, for paused
+// controllers and for machine releases that the cloud did not carry out.
 func TestCheckerDetectsFleetFaults(t *testing.T) {
 	t.Run("the clock of a paused controller stops", func(t *testing.T) {
 		t.Parallel()
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -67,6 +67,7 @@
 	s.writes = rate.NewLimiter(rate.Limit(s.limits.WriteRPS), int(s.limits.WriteRPS))
 }
 
+// endLease ends a lease and deletes the items attached to it.
 func (s *store) endLease(id uint64) {
 	delete(s.leases, id)
 	var deletions []wire.Change
@@ -80,6 +81,7 @@
 	}
 }
 
+// setOutage starts or ends an outage. At its end, each lease has its full duration again.
 func (s *store) setOutage(on bool) {
 	s.outage = on
 	if !on {
@@ -128,7 +130,7 @@
 }
 
 // page returns the first items with the prefix and a key beyond after. Pages are small, so
-// that most range reads need several.
+// that a range read needs several.
 func (s *store) page(prefix, after string) wire.Page {
 	const pageSize = 20
 	var keys []string
@@ -145,6 +147,8 @@
 	return p
 }
 
+// txn executes a transaction: if all compared versions match, its changes are applied.
+// It is refused if it exceeds a limit of the service or names an unknown lease.
 func (s *store) txn(t wire.Txn) controller.StateReply {
 	if !s.writes.AllowN(s.w.start.Add(s.w.now), len(t.Then)) {
 		return controller.StateReply{Status: http.StatusTooManyRequests}
@@ -191,6 +195,7 @@
 	s.notify()
 }
 
+// changes returns the events with the prefix after a revision.
 func (s *store) changes(prefix string, after uint64) []wire.Event {
 	from := sort.Search(len(s.history), func(i int) bool { return s.history[i].Version > after })
 	var out []wire.Event
@@ -202,6 +207,8 @@
 	return out
 }
 
+// watch answers with the events after a revision. If there are none, it waits for some until
+// the wait time of the call has passed.
 func (s *store) watch(n *node, call controller.StateCall, reply func(controller.StateReply)) {
 	x := &watch{prefix: call.Key, after: call.Revision, n: n, reply: reply}
 	if call.Wait == 0 || !s.answer(x, false) {
@@ -232,6 +239,7 @@
 	return true
 }
 
+// notify completes the open watches for which there are events.
 func (s *store) notify() {
 	open := s.watches[:0]
 	for _, x := range s.watches {
