--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -9,19 +9,19 @@
 	"pumicefront/wire"
 )
 
-// cloud stands in for the cloud's API.
+// cloud simulates the cloud's API, through which machines are rented and released.
 type cloud struct {
-	w      *World
-	next   int
-	hires  map[string][]string
-	outage bool
-	most   int // of each type
+	w       *World
+	nextID  int
+	rentals map[string][]string // machines by rental request: a repeated request gets the same ones
+	outage  bool
+	most    int // maximum number of machines of each type
 
 	refusing map[string]bool // zones in which nothing can be rented
 }
 
 func newCloud(w *World) *cloud {
-	return &cloud{w: w, hires: map[string][]string{}, refusing: map[string]bool{}, most: (w.shape.Machines + 1) / 2}
+	return &cloud{w: w, rentals: map[string][]string{}, refusing: map[string]bool{}, most: (w.shape.Machines + 1) / 2}
 }
 
 func (c *cloud) call(n *node, call controller.CloudCall) {
@@ -34,7 +34,7 @@
 	lost := w.chance(0.02)
 	delay := w.between(20*time.Millisecond, 150*time.Millisecond)
 	if lost && w.chance(0.5) {
-		delay = w.between(5*time.Second, 20*time.Second) // takes effect late
+		delay = w.between(5*time.Second, 20*time.Second) // takes effect after the call has timed out
 	}
 	w.after(delay, func() {
 		r, tampered := controller.CloudReply{}, false
@@ -77,31 +77,31 @@
 }
 
 func (c *cloud) rent(r wire.Rent) ([]string, bool) {
-	if names, ok := c.hires[r.Request]; ok {
+	if names, ok := c.rentals[r.Request]; ok {
 		return names, true
 	}
-	up, most := 0, c.most
+	rented, limit := 0, c.most
 	for _, h := range c.w.hosts {
 		if !h.gone && h.typ == r.Type && (c.w.shape.Zones == 0 || h.zone == r.Zone) {
-			up++
+			rented++
 		}
 	}
 	if c.w.shape.Zones > 0 {
-		most = c.inZone(r.Zone)
+		limit = c.inZone(r.Zone)
 	}
 	names := []string{}
-	for i := 0; i < r.Count && up+i < most; i++ {
-		names = append(names, c.w.newHost(fmt.Sprintf("i-%06d", c.next), r.Type, r.Zone, r.Spot).id)
-		c.next++
+	for i := 0; i < r.Count && rented+i < limit; i++ {
+		names = append(names, c.w.newHost(fmt.Sprintf("i-%06d", c.nextID), r.Type, r.Zone, r.Spot).id)
+		c.nextID++
 	}
 	if len(names) == 0 {
 		return nil, false
 	}
-	c.hires[r.Request] = names
+	c.rentals[r.Request] = names
 	return names, true
 }
 
-// inZone is how many machines of each type a zone has.
+// inZone returns the maximum number of machines of each type in a zone.
 func (c *cloud) inZone(zone string) int {
 	if c.refusing[zone] {
 		return 0
@@ -109,8 +109,8 @@
 	return (c.most + c.w.shape.Zones - 1) / c.w.shape.Zones
 }
 
-// list is late by the lag: it omits young machines and shows those that have
-// gone lately.
+// list shows the machines as they were some time ago, between half and one and a half times
+// the list lag: it omits newer machines and still contains those that ended since.
 func (c *cloud) list(after string) wire.MachinePage {
 	lag := time.Duration(c.w.cfg.Facts.Cloud.ListLagS * float64(time.Second) * (0.5 + c.w.rng.Float64()))
 	var p wire.MachinePage
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -11,30 +11,31 @@
 	"pumicefront/mesh"
 )
 
-// node is a controller and the shell around its core.
+// node is a simulated controller process: the core, and the parts around it that carry
+// its calls and messages.
 type node struct {
 	w              *World
-	i              int
+	i              int // index in World.nodes
 	name           string
-	drift          float64
+	drift          float64 // of its clock, as a fraction of the time
 	core           *controller.Core
-	life           int // raised with every start: replies to an earlier process are dropped
+	life           int // number of process starts; replies addressed to an earlier process are dropped
 	wakeAt         time.Duration
 	requests       map[uint64]func(controller.Answer)
-	nextReq        uint64
-	refused        bool // by the state service
-	meshCut        bool
-	workersCut     bool          // cut off from the workers
-	isolated       bool          // neither the state service nor the other controllers are reached
-	pauseAfterStep time.Duration // stands still after the next step, for so long
-	paused         bool          // stands still while its clocks run on
-	deferred       []func()      // what it does when it goes on
-	cause          controller.Input
-	sent           []func()  // commands carried out lately, which may be repeated after a crash
-	live           *liveNode // a real controller; nil: a core in virtual time
+	nextRequest    uint64
+	refused        bool             // the state service refuses its calls
+	meshCut        bool             // partitioned from the other controllers
+	workersCut     bool             // partitioned from the workers
+	isolated       bool             // partitioned from the state service and from the other controllers
+	pauseAfterStep time.Duration    // how long the process pauses after its next step; 0: no pause is due
+	paused         bool             // the process does not run, while its clock does
+	deferred       []func()         // inputs and outputs to process on resume
+	currentInput   controller.Input // input of the current step
+	recentCommands []func()         // recent direct commands, any of which may be delivered again after a crash
+	live           *liveNode        // a real controller; nil: a core in virtual time
 }
 
-// down reports whether the process does not run.
+// down reports whether the process has stopped. A paused process is not down.
 func (n *node) down() bool { return n.core == nil && n.live == nil }
 
 func (n *node) clock() time.Time {
@@ -45,6 +46,7 @@
 	return now
 }
 
+// boot starts a new process.
 func (n *node) boot() {
 	cfg := n.w.cfg
 	cfg.Member = n.name
@@ -67,46 +69,50 @@
 	n.step(controller.Tick{})
 }
 
-// crash ends the process; copies of its commands may still arrive.
-func (n *node) crash(down time.Duration) {
+// crash ends the process and starts a new one after the given downtime. Copies of its
+// recent commands may still arrive.
+func (n *node) crash(downtime time.Duration) {
 	if n.core == nil {
 		return
 	}
 	n.w.Log("%v crash %s", n.w.now, n.name)
 	if n.leads() {
-		n.w.noteLeaderEnd(down)
+		n.w.noteLeaderEnd(downtime)
 	}
 	n.core = nil
 	n.pauseAfterStep, n.paused, n.deferred = 0, false, nil
-	for _, again := range n.sent {
+	for _, again := range n.recentCommands {
 		if n.w.chance(0.5) {
 			n.w.after(n.w.between(0, 30*time.Second), again)
 		}
 	}
-	n.sent = nil
-	n.w.after(down, n.boot)
+	n.recentCommands = nil
+	n.w.after(downtime, n.boot)
 }
 
-// pause makes the process stand still while its clocks run on, in the middle of its
-// next step: what that has decided goes out when it goes on, and so does all that
-// has arrived meanwhile.
-func (n *node) pause(still time.Duration) { n.pauseAfterStep = still }
+// pause stops the process in the middle of its next step, while its clock runs on, as a
+// long garbage collection or a frozen virtual machine does. On resume, the outputs of that
+// step are sent, and then the inputs that arrived during the pause are processed.
+func (n *node) pause(duration time.Duration) { n.pauseAfterStep = duration }
 
-func (n *node) goOn(life int) {
+// resume ends a pause, unless the paused process has crashed meanwhile.
+func (n *node) resume(life int) {
 	if n.life != life || !n.paused {
 		return
 	}
 	n.w.Log("%v %s goes on", n.w.now, n.name)
 	n.paused = false
-	held := n.deferred
+	deferred := n.deferred
 	n.deferred = nil
-	for _, fn := range held {
+	for _, fn := range deferred {
 		if n.life == life {
 			fn()
 		}
 	}
 }
 
+// step passes an input to the core, carries out its outputs, and schedules the next tick
+// for the time at which the core asks to be woken.
 func (n *node) step(in controller.Input) {
 	if n.core == nil {
 		return
@@ -115,7 +121,7 @@
 		n.deferred = append(n.deferred, func() { n.step(in) })
 		return
 	}
-	n.cause = in
+	n.currentInput = in
 	began := time.Now()
 	outputs := n.core.Step(n.clock(), in)
 	n.w.processor += time.Since(began)
@@ -137,7 +143,7 @@
 	if n.pauseAfterStep > 0 {
 		n.w.Log("%v %s stands still for %v", n.w.now, n.name, n.pauseAfterStep)
 		life := n.life
-		n.w.after(n.pauseAfterStep, func() { n.goOn(life) })
+		n.w.after(n.pauseAfterStep, func() { n.resume(life) })
 		n.pauseAfterStep, n.paused = 0, true
 	}
 	wake := n.w.now + n.core.Wake().Sub(n.clock()) + time.Millisecond
@@ -152,8 +158,9 @@
 	}
 }
 
-// deliver hands a reply to the process that asked, if it still runs. One that has
-// come while the process stands still may be found after its time has run out.
+// deliver passes a reply to the process that made the call, unless that process has
+// ended. For a reply that arrives during a pause, the process may find on resume that
+// the call has already timed out: half of these replies are replaced by empty ones.
 func (n *node) deliver(life int, in controller.Input) {
 	if n.life != life {
 		return
@@ -208,28 +215,29 @@
 	if n.meshCut || to.meshCut || n.isolated || to.isolated {
 		return
 	}
-	copyOf := &mesh.Envelope{From: o.Envelope.From, Body: o.Envelope.Body}
-	deliver := func() { to.step(controller.MeshMessage{Envelope: copyOf}) }
+	envelope := &mesh.Envelope{From: o.Envelope.From, Body: o.Envelope.Body}
+	deliver := func() { to.step(controller.MeshMessage{Envelope: envelope}) }
 	n.w.after(n.w.latency(), deliver)
-	if n.w.byChance(0.01) { // a copy, much later
+	if n.w.sporadicFault(0.01) { // a duplicate, up to 15 s late
 		n.w.after(n.w.between(100*time.Millisecond, 15*time.Second), deliver)
 	}
 }
 
-// ask sends a request to the node; fn gets the answer unless the node dies.
+// ask sends a request to the controller. fn is called with the answer, unless the
+// controller crashes first.
 func (n *node) ask(in func(req uint64) controller.Input, fn func(controller.Answer)) {
 	if n.live != nil {
 		n.live.ask(in(0), fn)
 		return
 	}
-	n.nextReq++
-	req := n.nextReq
+	n.nextRequest++
+	req := n.nextRequest
 	n.requests[req] = fn
 	n.step(in(req))
 }
 
-// callState carries a call to the store and the reply back. A reply may be lost
-// and a transaction may be applied late.
+// callState transmits a call to the state service and the reply back. The reply may be
+// lost, and a transaction may be applied late.
 func (n *node) callState(call controller.StateCall) {
 	w, life := n.w, n.life
 	reply := once(func(r controller.StateReply) {
@@ -247,12 +255,12 @@
 		}
 	}
 	if n.isolated {
-		return // until the call is given up
+		return // the call times out
 	}
-	late, lost := w.latency()+w.between(0, w.faults.slowState), w.byChance(0.004)
+	late, lost := w.latency()+w.between(0, w.faults.slowState), w.sporadicFault(0.004)
 	sent := w.now
 	if call.Op == controller.OpTxn {
-		if w.byChance(0.004) || w.chance(w.faults.lateWrites) {
+		if w.sporadicFault(0.004) || w.chance(w.faults.lateWrites) {
 			late, lost = w.between(time.Second, 20*time.Second), true
 		}
 		lost = lost || w.chance(w.faults.lostAnswers)
@@ -269,7 +277,8 @@
 	})
 }
 
-// callWorker sends direct commands; a cut machine gets them when the cut ends.
+// callWorker sends direct commands to a machine. A partitioned machine receives them
+// when the partition heals.
 func (n *node) callWorker(call controller.WorkerCall) {
 	w, life := n.w, n.life
 	h := w.host(call.Machine)
@@ -292,20 +301,20 @@
 			})
 		}
 	}
-	n.sent = append(n.sent, run(false))
-	if len(n.sent) > 40 {
-		n.sent = n.sent[1:]
+	n.recentCommands = append(n.recentCommands, run(false))
+	if len(n.recentCommands) > 40 {
+		n.recentCommands = n.recentCommands[1:]
 	}
-	if n.workersCut || w.faults.isolated.parts(n, h) {
+	if n.workersCut || w.faults.isolated.separates(n, h) {
 		return
 	}
 	delay := w.latency()
-	if w.byChance(0.01) || w.chance(w.faults.delayedCommands) { // held on its way, long after the sender gave up
-		held := w.between(2*time.Second, 40*time.Second)
+	if w.sporadicFault(0.01) || w.chance(w.faults.delayedCommands) { // delivered late, possibly long after the sender has timed out
+		lateBy := w.between(2*time.Second, 40*time.Second)
 		if w.faults.commandDelay > 0 {
-			held = w.faults.commandDelay
+			lateBy = w.faults.commandDelay
 		}
-		w.after(held, run(false))
+		w.after(lateBy, run(false))
 		return
 	}
 	w.after(delay, run(!w.chance(w.faults.lostCommandAnswers)))
--- a/internal/sim/paired_faults.go
+++ b/internal/sim/paired_faults.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// pairedFault is one of the faults that others are drawn to coincide with: most of them
-// change what the world does for a while.
+// pairedFault is a random fault that a second one is drawn to overlap with. Most of them
+// change the behaviour of the environment for a while.
 type pairedFault struct {
 	faultSpan
-	share float64
-	hang  time.Duration // that machines of cancelled jobs hang
-	soon  time.Duration // that a process is away which is back at once
-	count int           // jobs that are cancelled
-	pick  uint64        // of the kind, and of a node
+	share         float64
+	hangDuration  time.Duration // how long machines of cancelled jobs hang
+	shortDowntime time.Duration // downtime of a process that restarts quickly
+	cancelCount   int           // number of jobs to cancel
+	pick          uint64        // selects the kind of fault and a controller
 }
 
-// pairedFaultKinds are the faults that a run of pairs draws from.
+// pairedFaultKinds are the kinds from which the first fault of a pair is drawn.
 var pairedFaultKinds = []func(*pairedFault){
 	func(f *pairedFault) { f.raise(&f.w.faults.lateWrites) },
 	func(f *pairedFault) { f.raise(&f.w.faults.lostAnswers) },
@@ -30,42 +30,42 @@
 	(*pairedFault).askAllNodes,
 	(*pairedFault).machinesReceiveNothing,
 	(*pairedFault).machinesSendNothing,
-	func(f *pairedFault) { f.w.users.cancelRunning(f.count, 0) },
-	func(f *pairedFault) { f.w.users.cancelRunning(f.count, f.hang) },
-	(*pairedFault).oddRequests,
+	func(f *pairedFault) { f.w.users.cancelRunning(f.cancelCount, 0) },
+	func(f *pairedFault) { f.w.users.cancelRunning(f.cancelCount, f.hangDuration) },
+	(*pairedFault).edgeCaseRequests,
 	(*pairedFault).smallJobs,
 	(*pairedFault).outageAfterCancellations,
-	(*pairedFault).handOverAndBack,
-	(*pairedFault).manyLeaders,
+	(*pairedFault).repeatedLeaderCrashes,
+	(*pairedFault).repeatedLeaderRefusals,
 	(*pairedFault).isolateLeader,
 	(*pairedFault).isolateZone,
 	(*pairedFault).overloadSlowLinks,
 	(*pairedFault).crashWithNewMachines,
-	(*pairedFault).crashAtTheLimits,
-	(*pairedFault).allAwayForALease,
+	(*pairedFault).crashAtTeamLimits,
+	(*pairedFault).allDownForALease,
 }
 
-// drawPairedFault draws one of them, to be caused later.
+// drawPairedFault draws a fault of pairedFaultKinds and returns the function that injects it.
 func (w *World) drawPairedFault(end time.Duration) func() {
 	f := &pairedFault{
-		faultSpan: faultSpan{w: w, end: end, duration: w.between(4*time.Second, 30*time.Second)},
-		share:     0.05 + 0.5*w.rng.Float64(),
-		hang:      w.between(2*time.Second, 20*time.Second),
-		soon:      w.between(50*time.Millisecond, 900*time.Millisecond),
-		count:     1 + w.rng.IntN(12),
-		pick:      w.rng.Uint64(),
+		faultSpan:     faultSpan{w: w, end: end, duration: w.between(4*time.Second, 30*time.Second)},
+		share:         0.05 + 0.5*w.rng.Float64(),
+		hangDuration:  w.between(2*time.Second, 20*time.Second),
+		shortDowntime: w.between(50*time.Millisecond, 900*time.Millisecond),
+		cancelCount:   1 + w.rng.IntN(12),
+		pick:          w.rng.Uint64(),
 	}
 	kind := pairedFaultKinds[f.pick%uint64(len(pairedFaultKinds))]
 	return func() { kind(f) }
 }
 
-// raise sets a share of the world's faults for a while.
+// raise sets the probability of a fault of the environment for a while.
 func (f *pairedFault) raise(share *float64) {
 	*share = f.share
 	f.undo(func() { *share = 0 })
 }
 
-// delay is a share of a longest delay.
+// delay returns a share of the given maximum.
 func (f *pairedFault) delay(most time.Duration) time.Duration {
 	return time.Duration(f.share * float64(most))
 }
@@ -93,7 +93,8 @@
 	f.someMachines(func(h *host, on bool) { h.sendsNothing = on })
 }
 
-// someMachines switches a fault on for a share of the machines that are up, and off.
+// someMachines sets a fault on a random share of the machines that are up, and clears it
+// at the end of its duration.
 func (f *pairedFault) someMachines(set func(h *host, on bool)) {
 	for _, h := range f.w.hosts {
 		if !h.gone && h.up <= f.w.now && f.w.chance(f.share) {
@@ -103,44 +104,50 @@
 	}
 }
 
-func (f *pairedFault) oddRequests() {
+func (f *pairedFault) edgeCaseRequests() {
 	for range 20 {
-		f.w.after(f.w.between(0, f.duration), f.w.users.oddRequests)
+		f.w.after(f.w.between(0, f.duration), f.w.users.edgeCaseRequests)
 	}
 }
 
-// smallJobs has jobs of one task come four a second, a quarter of them cancelled.
+// smallJobs submits four jobs with one task each per second, a quarter of which are
+// cancelled.
 func (f *pairedFault) smallJobs() {
 	for at := time.Duration(0); at < f.duration; at += 250 * time.Millisecond {
 		f.w.after(at, func() {
 			if f.w.now < f.end {
-				f.w.users.submitOne()
+				f.w.users.submitSmallJob()
 			}
 		})
 	}
 }
 
-// outageAfterCancellations refuses the leader; others confirm cancellations; then the
-// state service is out for all, for longer than cancellations have.
+// outageAfterCancellations makes the state service refuse the leader, while the others
+// confirm cancellations. The state service then has an outage for all controllers, longer
+// than the time within which cancellations must take effect.
 func (f *pairedFault) outageAfterCancellations() {
 	w := f.w
 	w.refuse(w.leading(), w.cancelTime()+f.duration, f.end)
-	w.after(w.between(0, 500*time.Millisecond), func() { w.users.cancelRunning(f.count, 0) })
+	w.after(w.between(0, 500*time.Millisecond), func() { w.users.cancelRunning(f.cancelCount, 0) })
 	w.after(w.between(600*time.Millisecond, 2*time.Second), func() {
 		w.store.setOutage(true)
-		w.after(w.untilEnd(w.cancelTime()+f.hang, f.end), func() { w.store.setOutage(false) })
+		w.after(w.untilEnd(w.cancelTime()+f.hangDuration, f.end), func() { w.store.setOutage(false) })
 	})
 }
 
-func (f *pairedFault) handOverAndBack() {
+// repeatedLeaderCrashes crashes the current leader four times within four seconds, while jobs
+// are cancelled.
+func (f *pairedFault) repeatedLeaderCrashes() {
 	w := f.w
 	for range 4 {
-		w.after(w.between(0, 4*time.Second), func() { w.leading().crash(f.soon) })
+		w.after(w.between(0, 4*time.Second), func() { w.leading().crash(f.shortDowntime) })
 	}
-	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.count, 0) })
+	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.cancelCount, 0) })
 }
 
-func (f *pairedFault) manyLeaders() {
+// repeatedLeaderRefusals makes the state service refuse the current leader, ten times with
+// two seconds in between.
+func (f *pairedFault) repeatedLeaderRefusals() {
 	w := f.w
 	for i := range 10 {
 		w.after(time.Duration(i)*2*time.Second, func() {
@@ -151,28 +158,30 @@
 	}
 }
 
-// isolateLeader leaves the leader its workers and users alone.
+// isolateLeader partitions the leader from the state service and from the other
+// controllers, while jobs are cancelled. It still reaches workers and users.
 func (f *pairedFault) isolateLeader() {
 	w := f.w
-	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.count, 0) })
+	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.cancelCount, 0) })
 	f.isolate(w.leading())
 }
 
-// isolateZone cuts off a zone with a controller in it, for longer than a lease.
+// isolateZone partitions a zone with one controller in it from the rest, for longer than a
+// lease if the faults last that long.
 func (f *pairedFault) isolateZone() {
 	w := f.w
 	n := w.nodes[f.pick>>8%uint64(len(w.nodes))]
 	w.isolate("a", n, w.untilEnd(w.leaseTime()+f.duration, f.end))
-	w.users.cancelRunning(f.count, 0)
+	w.users.cancelRunning(f.cancelCount, 0)
 }
 
-// overloadSlowLinks brings much more work than room, over slow links.
+// overloadSlowLinks submits more work than the machines can run at once, over slow links.
 func (f *pairedFault) overloadSlowLinks() {
 	w := f.w
 	w.faults.slowLinks = f.delay(400 * time.Millisecond)
 	f.undo(func() {
 		w.faults.slowLinks = 0
-		if slices.ContainsFunc(w.users.list, (*simJob).waitsToBegin) {
+		if slices.ContainsFunc(w.users.list, (*simJob).waitsForStart) {
 			w.coverage["much more work than room over slow links"]++
 		}
 	})
@@ -181,38 +190,39 @@
 
 func (f *pairedFault) submit(jobs int) {
 	for range jobs {
-		f.w.users.submitNew()
+		f.w.users.submitRandomJob()
 	}
 }
 
-// crashWithNewMachines gives machines work as soon as they are up, while writes lag, and
-// then the leader ends.
+// crashWithNewMachines crashes the leader while machines that have just booted start their
+// first tasks and the state service is slow.
 func (f *pairedFault) crashWithNewMachines() {
 	w := f.w
 	w.faults.fastBoots, w.faults.slowState = true, f.delay(2*time.Second)
 	f.undo(func() { w.faults.fastBoots, w.faults.slowState = false, 0 })
 	f.submit(4)
-	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { w.leading().crash(f.soon) })
+	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { w.leading().crash(f.shortDowntime) })
 }
 
-// crashAtTheLimits brings work beyond every team's limit, cancels jobs whose machines
-// hang, and ends the leader.
-func (f *pairedFault) crashAtTheLimits() {
+// crashAtTeamLimits submits work beyond the teams' limits, cancels jobs whose machines
+// hang, and crashes the leader.
+func (f *pairedFault) crashAtTeamLimits() {
 	w := f.w
 	f.submit(12)
-	w.after(f.duration/4, func() { w.users.cancelRunning(f.count, f.hang) })
-	w.after(f.duration/4+w.between(0, time.Second), func() { w.leading().crash(f.soon) })
+	w.after(f.duration/4, func() { w.users.cancelRunning(f.cancelCount, f.hangDuration) })
+	w.after(f.duration/4+w.between(0, time.Second), func() { w.leading().crash(f.shortDowntime) })
 }
 
-// allAwayForALease ends all controllers for longer than a lease; one returns first.
-func (f *pairedFault) allAwayForALease() {
+// allDownForALease crashes all controllers for at least the duration of a lease; they
+// return one after the other.
+func (f *pairedFault) allDownForALease() {
 	w := f.w
-	w.after(w.leaseTime()-time.Millisecond, func() { // the first returns right after
+	w.after(w.leaseTime()-time.Millisecond, func() { // the first controller returns one millisecond later
 		if !slices.ContainsFunc(w.nodes, func(n *node) bool { return n.core != nil }) {
 			w.coverage["all controllers away for longer than a lease"]++
 		}
 	})
 	for i, n := range w.nodes {
-		n.crash(min(w.leaseTime()+time.Duration(i)*f.soon, max(f.end-w.now, f.soon)))
+		n.crash(min(w.leaseTime()+time.Duration(i)*f.shortDowntime, max(f.end-w.now, f.shortDowntime)))
 	}
 }
--- a/internal/sim/runs_test.go
+++ b/internal/sim/runs_test.go
@@ -17,42 +17,44 @@
 	recoveryPhase = 150 * time.Second
 )
 
-// TestFaults plays runs from fixed seeds. PUMICEFRONT_SEED=N replays one with its
-// log; PUMICEFRONT_RUNS=N plays more.
+// TestFaults simulates runs from fixed seeds. PUMICEFRONT_SEED=N replays one seed and
+// prints its log; PUMICEFRONT_RUNS=N sets the number of runs.
 func TestFaults(t *testing.T) {
-	if one := os.Getenv("PUMICEFRONT_SEED"); one != "" {
-		replay(t, one, func(uint64) Shape { return Small }, RunFaults)
+	if seedText := os.Getenv("PUMICEFRONT_SEED"); seedText != "" {
+		replay(t, seedText, func(uint64) Shape { return Small }, RunFaults)
 		return
 	}
 	runAll(t, "PUMICEFRONT_RUNS", 40, Small)
 }
 
-// TestGrownFaults plays runs of five controllers, hundreds of machines and large
-// arrays. PUMICEFRONT_GROWN_RUNS=N plays more.
+// TestGrownFaults simulates runs with five controllers, hundreds of machines and large
+// arrays. PUMICEFRONT_GROWN_RUNS=N sets the number of runs.
 func TestGrownFaults(t *testing.T) { runAll(t, "PUMICEFRONT_GROWN_RUNS", 3, Grown) }
 
-// TestFleetFaults plays runs of the fleets' shape. PUMICEFRONT_FLEET_RUNS=N plays more.
+// TestFleetFaults simulates runs of the Fleet shape. PUMICEFRONT_FLEET_RUNS=N sets the
+// number of runs.
 func TestFleetFaults(t *testing.T) { runAll(t, "PUMICEFRONT_FLEET_RUNS", 1, Fleet) }
 
-// TestGPUFaults plays runs on which GPUs are shared, by teams with GPUs alone, cores
-// alone and both. PUMICEFRONT_GPU_RUNS=N plays more.
+// TestGPUFaults simulates runs in which teams share GPUs: one team has a quota of GPUs
+// only, one of cores only, and one of both. PUMICEFRONT_GPU_RUNS=N sets the number of runs.
 func TestGPUFaults(t *testing.T) { runAll(t, "PUMICEFRONT_GPU_RUNS", 12, GPUs) }
 
-// TestLargeGPUFaults plays the same with more machines than any deployment has.
-// PUMICEFRONT_LARGE_GPU_RUNS=N plays more.
+// TestLargeGPUFaults does the same as TestGPUFaults with more machines than any
+// deployment has. PUMICEFRONT_LARGE_GPU_RUNS=N sets the number of runs.
 func TestLargeGPUFaults(t *testing.T) { runAll(t, "PUMICEFRONT_LARGE_GPU_RUNS", 1, LargeGPUs) }
 
-// TestFaultPairs plays runs on which faults coincide. PUMICEFRONT_PAIR_RUNS=N plays more,
-// PUMICEFRONT_PAIR_SEED=N replays one with its log.
+// TestFaultPairs simulates runs in which faults overlap. PUMICEFRONT_PAIR_RUNS=N sets the
+// number of runs, PUMICEFRONT_PAIR_SEED=N replays one seed and prints its log.
 func TestFaultPairs(t *testing.T) {
-	if one := os.Getenv("PUMICEFRONT_PAIR_SEED"); one != "" {
-		replay(t, one, pairShape, runOverload)
+	if seedText := os.Getenv("PUMICEFRONT_PAIR_SEED"); seedText != "" {
+		replay(t, seedText, pairShape, runFaultPairsLongRecovery)
 		return
 	}
 	runPairs(t, runsOf("PUMICEFRONT_PAIR_RUNS", 48), pairShape, pairCoverage)
 }
 
-// runPairs plays runs, and checks that each of the combinations has come about on some.
+// runPairs simulates runs, and checks that each of the combinations has occurred in at
+// least one of them.
 func runPairs(t *testing.T, runs int, shapeOf func(seed uint64) Shape, combinations []string) {
 	t.Helper()
 	var mu sync.Mutex
@@ -62,28 +64,29 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				w := New(seed, shapeOf(seed))
-				runOverload(w, faultPhase, recoveryOf(w))
+				runFaultPairsLongRecovery(w, faultPhase, recoveryTime(w))
 				report(t, seed, w)
 				if w.store.tooLarge > 0 {
-					t.Errorf("seed %d: %d transactions are refused for their size", seed, w.store.tooLarge)
+					t.Errorf("seed %d: state service refused %d transactions that exceed its size limits", seed, w.store.tooLarge)
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				for what := range w.coverage {
-					reached[what]++
+				for combination := range w.coverage {
+					reached[combination]++
 				}
 			})
 		}
 	})
-	for _, what := range combinations {
-		t.Logf("%4d of %d runs: %s", reached[what], runs, what)
-		if reached[what] == 0 {
-			t.Errorf("on none of the runs: %s", what)
+	for _, combination := range combinations {
+		t.Logf("%4d of %d runs: %s", reached[combination], runs, combination)
+		if reached[combination] == 0 {
+			t.Errorf("combination did not occur in any run: %s", combination)
 		}
 	}
 }
 
-// pairCoverage lists the combinations that must each come about on some of the runs; docs/fault-combinations.md lists them.
+// pairCoverage lists the combinations of faults that must each occur in at least one run.
+// docs/fault-combinations.md lists them as well.
 var pairCoverage = []string{
 	"leases renewed in an outage after a cancellation was told",
 	"by a leader that had been refused alone",
@@ -114,28 +117,31 @@
 	"a direct command reaches a machine that reaches nobody",
 }
 
-// runOverload is a MeetingDay with time for all that was asked for beyond what can be done.
-func runOverload(w *World, faultTime, recovery time.Duration) {
+// runFaultPairsLongRecovery is RunFaultPairs with a recovery period that is 90 s longer:
+// some of its faults submit more work than the machines can run at once, which has to finish.
+func runFaultPairsLongRecovery(w *World, faultTime, recovery time.Duration) {
 	RunFaultPairs(w, faultTime, recovery+90*time.Second)
 }
 
-// pairShape gives every fourth run five controllers, and GPUs to another fourth.
+// pairShape returns the GPUs shape for a quarter of the seeds, Small with five controllers
+// for another quarter, and Small for the rest.
 func pairShape(seed uint64) Shape {
-	switch five := Small; seed % 4 {
+	switch fiveControllers := Small; seed % 4 {
 	case 2:
 		return GPUs
 	case 3:
-		five.Controllers = 5
-		return five
+		fiveControllers.Controllers = 5
+		return fiveControllers
 	}
 	return Small
 }
 
-// TestChainFaults plays the same with pipelines, on which the state service lowers its
-// limits. PUMICEFRONT_CHAIN_RUNS=N plays more, PUMICEFRONT_CHAIN_SEED=N replays one.
+// TestChainFaults does the same as TestFaultPairs with chains of dependent jobs, and with
+// a state service that lowers its limits during the run. PUMICEFRONT_CHAIN_RUNS=N sets
+// the number of runs, PUMICEFRONT_CHAIN_SEED=N replays one seed.
 func TestChainFaults(t *testing.T) {
-	if one := os.Getenv("PUMICEFRONT_CHAIN_SEED"); one != "" {
-		replay(t, one, func(uint64) Shape { return Chains }, runOverload)
+	if seedText := os.Getenv("PUMICEFRONT_CHAIN_SEED"); seedText != "" {
+		replay(t, seedText, func(uint64) Shape { return Chains }, runFaultPairsLongRecovery)
 		return
 	}
 	runPairs(t, runsOf("PUMICEFRONT_CHAIN_RUNS", 24), func(uint64) Shape { return Chains }, []string{
@@ -148,20 +154,21 @@
 	})
 }
 
-// runAll plays as many runs as the variable says.
+// runAll simulates runs of one shape. The environment variable overrides their number.
 func runAll(t *testing.T, variable string, runs int, shape Shape) {
 	runs = runsOf(variable, runs)
 	for seed := range uint64(runs) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(seed, shape)
-			RunFaults(w, faultPhase, recoveryOf(w))
+			RunFaults(w, faultPhase, recoveryTime(w))
 			report(t, seed, w)
 		})
 	}
 }
 
-// runsOf is how many runs to play: as the variable says, else as many as CI does.
+// runsOf returns the number of runs: the value of the environment variable if it is set,
+// otherwise runs, the number for CI.
 func runsOf(variable string, runs int) int {
 	if s := os.Getenv(variable); s != "" {
 		runs, _ = strconv.Atoi(s)
@@ -169,22 +176,23 @@
 	return runs
 }
 
-// replay plays one seed with its log.
-func replay(t *testing.T, one string, shapeOf func(seed uint64) Shape, run func(w *World, faultTime, recovery time.Duration)) {
+// replay simulates one seed and prints its log.
+func replay(t *testing.T, seedText string, shapeOf func(seed uint64) Shape, run func(w *World, faultTime, recovery time.Duration)) {
 	t.Helper()
-	seed, err := strconv.ParseUint(one, 10, 64)
+	seed, err := strconv.ParseUint(seedText, 10, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := New(seed, shapeOf(seed))
 	w.Log = func(f string, args ...any) { fmt.Printf(f+"\n", args...) }
-	run(w, faultPhase, recoveryOf(w))
+	run(w, faultPhase, recoveryTime(w))
 	report(t, seed, w)
 }
 
-// recoveryOf is how long a run goes on after its faults. Where leases are long, what is
-// lost at the last is waited for that long.
-func recoveryOf(w *World) time.Duration {
+// recoveryTime returns the recovery period of a run. The GPU shapes have long leases, and
+// the leader waits for a lease to end before it replaces the tasks of a lost machine, so
+// these runs get two leases more.
+func recoveryTime(w *World) time.Duration {
 	if w.shape.GPUs {
 		return recoveryPhase + 2*config.Seconds(w.cfg.Facts.Workers.LeaseS)
 	}
@@ -198,16 +206,17 @@
 	}
 }
 
-// TestSameSeedSameDay guards the replay of a failing seed.
+// TestSameSeedSameDay checks that a seed always produces the same log, without which a
+// failing seed could not be replayed.
 func TestSameSeedSameDay(t *testing.T) {
-	play := func() string {
+	simulate := func() string {
 		var log strings.Builder
 		w := New(3, Small)
 		w.Log = func(f string, args ...any) { fmt.Fprintf(&log, f+"\n", args...) }
 		RunFaults(w, 80*time.Second, 10*time.Second)
 		return log.String()
 	}
-	if a, b := play(), play(); a != b {
-		t.Fatal("two plays of one seed differ")
+	if a, b := simulate(), simulate(); a != b {
+		t.Fatal("two runs of the same seed have different logs")
 	}
 }
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -13,7 +13,8 @@
 	"pumicefront/wire"
 )
 
-// store stands in for the state service.
+// store simulates the state service: a key-value store with leases, watches and
+// compare-and-swap transactions.
 type store struct {
 	w        *World
 	revision uint64
@@ -24,13 +25,13 @@
 	outage   bool
 	limits   config.Limits
 	writes   *rate.Limiter
-	tooLarge int // transactions refused for their size
+	tooLarge int // number of transactions refused for their size
 	watches  []*watch
 }
 
 type lease struct {
-	life time.Duration
-	ends time.Duration
+	duration  time.Duration
+	expiresAt time.Duration
 }
 
 type watch struct {
@@ -43,53 +44,55 @@
 
 func newStore(w *World) *store {
 	s := &store{w: w, items: map[string]wire.Item{}, leases: map[uint64]*lease{}, limits: w.cfg.Facts.State.Limits, writes: rate.NewLimiter(rate.Inf, 0)}
-	s.expire()
+	s.expireLeases()
 	return s
 }
 
-// expire ends leases; during an outage none ends, and after it each has its
-// full time again.
-func (s *store) expire() {
+// expireLeases ends the leases that have run out, and schedules its next call. No lease ends
+// during an outage, and each has its full duration again afterwards.
+func (s *store) expireLeases() {
 	if !s.outage {
 		for id, l := range s.leases {
-			if l.ends <= s.w.now {
-				s.end(id)
+			if l.expiresAt <= s.w.now {
+				s.endLease(id)
 			}
 		}
 	}
-	s.w.after(20*time.Millisecond, s.expire)
+	s.w.after(20*time.Millisecond, s.expireLeases)
 }
 
-// lower brings the limits that were to come.
-func (s *store) lower() {
+// lowerLimits puts the announced future limits of the state service into force.
+func (s *store) lowerLimits() {
 	s.limits = s.w.cfg.Facts.State.Coming()
 	s.writes = rate.NewLimiter(rate.Limit(s.limits.WriteRPS), int(s.limits.WriteRPS))
 }
 
-func (s *store) end(id uint64) {
+// endLease ends a lease and deletes the items attached to it.
+func (s *store) endLease(id uint64) {
 	delete(s.leases, id)
-	var drops []wire.Change
+	var deletions []wire.Change
 	for k, it := range s.items {
 		if it.Lease == id {
-			drops = append(drops, wire.Change{Delete: k})
+			deletions = append(deletions, wire.Change{Delete: k})
 		}
 	}
-	if len(drops) > 0 {
-		s.apply(drops)
+	if len(deletions) > 0 {
+		s.apply(deletions)
 	}
 }
 
+// setOutage starts or ends an outage. At its end, each lease has its full duration again.
 func (s *store) setOutage(on bool) {
 	s.outage = on
 	if !on {
 		for _, l := range s.leases {
-			l.ends = s.w.now + l.life
+			l.expiresAt = s.w.now + l.duration
 		}
 		s.notify()
 	}
 }
 
-// handle carries out a call that has arrived.
+// handle executes a call that has arrived at the service.
 func (s *store) handle(n *node, call controller.StateCall, reply func(controller.StateReply)) {
 	if s.outage || n.refused {
 		reply(controller.StateReply{Status: http.StatusServiceUnavailable})
@@ -116,19 +119,20 @@
 			reply(controller.StateReply{Status: http.StatusNotFound})
 			return
 		}
-		l.ends = s.w.now + l.life
+		l.expiresAt = s.w.now + l.duration
 		reply(controller.StateReply{Status: http.StatusOK})
 	case controller.OpEnd:
-		s.end(call.Lease)
+		s.endLease(call.Lease)
 		reply(controller.StateReply{Status: http.StatusOK})
 	case controller.OpWatch:
 		s.watch(n, call, reply)
 	}
 }
 
-// page is kept small, so that reading needs several.
+// page returns the first items with the prefix and a key beyond after. Pages are small, so
+// that a range read needs several.
 func (s *store) page(prefix, after string) wire.Page {
-	const most = 20
+	const pageSize = 20
 	var keys []string
 	for k := range s.items {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -136,13 +140,15 @@
 		}
 	}
 	sort.Strings(keys)
-	p := wire.Page{Revision: s.revision, More: len(keys) > most}
-	for _, k := range keys[:min(len(keys), most)] {
+	p := wire.Page{Revision: s.revision, More: len(keys) > pageSize}
+	for _, k := range keys[:min(len(keys), pageSize)] {
 		p.Items = append(p.Items, s.items[k])
 	}
 	return p
 }
 
+// txn executes a transaction: if all compared versions match, its changes are applied.
+// It is refused if it exceeds a limit of the service or names an unknown lease.
 func (s *store) txn(t wire.Txn) controller.StateReply {
 	if !s.writes.AllowN(s.w.start.Add(s.w.now), len(t.Then)) {
 		return controller.StateReply{Status: http.StatusTooManyRequests}
@@ -189,6 +195,7 @@
 	s.notify()
 }
 
+// changes returns the events with the prefix after a revision.
 func (s *store) changes(prefix string, after uint64) []wire.Event {
 	from := sort.Search(len(s.history), func(i int) bool { return s.history[i].Version > after })
 	var out []wire.Event
@@ -200,6 +207,8 @@
 	return out
 }
 
+// watch answers with the events after a revision. If there are none, it waits for some until
+// the wait time of the call has passed.
 func (s *store) watch(n *node, call controller.StateCall, reply func(controller.StateReply)) {
 	x := &watch{prefix: call.Key, after: call.Revision, n: n, reply: reply}
 	if call.Wait == 0 || !s.answer(x, false) {
@@ -212,16 +221,17 @@
 	}
 }
 
-// answer completes a watch if there is something to tell, or if it must.
-func (s *store) answer(x *watch, must bool) bool {
+// answer completes a watch if there are new events, and also without any if force is set,
+// as when the watch times out. It reports whether the watch is complete.
+func (s *store) answer(x *watch, force bool) bool {
 	if x.done {
 		return true
 	}
 	if s.outage || x.n.refused || x.n.isolated {
-		return false // open watches wait
+		return false // the watch stays open until the service is reachable again
 	}
 	events := s.changes(x.prefix, x.after)
-	if len(events) == 0 && !must {
+	if len(events) == 0 && !force {
 		return false
 	}
 	x.done = true
@@ -229,6 +239,7 @@
 	return true
 }
 
+// notify completes the open watches for which there are events.
 func (s *store) notify() {
 	open := s.watches[:0]
 	for _, x := range s.watches {
