--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -12,28 +12,28 @@
 	"pumicefront/internal/history"
 )
 
-// Cluster is several cells, each a world of its own, on one clock, with links between them that
-// lose, delay and repeat what is sent.
+// Cluster simulates several cells, each a World, on one clock. The links between them lose, delay
+// and duplicate calls and answers.
 type Cluster struct {
 	Worlds []*World
 
-	rng      *rand.Rand
-	cut      map[[2]int]bool // links between cells, by their places, from and to
-	lossless bool
-	onCall   func(from, to *World, call controller.CellCall) // called when one cell calls another
-	homes    map[string]*World                               // of jobs, by id
-	ran      map[string]int                                  // tasks that have started in another cell than their home
-	history  []history.Event
+	rng        *rand.Rand
+	cutLinks   map[[2]int]bool                                 // links that are cut, by the indexes of the calling and the called cell
+	lossless   bool                                            // links neither lose nor duplicate calls
+	onCellCall func(from, to *World, call controller.CellCall) // called for each call from one cell to another
+	homes      map[string]*World                               // the cell to which each job was submitted, by job ID
+	ran        map[string]int                                  // starts of tasks outside of their home cell, by job ID
+	history    []history.Event
 }
 
-// NewCluster returns so many cells. The first has few machines of its own and lends nothing; the
-// others lend so many cores.
-func NewCluster(seed uint64, count int, lend float64) *Cluster {
+// NewCluster returns a cluster of count cells. The first has few machines and lends nothing; each of
+// the others lends lendCores cores.
+func NewCluster(seed uint64, count int, lendCores float64) *Cluster {
 	c := emptyCluster(seed)
 	for i := range count {
 		w := New(seed*10+uint64(i), cellShape(i, 8))
 		c.add(w)
-		settings := config.Cell{Name: cellName(i), SpillAfter: 6 * time.Second, ReturnAfter: 20 * time.Second, LendCores: lend}
+		settings := config.Cell{Name: cellName(i), SpillAfter: 6 * time.Second, ReturnAfter: 20 * time.Second, LendCores: lendCores}
 		if i == 0 {
 			settings.LendCores = 0
 		}
@@ -52,8 +52,8 @@
 	return c
 }
 
-// NewLiveCluster returns so many cells without controllers: real ones are added to each. The first
-// has few machines of its own.
+// NewLiveCluster returns a cluster of count cells without controllers, to which the caller adds real
+// ones. The first cell has few machines.
 func NewLiveCluster(ctx context.Context, seed uint64, count int) *Cluster {
 	c := emptyCluster(seed)
 	for i := range count {
@@ -65,30 +65,32 @@
 }
 
 func emptyCluster(seed uint64) *Cluster {
-	return &Cluster{rng: rand.New(rand.NewPCG(seed, 99)), cut: map[[2]int]bool{}, homes: map[string]*World{}, ran: map[string]int{}}
+	return &Cluster{rng: rand.New(rand.NewPCG(seed, 99)), cutLinks: map[[2]int]bool{}, homes: map[string]*World{}, ran: map[string]int{}}
 }
 
-// cellShape is a cell's shape; the first has so few machines.
-func cellShape(place, few int) Shape {
+// cellShape returns the shape of the cell with the given index. The first cell has firstMachines
+// machines.
+func cellShape(index, firstMachines int) Shape {
 	shape := Cell
-	if place == 0 {
-		shape.Machines = few
+	if index == 0 {
+		shape.Machines = firstMachines
 	}
 	return shape
 }
 
-// add makes a world a cell of the cluster.
+// add adds a world to the cluster as its next cell.
 func (c *Cluster) add(w *World) {
 	w.cluster, w.place = c, len(c.Worlds)
 	c.Worlds = append(c.Worlds, w)
 }
 
-// RunLive plays all cells for so long in real time, or until the first broken rule.
+// RunLive runs all cells in real time for the given duration, or until a rule is violated.
 func (c *Cluster) RunLive(duration time.Duration) error { return runLive(c.Worlds, duration) }
 
-func cellName(place int) string { return fmt.Sprintf("cell-%d", place) }
+func cellName(index int) string { return fmt.Sprintf("cell-%d", index) }
 
-// Run plays all cells until the given time or the first broken rule.
+// Run runs the events of all cells in the order of time, until the given time or until a rule is
+// violated.
 func (c *Cluster) Run(until time.Duration) {
 	for len(c.Rules()) == 0 {
 		var next *World
@@ -112,7 +114,7 @@
 	}
 }
 
-// Rules lists the rules that are broken in any cell.
+// Rules lists the violated rules of all cells, each with the cell's name.
 func (c *Cluster) Rules() []string {
 	var all []string
 	for _, w := range c.Worlds {
@@ -123,12 +125,14 @@
 	return all
 }
 
-// SetLink cuts two cells off from each other, or joins them.
+// SetLink cuts or restores the link between two cells, in both directions.
 func (c *Cluster) SetLink(a, b int, up bool) {
-	c.cut[[2]int{a, b}], c.cut[[2]int{b, a}] = !up, !up
+	c.cutLinks[[2]int{a, b}], c.cutLinks[[2]int{b, a}] = !up, !up
 }
 
-// call carries a call from one cell's leader to the controllers of another one, tried in turn.
+// call delivers a call from the leader of one cell to the controllers of another, which are tried in
+// turn. Unless the cluster is lossless, the call or its answer may be lost and the call may be
+// duplicated.
 func (c *Cluster) call(n *node, call controller.CellCall) {
 	w, life := n.w, n.life
 	reply := once(func(r controller.CellReply) {
@@ -136,57 +140,58 @@
 		n.deliver(life, r)
 	})
 	w.after(3*time.Second, func() { reply(controller.CellReply{}) })
-	to := c.world(string(call.To))
-	if c.onCall != nil {
-		c.onCall(w, to, call)
+	to := c.worldByName(string(call.To))
+	if c.onCellCall != nil {
+		c.onCellCall(w, to, call)
 	}
-	carry := func(answer func(controller.CellReply)) func() {
+	deliverRequest := func(answer func(controller.CellReply)) func() {
 		return func() {
-			if !c.cut[[2]int{w.place, to.place}] {
-				to.askCell(0, requestOf(w, call), answer)
+			if !c.cutLinks[[2]int{w.place, to.place}] {
+				to.askCell(0, newCellRequest(w, call), answer)
 			}
 		}
 	}
-	if !c.lossless && c.rng.Float64() < 0.1 { // a copy, much later
-		w.after(w.between(time.Second, 90*time.Second), carry(func(controller.CellReply) {}))
+	if !c.lossless && c.rng.Float64() < 0.1 { // a delayed duplicate, whose answer is discarded
+		w.after(w.between(time.Second, 90*time.Second), deliverRequest(func(controller.CellReply) {}))
 	}
 	if !c.lossless && c.rng.Float64() < 0.05 {
 		return
 	}
-	w.after(w.latency()*4, carry(func(r controller.CellReply) {
-		if !c.cut[[2]int{to.place, w.place}] && (c.lossless || c.rng.Float64() > 0.05) {
+	w.after(w.latency()*4, deliverRequest(func(r controller.CellReply) {
+		if !c.cutLinks[[2]int{to.place, w.place}] && (c.lossless || c.rng.Float64() > 0.05) {
 			w.after(w.latency()*4, func() { reply(r) })
 		}
 	}))
 }
 
-// requestOf is what a call of a cell asks another one.
-func requestOf(from *World, call controller.CellCall) controller.CellRequest {
+// newCellRequest returns the request that the called cell receives.
+func newCellRequest(from *World, call controller.CellCall) controller.CellRequest {
 	return controller.CellRequest{From: cells.Cell(cellName(from.place)), Floor: call.Floor, Messages: call.Messages, Challenge: call.Challenge}
 }
 
-// askCell asks the cell's controllers in turn until one answers that leads.
-func (w *World) askCell(from int, r controller.CellRequest, answer func(controller.CellReply)) {
-	if from == len(w.nodes) {
+// askCell sends a request to the cell's controllers in turn, starting at index, until the leader
+// answers. Without an answer of a leader it passes on an empty reply.
+func (w *World) askCell(index int, r controller.CellRequest, answer func(controller.CellReply)) {
+	if index == len(w.nodes) {
 		answer(controller.CellReply{})
 		return
 	}
-	n := w.nodes[from]
+	n := w.nodes[index]
 	if n.down() || n.paused {
-		w.askCell(from+1, r, answer)
+		w.askCell(index+1, r, answer)
 		return
 	}
 	n.ask(func(req uint64) controller.Input { r.Req = req; return r }, func(a controller.Answer) {
 		body, ok := a.Body.(controller.CellAnswer)
 		if a.Status != 200 || !ok {
-			w.askCell(from+1, r, answer)
+			w.askCell(index+1, r, answer)
 			return
 		}
 		answer(controller.CellReply{OK: true, Messages: body.Messages, Room: body.Room, Challenge: body.Challenge})
 	})
 }
 
-func (c *Cluster) world(name string) *World {
+func (c *Cluster) worldByName(name string) *World {
 	for _, w := range c.Worlds {
 		if cellName(w.place) == name {
 			return w
@@ -195,7 +200,8 @@
 	return nil
 }
 
-// everywhere calls fn for every task that is on a machine of any cell of the cluster.
+// everywhere calls fn for every task that runs or saves a checkpoint on a machine, in all cells of the
+// cluster.
 func (w *World) everywhere(fn func(h *host, t *task)) {
 	if w.cluster == nil {
 		w.running(fn)
@@ -206,8 +212,9 @@
 	}
 }
 
-// checkCells checks, as a task starts, that it runs in no other cell, and that its team keeps to its
-// home's limit with what runs of it anywhere.
+// checkCells checks two rules when a task starts: the task must not run in another cell (two_cells),
+// and the team's cores in all cells together must stay within its limit in the home cell (quota). It
+// also counts starts outside of the home cell.
 func (w *World) checkCells(h *host, t *task, j *simJob) {
 	c := w.cluster
 	if c == nil {
@@ -220,7 +227,7 @@
 	cores := j.spec.CPUs
 	w.everywhere(func(oh *host, o *task) {
 		if o.id == t.id && oh.w != w {
-			w.broken("two_cells", "%s starts on %s, it is on %s of %s", t.id, h.id, oh.id, cellName(oh.w.place))
+			w.broken("two_cells", "%s starts on %s while it is on %s of %s", t.id, h.id, oh.id, cellName(oh.w.place))
 		}
 		if oj := o.job; oj.spec.Team == j.spec.Team && c.homes[oj.spec.ID] == home {
 			cores += oj.spec.CPUs
@@ -231,7 +238,7 @@
 	}
 }
 
-// jobAnywhere returns the job of a task, whichever cell its users belong to.
+// jobAnywhere returns the job with the given ID from its home cell, or nil if there is none.
 func (w *World) jobAnywhere(id string) *simJob {
 	if w.cluster == nil {
 		return nil
@@ -242,9 +249,9 @@
 	return nil
 }
 
-// loseCell ends a cell's controllers and cuts off all its machines for a while: what runs there runs
-// on until its leases end.
-func (w *World) loseCell(duration time.Duration) {
+// failCell crashes a cell's controllers and cuts off all its machines for a while. Tasks on these
+// machines continue to run until the machines' leases expire.
+func (w *World) failCell(duration time.Duration) {
 	w.Log("%v %s is lost", w.now, cellName(w.place))
 	for _, n := range w.nodes {
 		n.crash(duration)
--- a/internal/sim/cluster_test.go
+++ b/internal/sim/cluster_test.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	cellFaults   = 150 * time.Second
-	cellRecovery = 240 * time.Second
+	cellFaultPhase    = 150 * time.Second
+	cellRecoveryPhase = 240 * time.Second
 )
 
-// playCells plays four cells of which the first gets far more than it can hold, with faults, and
-// checks that every job comes to its one end and that much of it has run elsewhere.
-func playCells(t *testing.T, seed uint64, fault func(c *Cluster)) *Cluster {
+// runCells runs four cells, of which the first receives far more work than it has room for, with the
+// given fault (nil: only the losses of the links). After a recovery without losses it checks that no
+// rule was violated and that every accepted array has completed, unless it was cancelled.
+func runCells(t *testing.T, seed uint64, fault func(c *Cluster)) *Cluster {
 	t.Helper()
 	c := NewCluster(seed, 4, 64)
 	if os.Getenv("PUMICEFRONT_CELL_LOG") != "" {
@@ -27,7 +28,7 @@
 	}
 	for i, w := range c.Worlds {
 		w.deterministic = fault != nil && seed%2 == 0
-		w.begin(cellFaults - 30*time.Second)
+		w.begin(cellFaultPhase - 30*time.Second)
 		if i == 0 {
 			w.after(2*time.Second, func() { w.users.arrive(w.shape.ArrivalInterval / 3) })
 		}
@@ -35,9 +36,9 @@
 	if fault != nil {
 		fault(c)
 	}
-	c.Run(cellFaults)
+	c.Run(cellFaultPhase)
 	c.lossless = true
-	c.Run(cellFaults + cellRecovery)
+	c.Run(cellFaultPhase + cellRecoveryPhase)
 	if len(c.Rules()) == 0 {
 		for _, w := range c.Worlds {
 			w.checkEnds()
@@ -49,27 +50,29 @@
 	return c
 }
 
-// TestCellsSpillOver plays four cells without faults but for what the links lose.
+// TestCellsSpillOver runs four cells without faults, except for lost and duplicated calls on the links.
+// Jobs must run in other cells than their home.
 func TestCellsSpillOver(t *testing.T) {
 	for seed := range uint64(runsOf("PUMICEFRONT_CELL_RUNS", 4)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			c := playCells(t, seed, nil)
+			c := runCells(t, seed, nil)
 			if len(c.ran) < 3 {
-				t.Errorf("seed %d: %d jobs have run in another cell", seed, len(c.ran))
+				t.Errorf("seed %d: only %d jobs ran in another cell", seed, len(c.ran))
 			}
 		})
 	}
 }
 
-// The hard cases: the receiving cell fails while it holds work, the link is out, the home fails, a
-// state service is out, and leaders change.
+// TestCellFaults covers faults while jobs run in other cells: the receiving cell fails while it holds
+// jobs, links or only the answers on them are cut, all cells are full, the home cell's controllers
+// crash, state services are unavailable, and leaders change.
 func TestCellFaults(t *testing.T) {
 	for name, fault := range map[string]func(c *Cluster){
 		"receiving cells fail": func(c *Cluster) {
 			for i := 1; i < 4; i++ {
 				w := c.Worlds[i]
-				w.after(time.Duration(20+25*i)*time.Second, func() { w.loseCell(25 * time.Second) })
+				w.after(time.Duration(20+25*i)*time.Second, func() { w.failCell(25 * time.Second) })
 			}
 		},
 		"links are out": func(c *Cluster) {
@@ -80,8 +83,8 @@
 		},
 		"answers are lost": func(c *Cluster) {
 			for i := 1; i < 4; i++ {
-				c.Worlds[0].after(time.Duration(15+20*i)*time.Second, func() { c.cut[[2]int{i, 0}] = true })
-				c.Worlds[0].after(time.Duration(50+20*i)*time.Second, func() { c.cut[[2]int{i, 0}] = false })
+				c.Worlds[0].after(time.Duration(15+20*i)*time.Second, func() { c.cutLinks[[2]int{i, 0}] = true })
+				c.Worlds[0].after(time.Duration(50+20*i)*time.Second, func() { c.cutLinks[[2]int{i, 0}] = false })
 			}
 		},
 		"all cells are full": func(c *Cluster) {
@@ -108,25 +111,26 @@
 		"leaders change": func(c *Cluster) {
 			for _, w := range c.Worlds {
 				w.faults.lateWrites = 0.05
-				for at := 20 * time.Second; at < cellFaults; at += 9 * time.Second {
+				for at := 20 * time.Second; at < cellFaultPhase; at += 9 * time.Second {
 					w.after(at+w.between(0, 8*time.Second), func() { w.leading().crash(w.between(100*time.Millisecond, 5*time.Second)) })
 				}
-				w.after(cellFaults, func() { w.faults.lateWrites = 0 })
+				w.after(cellFaultPhase, func() { w.faults.lateWrites = 0 })
 			}
 		},
 	} {
 		for seed := range uint64(runsOf("PUMICEFRONT_CELL_RUNS", 2)) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				if c := playCells(t, seed, fault); len(c.ran) == 0 {
-					t.Errorf("seed %d: nothing has run in another cell", seed)
+				if c := runCells(t, seed, fault); len(c.ran) == 0 {
+					t.Errorf("seed %d: no job ran in another cell", seed)
 				}
 			})
 		}
 	}
 }
 
-// declareGone has operators declare a cell gone, until that is recorded.
+// declareGone sends an operator's declaration that a cell is gone to the home cell, and repeats it
+// every second until it is recorded.
 func declareGone(home *World, cell cells.Cell) {
 	home.leading().ask(func(req uint64) controller.Input {
 		return controller.CellGoneRequest{Req: req, Cell: cell, By: "operator"}
@@ -139,14 +143,14 @@
 	})
 }
 
-// Operators declare a cell gone whose machines are off: what it held runs elsewhere, and when the
-// cell comes back it starts nothing of that any more.
+// Operators declare a cell gone after all its machines have ended. The jobs that it held must run
+// elsewhere, and the cell must not start them again when it returns.
 func TestCellDeclaredGone(t *testing.T) {
 	for seed := range uint64(runsOf("PUMICEFRONT_CELL_RUNS", 2)) {
-		c := playCells(t, seed, func(c *Cluster) {
+		c := runCells(t, seed, func(c *Cluster) {
 			lost, home := c.Worlds[1], c.Worlds[0]
 			lost.after(60*time.Second, func() {
-				lost.loseCell(60 * time.Second)
+				lost.failCell(60 * time.Second)
 				for _, h := range lost.hosts {
 					if !h.gone {
 						h.vanish()
@@ -156,51 +160,51 @@
 			home.after(75*time.Second, func() { declareGone(home, "cell-1") })
 		})
 		if c.Worlds[0].coverage["a cell is declared gone"] == 0 {
-			t.Error("the cell is not declared gone")
+			t.Error("the cell was not declared gone")
 		}
 	}
 }
 
-// Copies of calls that a home made before a cell was declared gone reach that cell's new leader before
-// the home's next call does, some in answer to the challenge of the leader before. The leader starts
-// nothing on them: its grants are over, and the home runs the jobs again. The home's leader fails
-// meanwhile, and the cell's loses its state service for a while.
-func TestLateCallsToACellDeclaredGone(t *testing.T) {
-	const lost, back, heard = 60 * time.Second, 120 * time.Second, 150 * time.Second
-	offered := 0
+// Duplicates of calls from before a cell was declared gone reach the cell's new leader ahead of the
+// home's next call. Some of them carry the challenge of the previous leader. The new leader must not
+// start tasks because of them: its grants have ended, and the home runs the jobs again. Meanwhile the
+// home's leader crashes, and the cell's state service is unavailable for a while.
+func TestLateCallsToCellDeclaredGone(t *testing.T) {
+	const lostAt, recoveredAt, reconnectedAt = 60 * time.Second, 120 * time.Second, 150 * time.Second
+	capturedMessages := 0
 	for seed := range uint64(runsOf("PUMICEFRONT_CELL_RUNS", 2)) {
 		copies, challenged, started := 0, 0, 0
-		c := playCells(t, seed, func(c *Cluster) {
-			home, gone := c.Worlds[0], c.Worlds[1]
-			var kept []controller.CellRequest
-			c.onCall = func(from, to *World, call controller.CellCall) {
-				if from == home && to == gone && from.now < lost {
-					kept = append(kept, requestOf(from, call))
-					offered += len(call.Messages)
+		c := runCells(t, seed, func(c *Cluster) {
+			home, lostCell := c.Worlds[0], c.Worlds[1]
+			var earlierCalls []controller.CellRequest
+			c.onCellCall = func(from, to *World, call controller.CellCall) {
+				if from == home && to == lostCell && from.now < lostAt {
+					earlierCalls = append(earlierCalls, newCellRequest(from, call))
+					capturedMessages += len(call.Messages)
 				}
 			}
-			gone.onStart = func(_ *host, task *task) {
-				if gone.now > back && gone.now < heard && c.homes[task.job.spec.ID] == home {
+			lostCell.onStart = func(_ *host, task *task) {
+				if lostCell.now > recoveredAt && lostCell.now < reconnectedAt && c.homes[task.job.spec.ID] == home {
 					started++
 				}
 			}
-			gone.after(lost, func() {
+			lostCell.after(lostAt, func() {
 				c.SetLink(0, 1, false)
-				gone.loseCell(back - lost)
-				for _, h := range gone.hosts {
+				lostCell.failCell(recoveredAt - lostAt)
+				for _, h := range lostCell.hosts {
 					if !h.gone {
 						h.vanish()
 					}
 				}
 			})
-			home.after(lost+15*time.Second, func() { declareGone(home, "cell-1") })
-			home.after(lost+40*time.Second, func() { home.leading().crash(3 * time.Second) })
-			gone.after(back+12*time.Second, func() { gone.store.setOutage(true) })
-			gone.after(back+18*time.Second, func() { gone.store.setOutage(false) })
-			for at := back; at < heard; at += time.Second {
-				gone.after(at, func() {
-					for _, r := range kept[max(0, len(kept)-5):] {
-						gone.askCell(0, r, func(a controller.CellReply) {
+			home.after(lostAt+15*time.Second, func() { declareGone(home, "cell-1") })
+			home.after(lostAt+40*time.Second, func() { home.leading().crash(3 * time.Second) })
+			lostCell.after(recoveredAt+12*time.Second, func() { lostCell.store.setOutage(true) })
+			lostCell.after(recoveredAt+18*time.Second, func() { lostCell.store.setOutage(false) })
+			for at := recoveredAt; at < reconnectedAt; at += time.Second {
+				lostCell.after(at, func() {
+					for _, r := range earlierCalls[max(0, len(earlierCalls)-5):] {
+						lostCell.askCell(0, r, func(a controller.CellReply) {
 							if a.OK {
 								copies++
 							}
@@ -211,16 +215,16 @@
 					}
 				})
 			}
-			home.after(heard, func() { c.SetLink(0, 1, true) })
+			home.after(reconnectedAt, func() { c.SetLink(0, 1, true) })
 		})
 		if c.Worlds[0].coverage["a cell is declared gone"] == 0 || copies == 0 || challenged == 0 {
-			t.Errorf("seed %d: %d copies, %d with a challenge (%v)", seed, copies, challenged, c.Worlds[0].coverage)
+			t.Errorf("seed %d: the cell answered %d duplicates, %d with a challenge (%v)", seed, copies, challenged, c.Worlds[0].coverage)
 		}
 		if started > 0 {
-			t.Errorf("seed %d: %d tasks of grants that are over start", seed, started)
+			t.Errorf("seed %d: %d tasks of ended grants started", seed, started)
 		}
 	}
-	if offered == 0 {
-		t.Error("no copy is of a call with an offer")
+	if capturedMessages == 0 {
+		t.Error("no duplicated call carried a message")
 	}
 }
--- a/internal/sim/measure_test.go
+++ b/internal/sim/measure_test.go
@@ -11,33 +11,34 @@
 	"pumicefront/internal/spreadseries"
 )
 
-// TestMeasureZoneRecovery prints the table of docs/zone-recovery.md; it is run by hand:
+// TestMeasureZoneRecovery prints the table of docs/zone-recovery.md. It runs only on demand:
 // PUMICEFRONT_ZONE_MEASURE=400,4000 go test -v -timeout 30m ./internal/sim -run TestMeasureZoneRecovery
 func TestMeasureZoneRecovery(t *testing.T) {
-	measure(t, "PUMICEFRONT_ZONE_MEASURE", "PUMICEFRONT_ZONE_SEEDS", []string{"false", "true"}, func(machines int, seed uint64, mode string) (fmt.Stringer, []string) {
+	runMeasurements(t, "PUMICEFRONT_ZONE_MEASURE", "PUMICEFRONT_ZONE_SEEDS", []string{"false", "true"}, func(machines int, seed uint64, mode string) (fmt.Stringer, []string) {
 		m := measureZone(machines, seed, mode == "true")
-		return m, m.rules
+		return m, m.violations
 	})
 }
 
-// TestMeasureCells prints the figures of docs/cells.md; it is run by hand:
+// TestMeasureCells prints the figures of docs/cells.md. It runs only on demand:
 // PUMICEFRONT_CELL_MEASURE=40,200 go test -v -timeout 30m ./internal/sim -run TestMeasureCells
 func TestMeasureCells(t *testing.T) {
-	measure(t, "PUMICEFRONT_CELL_MEASURE", "PUMICEFRONT_CELL_RUNS", []string{"off", "on", "holder lost"}, func(machines int, seed uint64, mode string) (fmt.Stringer, []string) {
+	runMeasurements(t, "PUMICEFRONT_CELL_MEASURE", "PUMICEFRONT_CELL_RUNS", []string{"off", "on", "holder lost"}, func(machines int, seed uint64, mode string) (fmt.Stringer, []string) {
 		m := measureCells(machines, seed, mode)
-		return m, m.rules
+		return m, m.violations
 	})
 }
 
-// TestMeasureSpread prints the figures of docs/load-spreading.md, and with PUMICEFRONT_SPREAD_SERIES
-// writes the shares of all machines over time to spread.parquet and spread.png there; it is run by hand:
+// TestMeasureSpread prints the figures of docs/load-spreading.md. If PUMICEFRONT_SPREAD_SERIES names a
+// directory, it also writes the shares of all machines over time there, to spread.parquet and spread.png.
+// It runs only on demand:
 // PUMICEFRONT_SPREAD_MEASURE=20,400,4000 go test -v -timeout 30m ./internal/sim -run TestMeasureSpread
 func TestMeasureSpread(t *testing.T) {
 	var rows []spreadseries.Row
-	measure(t, "PUMICEFRONT_SPREAD_MEASURE", "PUMICEFRONT_SPREAD_SEEDS", []string{"off", "on"}, func(machines int, seed uint64, mode string) (fmt.Stringer, []string) {
-		r := newSpreadRun(defaultSpread(machines, seed, mode == "on"))
-		r.play()
-		rows = append(rows, r.series(fmt.Sprintf("%d machines, seed %d, %s", machines, seed, mode))...)
+	runMeasurements(t, "PUMICEFRONT_SPREAD_MEASURE", "PUMICEFRONT_SPREAD_SEEDS", []string{"off", "on"}, func(machines int, seed uint64, mode string) (fmt.Stringer, []string) {
+		r := newSpreadRun(defaultSpreadOptions(machines, seed, mode == "on"))
+		r.run()
+		rows = append(rows, r.shareSeries(fmt.Sprintf("%d machines, seed %d, %s", machines, seed, mode))...)
 		return r, r.w.Rules
 	})
 	if dir := os.Getenv("PUMICEFRONT_SPREAD_SERIES"); dir != "" {
@@ -45,7 +46,7 @@
 	}
 }
 
-// writeSeries writes a series, and the table and the plot of what is read back from it.
+// writeSeries writes the rows to a file, reads them back, and logs a table and writes a plot of them.
 func writeSeries(t *testing.T, dir string, rows []spreadseries.Row) {
 	t.Helper()
 	path := filepath.Join(dir, "spread.parquet")
@@ -58,7 +59,7 @@
 	}
 	courses := spreadseries.Courses(read)
 	var table strings.Builder
-	if err := spreadseries.WriteTable(&table, courses, spreadSwitchAt.Seconds(), spreadSwitchAt.Seconds()+180, spreadBackAt.Seconds(), spreadBackAt.Seconds()+180); err != nil {
+	if err := spreadseries.WriteTable(&table, courses, spreadRestartAt.Seconds(), spreadRestartAt.Seconds()+180, spreadDrainEnd.Seconds(), spreadDrainEnd.Seconds()+180); err != nil {
 		t.Error(err)
 	}
 	t.Logf("%d rows\n%s", len(read), table.String())
@@ -67,11 +68,12 @@
 	}
 }
 
-// measure plays the sizes that a variable lists, with as many seeds as another one says, in each mode.
-func measure(t *testing.T, sizesVariable, seedsVariable string, modes []string, play func(machines int, seed uint64, mode string) (result fmt.Stringer, rules []string)) {
+// runMeasurements runs a measurement for each number of machines that one environment variable lists, for
+// the number of seeds that another one sets, in each mode.
+func runMeasurements(t *testing.T, sizesVariable, seedsVariable string, modes []string, run func(machines int, seed uint64, mode string) (result fmt.Stringer, violations []string)) {
 	sizes := os.Getenv(sizesVariable)
 	if sizes == "" {
-		t.Skip("run by hand, see the comment")
+		t.Skip("runs only on demand, see the doc comments of the measurements")
 	}
 	for _, size := range strings.Split(sizes, ",") {
 		machines, err := strconv.Atoi(size)
@@ -81,10 +83,10 @@
 		for seed := range uint64(runsOf(seedsVariable, 3)) {
 			for _, mode := range modes {
 				t.Run(fmt.Sprintf("%d/%d/%s", machines, seed, mode), func(t *testing.T) {
-					result, rules := play(machines, seed, mode)
+					result, violations := run(machines, seed, mode)
 					t.Log(result)
-					for _, r := range rules {
-						t.Error(r)
+					for _, v := range violations {
+						t.Error(v)
 					}
 				})
 			}
--- a/internal/sim/spread_faults.go
+++ b/internal/sim/spread_faults.go
@@ -11,10 +11,10 @@
 	"pumicefront/wire"
 )
 
-// Runs in which load is spread, and what is noted of the moves.
+// Runs with load spreading, records of the moves, and faults during moves.
 
-// setSpreading has controllers that start from now on spread load.
-func (w *World) setSpreading(change func(*balance.Settings)) {
+// enableLoadSpreading switches load spreading on for controllers that start from now on.
+func (w *World) enableLoadSpreading(change func(*balance.Settings)) {
 	settings := balance.DefaultSettings()
 	if change != nil {
 		change(&settings)
@@ -22,7 +22,7 @@
 	w.op.Spreading = &config.LoadSpreading{Settings: settings}
 }
 
-// noteMove notes a step of a move.
+// noteMove records a step of a move.
 func (w *World) noteMove(n *node, m controller.MoveChanged) {
 	w.moves = append(w.moves, m)
 	w.coverage["a move is "+m.Phase.String()]++
@@ -37,39 +37,42 @@
 	}
 }
 
-// The course of a run with faults in the midst of moves.
+// The schedule of a run with faults during moves.
 const (
-	spreadFaultsEnd = 240 * time.Second
-	spreadPlayed    = 560 * time.Second
+	spreadFaultsEnd   = 240 * time.Second
+	spreadFaultRunEnd = 560 * time.Second
 )
 
-// faultySpread are the options of a run with faults: moves begin soon, and arrays end within it.
-func faultySpread(seed uint64, controllers int) spreadOptions {
-	return spreadOptions{machines: 20, controllers: controllers, seed: seed, on: true, arrayRun: 150 * time.Second,
-		change: func(s *balance.Settings) {
+// spreadFaultOptions returns the options of a run with faults. Its settings let moves start early, and
+// its arrays complete within the run.
+func spreadFaultOptions(seed uint64, controllers int) spreadOptions {
+	return spreadOptions{machines: 20, controllers: controllers, seed: seed, enabled: true, arrayTaskRun: 150 * time.Second,
+		changeSettings: func(s *balance.Settings) {
 			s.Settled, s.Stay, s.Hold, s.CostShare = 8*time.Second, 80*time.Second, 6*time.Second, 0.3
 		}}
 }
 
-// moveFault is what goes wrong at a step of a move. It reports whether it could be brought about.
+// moveFault is a fault at a step of a move. Its inject function reports whether the fault could be
+// caused.
 type moveFault struct {
-	name  string
-	phase balance.Phase
-	only  string // kind of jobs; empty: any
-	cause func(r *spreadRun, n *node, m controller.MoveChanged) bool
+	name    string
+	phase   balance.Phase
+	jobKind string // kind of the moved task's job; empty: any
+	inject  func(r *spreadRun, n *node, m controller.MoveChanged) bool
 }
 
-// soonAfter is when what happens right after a step happens: its commands have arrived.
-const soonAfter = 15 * time.Millisecond
+// afterCommands is the time after a step of a move by which its commands have arrived.
+const afterCommands = 15 * time.Millisecond
 
-// crashAfter ends a leader after a moment.
+// crashAfter crashes a leader after the given time.
 func (r *spreadRun) crashAfter(n *node, d time.Duration) bool {
 	r.w.after(d, func() { n.crash(3 * time.Second) })
 	return true
 }
 
-// onHost does something to a machine now, and undoes it.
-func (r *spreadRun) onHost(id string, do, undo func(h *host), undoAfter time.Duration) bool {
+// disturbHost applies a fault to a machine, and undoes it after undoAfter if undo is not nil. It reports
+// whether the machine exists.
+func (r *spreadRun) disturbHost(id string, do, undo func(h *host), undoAfter time.Duration) bool {
 	h := r.w.host(id)
 	if h == nil {
 		return false
@@ -81,26 +84,27 @@
 	return true
 }
 
-func hang(h *host)   { h.setHung(true) }
-func unhang(h *host) { h.setHung(false) }
-func cut(h *host)    { h.setCut(true) }
-func rejoin(h *host) { h.setCut(false) }
+func hangHost(h *host)      { h.setHung(true) }
+func resumeHost(h *host)    { h.setHung(false) }
+func cutHost(h *host)       { h.setCut(true) }
+func reconnectHost(h *host) { h.setCut(false) }
 
-// during has a fault of the whole world last for a while.
-func (r *spreadRun) during(d time.Duration, do, undo func()) bool {
+// disturbFor applies a fault for the given time.
+func (r *spreadRun) disturbFor(d time.Duration, do, undo func()) bool {
 	do()
 	r.w.after(d, undo)
 	return true
 }
 
-// cancel has a job's user cancel it.
-func (r *spreadRun) cancel(m controller.MoveChanged) bool {
+// cancelJob lets the user of a moved task's job cancel it.
+func (r *spreadRun) cancelJob(m controller.MoveChanged) bool {
 	r.w.users.cancel(r.w.users.jobs[m.Job])
 	return true
 }
 
-// afterRecord calls fn when the answer to the write of a job's placements arrives next.
-func (r *spreadRun) afterRecord(job string, fn func(reply *controller.StateReply)) bool {
+// onPlacementWritten calls fn once, when the next successful answer to a write of the job's placements
+// arrives.
+func (r *spreadRun) onPlacementWritten(job string, fn func(reply *controller.StateReply)) bool {
 	armed := true
 	r.w.Tamper.StateReply = func(call *controller.StateCall, reply *controller.StateReply) {
 		if armed && call.Op == controller.OpTxn && reply.Status == 200 && strings.HasPrefix(call.Txn.Then[0].Put, "t/"+job) {
@@ -111,8 +115,9 @@
 	return true
 }
 
-// fill submits prod services for all room that is left.
-func (r *spreadRun) fill() bool {
+// fillCapacity submits a prod service that takes all free cores, and cancels it after 40 s. It reports
+// whether there were any.
+func (r *spreadRun) fillCapacity() bool {
 	free := 0.0
 	for _, h := range r.w.hostsUp() {
 		free += spreadMachineCores - h.usedCores()
@@ -128,7 +133,7 @@
 	return true
 }
 
-// moveFaults are the hard cases.
+// moveFaults lists the faults that can occur during a move.
 func moveFaults() []moveFault {
 	return []moveFault{
 		{"the task ends as it is stopped", balance.Stopping, wire.KindArray, func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
@@ -140,7 +145,7 @@
 			h.finish(t, t.job, m.Index)
 			return true
 		}},
-		{"the leader ends after the stop", balance.Stopping, "", func(r *spreadRun, n *node, _ controller.MoveChanged) bool { return r.crashAfter(n, soonAfter) }},
+		{"the leader ends after the stop", balance.Stopping, "", func(r *spreadRun, n *node, _ controller.MoveChanged) bool { return r.crashAfter(n, afterCommands) }},
 		{"the leader ends after the save", balance.Stopping, wire.KindArray, func(r *spreadRun, n *node, m controller.MoveChanged) bool {
 			r.w.onStopped = func(t *task) {
 				if t.id == wire.TaskID(m.Job, m.Index) && t.job.saved[m.Index] > 0 {
@@ -152,7 +157,7 @@
 		}},
 		{"the leader ends after the proof", balance.Waiting, "", func(r *spreadRun, n *node, _ controller.MoveChanged) bool { return r.crashAfter(n, 0) }},
 		{"the leader ends after the placement's record", balance.Starting, "", func(r *spreadRun, n *node, m controller.MoveChanged) bool {
-			return r.afterRecord(m.Job, func(reply *controller.StateReply) {
+			return r.onPlacementWritten(m.Job, func(reply *controller.StateReply) {
 				*reply = controller.StateReply{ID: reply.ID}
 				r.crashAfter(n, 0)
 			})
@@ -162,52 +167,52 @@
 			return true
 		}},
 		{"a deposed leader's run is late", balance.Starting, "", func(r *spreadRun, n *node, m controller.MoveChanged) bool {
-			return r.afterRecord(m.Job, func(*controller.StateReply) { n.pause(9 * time.Second) })
+			return r.onPlacementWritten(m.Job, func(*controller.StateReply) { n.pause(9 * time.Second) })
 		}},
 		{"the source hangs", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
-			return r.onHost(m.From, hang, unhang, 14*time.Second)
+			return r.disturbHost(m.From, hangHost, resumeHost, 14*time.Second)
 		}},
 		{"the source is cut off", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
-			return r.onHost(m.From, cut, rejoin, 14*time.Second)
+			return r.disturbHost(m.From, cutHost, reconnectHost, 14*time.Second)
 		}},
 		{"half of the machines are cut off", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
 			for i, h := range r.w.hostsUp() {
 				if h.id != m.To && i%2 == 0 || h.id == m.From {
-					r.onHost(h.id, cut, rejoin, 9*time.Second)
+					r.disturbHost(h.id, cutHost, reconnectHost, 9*time.Second)
 				}
 			}
 			return true
 		}},
 		{"the source hears nothing", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
-			return r.onHost(m.From, func(h *host) { h.receivesNothing = true }, func(h *host) { h.receivesNothing = false }, 12*time.Second)
+			return r.disturbHost(m.From, func(h *host) { h.receivesNothing = true }, func(h *host) { h.receivesNothing = false }, 12*time.Second)
 		}},
 		{"the destination dies", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
-			return r.onHost(m.To, (*host).vanish, nil, 0)
+			return r.disturbHost(m.To, (*host).vanish, nil, 0)
 		}},
 		{"the destination hangs", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
-			return r.onHost(m.To, hang, unhang, 14*time.Second)
+			return r.disturbHost(m.To, hangHost, resumeHost, 14*time.Second)
 		}},
 		{"the destination will be taken", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
-			return r.onHost(m.To, func(h *host) { h.notice = true; h.report() }, (*host).vanish, 5*time.Second)
+			return r.disturbHost(m.To, func(h *host) { h.notice = true; h.report() }, (*host).vanish, 5*time.Second)
 		}},
-		{"prod services take all room", balance.Stopping, wire.KindArray, func(r *spreadRun, _ *node, _ controller.MoveChanged) bool { return r.fill() }},
-		{"the job is cancelled as it stops", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancel(m) }},
-		{"the job is cancelled as it waits", balance.Waiting, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancel(m) }},
-		{"the job is cancelled as it starts", balance.Starting, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancel(m) }},
+		{"prod services take all room", balance.Stopping, wire.KindArray, func(r *spreadRun, _ *node, _ controller.MoveChanged) bool { return r.fillCapacity() }},
+		{"the job is cancelled as it stops", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancelJob(m) }},
+		{"the job is cancelled as it waits", balance.Waiting, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancelJob(m) }},
+		{"the job is cancelled as it starts", balance.Starting, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancelJob(m) }},
 		{"the job is cancelled and the leader ends", balance.Stopping, "", func(r *spreadRun, n *node, m controller.MoveChanged) bool {
-			return r.cancel(m) && r.crashAfter(n, soonAfter)
+			return r.cancelJob(m) && r.crashAfter(n, afterCommands)
 		}},
 		{"the state service is out", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
-			return r.during(9*time.Second, func() { r.w.store.setOutage(true) }, func() { r.w.store.setOutage(false) })
+			return r.disturbFor(9*time.Second, func() { r.w.store.setOutage(true) }, func() { r.w.store.setOutage(false) })
 		}},
 		{"the state service refuses the leader", balance.Waiting, "", func(r *spreadRun, n *node, _ controller.MoveChanged) bool {
-			return r.during(9*time.Second, func() { n.refused = true }, func() { n.refused = false })
+			return r.disturbFor(9*time.Second, func() { n.refused = true }, func() { n.refused = false })
 		}},
 		{"the state service answers late", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
-			return r.during(15*time.Second, func() { r.w.faults.slowState = 900 * time.Millisecond }, func() { r.w.faults.slowState = 0 })
+			return r.disturbFor(15*time.Second, func() { r.w.faults.slowState = 900 * time.Millisecond }, func() { r.w.faults.slowState = 0 })
 		}},
 		{"the state service loses answers", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
-			return r.during(15*time.Second, func() { r.w.faults.lostAnswers, r.w.faults.lateWrites = 0.4, 0.1 },
+			return r.disturbFor(15*time.Second, func() { r.w.faults.lostAnswers, r.w.faults.lateWrites = 0.4, 0.1 },
 				func() { r.w.faults.lostAnswers, r.w.faults.lateWrites = 0, 0 })
 		}},
 		{"a third of the machines is drained", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
@@ -215,53 +220,55 @@
 			return true
 		}},
 		{"late reports show tasks where they were", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
-			return r.during(20*time.Second, func() { r.w.faults.duplicateReports, r.w.faults.keepReports = 1, 0.5 },
+			return r.disturbFor(20*time.Second, func() { r.w.faults.duplicateReports, r.w.faults.keepReports = 1, 0.5 },
 				func() { r.w.faults.duplicateReports, r.w.faults.keepReports = 0, 0 })
 		}},
 		{"commands are late", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
-			return r.during(10*time.Second, func() { r.w.faults.delayedCommands, r.w.faults.commandDelay = 0.7, 9*time.Second },
+			return r.disturbFor(10*time.Second, func() { r.w.faults.delayedCommands, r.w.faults.commandDelay = 0.7, 9*time.Second },
 				func() { r.w.faults.delayedCommands, r.w.faults.commandDelay = 0, 0 })
 		}},
 	}
 }
 
-// concerns reports whether a step of a move is the one that a fault comes at.
-func (f moveFault) concerns(r *spreadRun, m controller.MoveChanged) bool {
+// matches reports whether a step of a move is one at which the fault can be injected: the first in the
+// fault's phase, for a job of its kind, and early enough before the end of the faults.
+func (f moveFault) matches(r *spreadRun, m controller.MoveChanged) bool {
 	first := m.Phase == balance.Stopping && m.Began.Equal(m.At) || m.Phase != balance.Stopping && m.Was != m.Phase
 	kind := r.w.users.jobs[m.Job].spec.Kind
-	return first && m.Outcome == "" && m.Phase == f.phase && (f.only == "" || f.only == kind) && r.w.now < spreadFaultsEnd-20*time.Second
+	return first && m.Outcome == "" && m.Phase == f.phase && (f.jobKind == "" || f.jobKind == kind) && r.w.now < spreadFaultsEnd-20*time.Second
 }
 
-// repeat has every third of the steps that a fault concerns meet it, up to three times.
-func (r *spreadRun) repeat(f moveFault) {
+// injectRepeatedly injects a fault at the first of every three steps that match it, up to three times.
+func (r *spreadRun) injectRepeatedly(f moveFault) {
 	steps := 0
 	r.w.onMove = func(n *node, m controller.MoveChanged) {
-		if !f.concerns(r, m) {
+		if !f.matches(r, m) {
 			return
 		}
-		if steps++; steps%3 == 1 && r.w.coverage[f.name] < 3 && f.cause(r, n, m) {
+		if steps++; steps%3 == 1 && r.w.coverage[f.name] < 3 && f.inject(r, n, m) {
 			r.w.coverage[f.name]++
 		}
 	}
 }
 
-// drawMoveFaults has the steps of moves meet one fault, which is another one in each run, and drawn ones
-// from then on. It returns what has come about.
-func (r *spreadRun) drawMoveFaults(run int) map[string]int {
-	came := map[string]int{}
+// injectRandomly injects a fault that the run's number selects, and once that has occurred, randomly drawn
+// faults at a fifth of the steps. It returns how often each fault was injected, and continues to update
+// that map.
+func (r *spreadRun) injectRandomly(run int) map[string]int {
+	injected := map[string]int{}
 	faults := moveFaults()
 	first := faults[run%len(faults)]
 	r.w.onMove = func(n *node, m controller.MoveChanged) {
 		f := first
-		if came[first.name] > 0 {
+		if injected[first.name] > 0 {
 			if r.w.chance(0.8) {
 				return
 			}
 			f = faults[r.w.rng.IntN(len(faults))]
 		}
-		if f.concerns(r, m) && f.cause(r, n, m) {
-			came[f.name]++
+		if f.matches(r, m) && f.inject(r, n, m) {
+			injected[f.name]++
 		}
 	}
-	return came
+	return injected
 }
--- a/internal/sim/spread_measure.go
+++ b/internal/sim/spread_measure.go
@@ -10,72 +10,73 @@
 	"pumicefront/wire"
 )
 
-// How evenly load is spread over a fleet that is skewed, drained in part, and then left alone.
+// Measurement of how evenly load is spread over a fleet that is skewed, drained in part, and then left
+// undisturbed.
 
-// The course of a measured run.
+// The schedule of a measured run.
 const (
-	spreadSkewAt   = 60 * time.Second  // by then all machines are up
-	spreadSwitchAt = 110 * time.Second // the controllers start anew, one after the other, with what is measured
-	spreadDrainAt  = 420 * time.Second // a third of the machines is drained
-	spreadBackAt   = 450 * time.Second // and is back, empty
-	spreadEnd      = 750 * time.Second
-	spreadSample   = time.Second
+	spreadSkewAt         = 60 * time.Second  // by then all machines are up
+	spreadRestartAt      = 110 * time.Second // the controllers restart one after the other, with the settings under measurement
+	spreadDrainAt        = 420 * time.Second // a third of the machines is drained
+	spreadDrainEnd       = 450 * time.Second // the drained machines are back, and empty
+	spreadEnd            = 750 * time.Second
+	spreadSampleInterval = time.Second
 )
 
-// spreadMachineCores is how many cores a machine of a measured run has: all are of the larger type.
+// spreadMachineCores is the number of cores of a machine in a measured run: all are of the larger type.
 const spreadMachineCores = 16
 
-// Bounds by which a fleet counts as even.
+// Limits up to which the load of a fleet counts as even.
 const (
-	evenMaximum   = 1.25 // of the largest share over the mean
-	evenVariation = 0.25 // coefficient of variation
+	evenMaximum   = 1.25 // largest share divided by the mean share
+	evenVariation = 0.25 // coefficient of variation of the shares
 )
 
-// spreadSampled is what a look at all machines finds of their dominant shares.
-type spreadSampled struct {
-	at               time.Duration
-	machines         []string
-	shares           []float64 // in the order of the machines
-	variation        float64   // their coefficient of variation
-	maximum          float64   // the largest over the mean
-	teamOnOneMachine float64   // the largest part of the hot team's cores on one machine
+// loadSample holds the dominant shares of all machines at one time.
+type loadSample struct {
+	at             time.Duration
+	machines       []string
+	shares         []float64 // in the order of machines
+	variation      float64   // coefficient of variation of the shares
+	maximum        float64   // largest share divided by the mean share
+	hotTeamMaximum float64   // largest fraction of the hot team's cores on one machine
 }
 
-// even reports whether the fleet counts as even.
-func (s spreadSampled) even() bool {
+// even reports whether the load counts as even.
+func (s loadSample) even() bool {
 	const rounding = 1e-9
 	return s.maximum <= evenMaximum+rounding && s.variation <= evenVariation
 }
 
-// spreadOptions are what one run differs by from another.
+// spreadOptions are the options of a run.
 type spreadOptions struct {
-	machines    int
-	controllers int
-	seed        uint64
-	on          bool                    // load is spread from the switch on
-	change      func(*balance.Settings) // of the settings, if any
-	arrayRun    time.Duration           // how long the tasks of arrays run
-	constrained bool                    // jobs are bound to zones, to one zone, or scattered over zones
-	empty       bool                    // nothing runs but what is submitted beside
+	machines       int
+	controllers    int
+	seed           uint64
+	enabled        bool                    // load spreading is on from spreadRestartAt on
+	changeSettings func(*balance.Settings) // adjusts the settings; nil: the defaults
+	arrayTaskRun   time.Duration           // run time of the tasks of arrays
+	constrained    bool                    // jobs are pinned to a zone, kept in one zone, or spread over zones
+	noLoad         bool                    // only the jobs that a test submits run
 }
 
-// large reports whether a fleet is so large that its run is shortened.
+// large reports whether the fleet is so large that the run is shortened.
 func (o spreadOptions) large() bool { return o.machines > 1000 }
 
-// spreadRun is a measured run.
+// spreadRun is a run with load spreading and its measurements.
 type spreadRun struct {
 	spreadOptions
-	w        *World
-	samples  []spreadSampled
-	fetches  int // starts that waited for an image, from the skew on
-	missing  time.Duration
-	replicas int
-	starts   map[string][]time.Duration // of each replica, from the switch on
+	w               *World
+	samples         []loadSample
+	fetches         int // starts that had to fetch an image, from spreadRestartAt on
+	lostReplicaTime time.Duration
+	replicas        int
+	replicaStarts   map[string][]time.Duration // by task, from spreadRestartAt on
 }
 
-// newSpreadRun prepares a fleet of so many like machines that are all kept, with its load: one team
-// with two images of which it starts much on few machines, over a background of another team; about
-// seven tenths of the cores are in use.
+// newSpreadRun prepares a fleet of equal machines, none of which is released, and its load. One team
+// starts many tasks of two images, which concentrate on few machines, on top of a background load of
+// another team. About seven tenths of the cores are in use.
 func newSpreadRun(o spreadOptions) *spreadRun {
 	cores := float64(o.machines) * spreadMachineCores
 	w := New(o.seed, Shape{Controllers: o.controllers, Machines: o.machines, Scale: cores / 16, Tasks: 50})
@@ -83,40 +84,40 @@
 	w.cloud.most = o.machines
 	w.op.IdleS = 24 * 3600
 	w.cfg.Facts.State.RPS, w.cfg.Facts.State.WriteRPS, w.cfg.Facts.State.TxnOps = 350, 150, 32
-	if o.large() { // reports as seldom as in deployments of that size
+	if o.large() { // heartbeats are as infrequent as in deployments of that size
 		w.cfg.Facts.Workers.ReportS, w.cfg.Facts.Workers.LeaseS, w.cfg.Facts.Workers.CancelS = 10, 45, 70
 	}
 	w.alwaysUp = true
 	for _, n := range w.nodes {
 		n.boot()
 	}
-	r := &spreadRun{spreadOptions: o, w: w, starts: map[string][]time.Duration{}}
+	r := &spreadRun{spreadOptions: o, w: w, replicaStarts: map[string][]time.Duration{}}
 	r.submitLoad(cores)
 	return r
 }
 
-// submitLoad submits the load of a run.
+// submitLoad schedules the submission of a run's load.
 func (r *spreadRun) submitLoad(cores float64) {
 	w, id := r.w, 0
-	enter := func(spec wire.Job, run time.Duration) {
+	submitSpec := func(spec wire.Job, run time.Duration) {
 		spec.ID, spec.MemoryGB, spec.ImageGB, spec.Types = fmt.Sprintf("req-%06d", id), 2, 1, []string{"big"}
 		id++
 		w.users.enterQuietly(&simJob{spec: spec, run: run, done: make([]bool, spec.Tasks), saved: map[int]time.Duration{}})
 	}
-	each := 2.0
+	coresPerTask := 2.0
 	if r.large() {
-		each = 4 // fewer tasks: checking the rules costs the square of their number
+		coresPerTask = 4 // fewer tasks: the cost of checking the rules grows with the square of their number
 	}
-	// One task for each machine, so that all of them are rented.
+	// One task that fills each machine, so that all machines are rented.
 	w.after(time.Second, func() {
 		for i, zone := range w.shape.zones() {
 			tasks := (r.machines + i) / len(w.shape.zones())
-			enter(wire.Job{Class: "boot", Team: "blue", Kind: wire.KindArray, Priority: "standard", Tasks: tasks, CPUs: spreadMachineCores, Image: "img-boot", Zone: zone}, 10*time.Second)
+			submitSpec(wire.Job{Class: "boot", Team: "blue", Kind: wire.KindArray, Priority: "standard", Tasks: tasks, CPUs: spreadMachineCores, Image: "img-boot", Zone: zone}, 10*time.Second)
 		}
 	})
 	submit := func(i int, team, image string, service bool) {
-		spec := wire.Job{Class: "bulk", Team: team, Kind: wire.KindArray, Priority: "standard", Tasks: 4, CPUs: each, Image: image,
-			EstimateS: r.arrayRun.Seconds(), CheckpointS: 20, SaveS: 1}
+		spec := wire.Job{Class: "bulk", Team: team, Kind: wire.KindArray, Priority: "standard", Tasks: 4, CPUs: coresPerTask, Image: image,
+			EstimateS: r.arrayTaskRun.Seconds(), CheckpointS: 20, SaveS: 1}
 		if service {
 			r.replicas += spec.Tasks
 			spec.Class, spec.Kind, spec.Priority, spec.EstimateS, spec.CheckpointS, spec.SaveS = "web", wire.KindService, "high", 0, 0, 0
@@ -124,22 +125,23 @@
 		if r.constrained {
 			constrain(&spec, i)
 		}
-		enter(spec, r.arrayRun)
+		submitSpec(spec, r.arrayTaskRun)
 	}
-	if r.empty {
+	if r.noLoad {
 		return
 	}
-	background := int(cores * 0.3 / each / 4)
-	for i := range background {
+	backgroundJobs := int(cores * 0.3 / coresPerTask / 4)
+	for i := range backgroundJobs {
 		w.after(spreadSkewAt+w.between(0, 20*time.Second), func() { submit(i, "blue", fmt.Sprintf("img-%d", i/2%6), i%2 == 0) })
 	}
-	hot := int(cores * 0.4 / each / 4)
-	for i := range hot {
+	hotJobs := int(cores * 0.4 / coresPerTask / 4)
+	for i := range hotJobs {
 		w.after(spreadSkewAt+20*time.Second+w.between(0, 20*time.Second), func() { submit(i, "red", fmt.Sprintf("img-hot-%d", i%2), i%4 < 2) })
 	}
 }
 
-// constrain binds jobs to a zone, to one zone, or scatters them, in turn.
+// constrain sets a constraint that depends on the job's number: all tasks in one zone, tasks spread over
+// zones, pinned to a given zone, or none.
 func constrain(spec *wire.Job, i int) {
 	switch i / 2 % 4 {
 	case 0:
@@ -151,43 +153,44 @@
 	}
 }
 
-// play runs it: the skew, a drain of a third of the machines, their return, and the time after that.
-func (r *spreadRun) play() {
+// run runs the whole schedule: the skew, the drain of a third of the machines, their return, and the time
+// after that. For a large fleet it ends before the drain.
+func (r *spreadRun) run() {
 	w := r.w
 	w.onStart = func(h *host, t *task) {
-		if w.now > spreadSwitchAt && t.job.spec.Kind == wire.KindService {
-			r.starts[t.id] = append(r.starts[t.id], w.now)
+		if w.now > spreadRestartAt && t.job.spec.Kind == wire.KindService {
+			r.replicaStarts[t.id] = append(r.replicaStarts[t.id], w.now)
 		}
 	}
 	w.onFetch = func() {
-		if w.now > spreadSwitchAt {
+		if w.now > spreadRestartAt {
 			r.fetches++
 		}
 	}
-	for at := spreadSwitchAt; at < spreadEnd; at += spreadSample {
-		w.after(at, r.sample)
+	for at := spreadRestartAt; at < spreadEnd; at += spreadSampleInterval {
+		w.after(at, r.takeSample)
 	}
-	w.after(spreadSwitchAt, r.restartControllers)
+	w.after(spreadRestartAt, r.restartControllers)
 	end := spreadEnd
-	if r.large() { // it would take an hour
+	if r.large() { // the whole schedule would take an hour
 		end = spreadDrainAt
 	}
 	w.after(spreadDrainAt, r.drainThird)
 	w.Run(end)
 }
 
-// defaultSpread are the options of a measurement.
-func defaultSpread(machines int, seed uint64, on bool) spreadOptions {
-	return spreadOptions{machines: machines, controllers: 3, seed: seed, on: on, arrayRun: 30 * time.Minute}
+// defaultSpreadOptions returns the options of a measurement.
+func defaultSpreadOptions(machines int, seed uint64, on bool) spreadOptions {
+	return spreadOptions{machines: machines, controllers: 3, seed: seed, enabled: on, arrayTaskRun: 30 * time.Minute}
 }
 
-// restartControllers starts the controllers anew, one after the other, with the settings as they are.
+// restartControllers restarts the controllers one after the other, with load spreading if it is enabled.
 func (r *spreadRun) restartControllers() {
-	if r.on {
-		r.w.setSpreading(func(s *balance.Settings) {
+	if r.enabled {
+		r.w.enableLoadSpreading(func(s *balance.Settings) {
 			s.KeepIdle = true
-			if r.change != nil {
-				r.change(s)
+			if r.changeSettings != nil {
+				r.changeSettings(s)
 			}
 		})
 	}
@@ -196,19 +199,19 @@
 	}
 }
 
-// drainThird restarts the fullest third of the machines, one after the other as for maintenance: what
-// runs there starts elsewhere, and they come back empty.
+// drainThird restarts the fullest third of the machines, one after the other as for maintenance. Their
+// tasks start elsewhere, and the machines return empty.
 func (r *spreadRun) drainThird() {
 	const down = time.Second
 	up := r.w.hostsUp()
 	slices.SortStableFunc(up, func(a, b *host) int { return int(b.usedCores() - a.usedCores()) })
 	third := up[:len(up)/3]
 	for i, h := range third {
-		r.w.after(time.Duration(i)*(spreadBackAt-spreadDrainAt-down)/time.Duration(len(third)), func() { h.restart(down) })
+		r.w.after(time.Duration(i)*(spreadDrainEnd-spreadDrainAt-down)/time.Duration(len(third)), func() { h.restart(down) })
 	}
 }
 
-// usedCores is how many cores are taken on a machine.
+// usedCores returns the cores that the machine's unfinished tasks take.
 func (h *host) usedCores() float64 {
 	cores := 0.0
 	for _, t := range h.tasks {
@@ -219,39 +222,40 @@
 	return cores
 }
 
-// sample looks at all machines.
-func (r *spreadRun) sample() {
-	s := spreadSampled{at: r.w.now}
-	team, up := 0.0, 0
-	teamMost := 0.0
+// takeSample records the shares of all machines, and adds up the replica time lost since the last sample.
+func (r *spreadRun) takeSample() {
+	s := loadSample{at: r.w.now}
+	teamCores, runningReplicas := 0.0, 0
+	teamMaximum := 0.0
 	for _, h := range r.w.hostsUp() {
 		s.shares = append(s.shares, h.usedCores()/spreadMachineCores)
 		s.machines = append(s.machines, h.id)
-		here := 0.0
+		teamCoresHere := 0.0
 		for _, t := range h.tasks {
 			if t.state == wire.TaskExited || t.job == nil {
 				continue
 			}
 			if t.job.spec.Team == "red" {
-				here += t.job.spec.CPUs
+				teamCoresHere += t.job.spec.CPUs
 			}
 			if t.state == wire.TaskRunning && t.job.spec.Kind == wire.KindService {
-				up++
+				runningReplicas++
 			}
 		}
-		team += here
-		teamMost = math.Max(teamMost, here)
+		teamCores += teamCoresHere
+		teamMaximum = math.Max(teamMaximum, teamCoresHere)
 	}
-	s.variation, s.maximum = spreadOf(s.shares)
-	if team > 0 {
-		s.teamOnOneMachine = teamMost / team
+	s.variation, s.maximum = variationAndMaximum(s.shares)
+	if teamCores > 0 {
+		s.hotTeamMaximum = teamMaximum / teamCores
 	}
-	r.missing += time.Duration(r.replicas-up) * spreadSample
+	r.lostReplicaTime += time.Duration(r.replicas-runningReplicas) * spreadSampleInterval
 	r.samples = append(r.samples, s)
 }
 
-// spreadOf returns the coefficient of variation of shares, and their maximum over their mean.
-func spreadOf(shares []float64) (variation, maximum float64) {
+// variationAndMaximum returns the coefficient of variation of shares, and their maximum divided by their
+// mean.
+func variationAndMaximum(shares []float64) (variation, maximum float64) {
 	mean, squares := 0.0, 0.0
 	for _, s := range shares {
 		mean += s / float64(len(shares))
--- a/internal/sim/spread_rules.go
+++ b/internal/sim/spread_rules.go
@@ -7,10 +7,10 @@
 	"pumicefront/controller"
 )
 
-// The rules on moves: their bounds over time and in flight.
+// Checks of the limits on moves: their rate, and their number in flight.
 
-// begun lists when moves were begun.
-func (r *spreadRun) begun() []controller.MoveChanged {
+// startedMoves lists the first step of every move.
+func (r *spreadRun) startedMoves() []controller.MoveChanged {
 	var all []controller.MoveChanged
 	for _, m := range r.w.moves {
 		if m.Began.Equal(m.At) && m.Outcome == "" {
@@ -20,26 +20,27 @@
 	return all
 }
 
-// checkBounds checks the bounds on moves over time and in flight, over all leaders together.
-func (r *spreadRun) checkBounds() {
+// checkMoveLimits checks the limit on the rate of moves, over all leaders together, and for the term of
+// each leader the limits on moves in flight: 4 in all and 2 of one team.
+func (r *spreadRun) checkMoveLimits() {
 	s := r.w.op.Spreading.Settings
 	const window = 30 * time.Second
 	perSecond := s.MovesPerMinute * float64(r.machines) / 100 / 60
-	most := int(perSecond*(window.Seconds()+5)) + 1 // what is saved up in five seconds beside
-	begun := r.begun()
-	for i, m := range begun {
+	limit := int(perSecond*(window.Seconds()+5)) + 1 // plus what the budget of moves accumulates in five seconds
+	started := r.startedMoves()
+	for i, m := range started {
 		within := 0
-		for _, later := range begun[i:] {
+		for _, later := range started[i:] {
 			if later.At.Sub(m.At) < window {
 				within++
 			}
 		}
-		if within > most {
-			r.w.broken("moves", "%d begin within %v, %d at most", within, window, most)
+		if within > limit {
+			r.w.broken("moves", "%d moves start within %v, at most %d may", within, window, limit)
 			return
 		}
 	}
-	for term, moves := range r.terms() {
+	for term, moves := range r.movesByTerm() {
 		inFlight, inTeam := map[balance.TaskID]bool{}, map[string]int{}
 		for _, m := range moves {
 			switch {
@@ -51,15 +52,15 @@
 				inTeam[m.Team]++
 			}
 			if len(inFlight) > 4 || inTeam[m.Team] > 2 {
-				r.w.broken("moves", "%d are in flight in term %d, %d of team %s", len(inFlight), term, inTeam[m.Team], m.Team)
+				r.w.broken("moves", "%d moves are in flight in term %d, %d of team %s", len(inFlight), term, inTeam[m.Team], m.Team)
 				return
 			}
 		}
 	}
 }
 
-// terms are the steps of moves by the leader's term.
-func (r *spreadRun) terms() map[uint64][]controller.MoveChanged {
+// movesByTerm returns the steps of all moves by the term of the leader.
+func (r *spreadRun) movesByTerm() map[uint64][]controller.MoveChanged {
 	byTerm := map[uint64][]controller.MoveChanged{}
 	for _, m := range r.w.moves {
 		byTerm[m.Term] = append(byTerm[m.Term], m)
@@ -67,10 +68,10 @@
 	return byTerm
 }
 
-// movedTwiceWithin counts the tasks that were moved again within a time.
+// movedTwiceWithin counts the moves that start less than d after the previous move of the same task.
 func (r *spreadRun) movedTwiceWithin(d time.Duration) int {
 	last, count := map[balance.TaskID]time.Time{}, 0
-	for _, m := range r.begun() {
+	for _, m := range r.startedMoves() {
 		if at, before := last[m.TaskID]; before && m.At.Sub(at) < d {
 			count++
 		}
--- a/internal/sim/spreading_test.go
+++ b/internal/sim/spreading_test.go
@@ -12,13 +12,13 @@
 	"pumicefront/wire"
 )
 
-// playFaulty plays a run to its end, and checks the rules, the history, the bounds on moves, and that
-// every job has come to its end.
-func (r *spreadRun) playFaulty(t *testing.T, until time.Duration) {
+// runWithFaults runs to the given time and checks the rules, the history and the limits on moves, and that
+// every accepted array has completed unless it was cancelled.
+func (r *spreadRun) runWithFaults(t *testing.T, until time.Duration) {
 	t.Helper()
 	w := r.w
 	w.keepHistory = true
-	w.after(spreadSwitchAt, r.restartControllers)
+	w.after(spreadRestartAt, r.restartControllers)
 	w.after(spreadFaultsEnd, func() {
 		w.faultsEnd = w.now
 		w.watchWaiting(5 * time.Second)
@@ -27,7 +27,7 @@
 	if len(w.Rules) == 0 {
 		w.checkEnds()
 		w.checkServed()
-		r.checkBounds()
+		r.checkMoveLimits()
 	}
 	for _, rule := range w.Rules {
 		t.Errorf("seed %d: %s", r.seed, rule)
@@ -37,10 +37,10 @@
 	}
 }
 
-// Each hard case, three times in a run: the rules hold, jobs come to their one end, moves keep to their
-// bounds.
+// TestSpreadHardCases injects each fault up to three times into a run. No rule may be violated, every job
+// must reach one final state, and moves must keep to their limits.
 func TestSpreadHardCases(t *testing.T) {
-	ends := map[string]string{ // how a move must have ended in at least one run
+	expectedCoverage := map[string]string{ // must occur in at least one run of the fault
 		"the task ends as it is stopped":    "a move ends: completed",
 		"the destination dies":              "a move ends: diverted",
 		"the destination hangs":             "a move ends: diverted",
@@ -62,11 +62,11 @@
 			for seed := range uint64(seeds) {
 				t.Run(fmt.Sprintf("%s/%d", f.name, seed), func(t *testing.T) {
 					t.Parallel()
-					r := newSpreadRun(faultySpread(seed, 3+2*int(seed%2)))
-					r.repeat(f)
-					r.playFaulty(t, spreadPlayed)
+					r := newSpreadRun(spreadFaultOptions(seed, 3+2*int(seed%2)))
+					r.injectRepeatedly(f)
+					r.runWithFaults(t, spreadFaultRunEnd)
 					if r.w.coverage[f.name] == 0 || r.w.coverage["a move ends: moved"] == 0 {
-						t.Errorf("did not come about: %v", r.w.coverage)
+						t.Errorf("the fault or a completed move did not occur: %v", r.w.coverage)
 					}
 					results <- result{f.name, r.w.coverage}
 				})
@@ -74,92 +74,94 @@
 		}
 	})
 	close(results)
-	came := map[string]int{}
+	occurrences := map[string]int{}
 	for r := range results {
-		came[r.fault] += r.coverage[ends[r.fault]]
+		occurrences[r.fault] += r.coverage[expectedCoverage[r.fault]]
 	}
-	for fault, end := range ends {
-		if came[fault] == 0 {
-			t.Errorf("did not come about when %s: %s", fault, end)
+	for fault, end := range expectedCoverage {
+		if occurrences[fault] == 0 {
+			t.Errorf("did not occur with fault %q: %s", fault, end)
 		}
 	}
 }
 
-// Runs with faults drawn at drawn steps of moves, amid other faults, with three and five controllers.
+// TestSpreadFaults injects random faults at random steps of moves, among other faults, with three and five
+// controllers.
 func TestSpreadFaults(t *testing.T) {
-	happened := map[string]int{}
+	occurrences := map[string]int{}
 	runs := runsOf("PUMICEFRONT_SPREAD_RUNS", len(moveFaults()))
 	results := make(chan map[string]int, runs)
 	t.Run("runs", func(t *testing.T) {
 		for seed := range uint64(runs) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				o := faultySpread(seed, 3+2*int(seed%2))
+				o := spreadFaultOptions(seed, 3+2*int(seed%2))
 				o.constrained = seed%3 == 0
 				r := newSpreadRun(o)
 				r.w.deterministic = false
-				came := r.drawMoveFaults(int(seed))
-				for at := spreadSwitchAt + 30*time.Second; at < spreadFaultsEnd; at += r.w.between(15*time.Second, 40*time.Second) {
+				injected := r.injectRandomly(int(seed))
+				for at := spreadRestartAt + 30*time.Second; at < spreadFaultsEnd; at += r.w.between(15*time.Second, 40*time.Second) {
 					r.w.after(at, r.w.drawFault(spreadFaultsEnd))
 				}
-				r.playFaulty(t, spreadPlayed)
-				results <- came
+				r.runWithFaults(t, spreadFaultRunEnd)
+				results <- injected
 			})
 		}
 	})
 	close(results)
-	for came := range results {
-		for name, times := range came {
-			happened[name] += times
+	for injected := range results {
+		for name, times := range injected {
+			occurrences[name] += times
 		}
 	}
 	for _, f := range moveFaults() {
-		if happened[f.name] == 0 {
-			t.Errorf("did not come about: %s (%v)", f.name, happened)
+		if occurrences[f.name] == 0 {
+			t.Errorf("did not occur: %s (%v)", f.name, occurrences)
 		}
 	}
 }
 
-// Ten leaders in two minutes: each begins with nothing to spend, and what an earlier one has placed stays.
+// Ten leaders crash within two minutes. Each new one starts without a budget of moves, and tasks that an
+// earlier leader has moved stay where they are.
 func TestSpreadManyLeaders(t *testing.T) {
-	o := faultySpread(3, 5)
-	o.arrayRun = 400 * time.Second
+	o := spreadFaultOptions(3, 5)
+	o.arrayTaskRun = 400 * time.Second
 	r := newSpreadRun(o)
-	leaders := 0
-	for at := spreadSwitchAt + 30*time.Second; at < spreadSwitchAt+150*time.Second; at += 12 * time.Second {
+	crashedLeaders := 0
+	for at := spreadRestartAt + 30*time.Second; at < spreadRestartAt+150*time.Second; at += 12 * time.Second {
 		r.w.after(at, func() {
 			if n := r.w.leading(); n.leads() {
-				leaders++
+				crashedLeaders++
 				n.crash(2 * time.Second)
 			}
 		})
 	}
-	r.playFaulty(t, spreadPlayed+300*time.Second)
-	if leaders < 8 || len(r.terms()) < 2 {
-		t.Errorf("%d leaders end, %d have made moves", leaders, len(r.terms()))
+	r.runWithFaults(t, spreadFaultRunEnd+300*time.Second)
+	if crashedLeaders < 8 || len(r.movesByTerm()) < 2 {
+		t.Errorf("%d leaders crashed, %d moved tasks", crashedLeaders, len(r.movesByTerm()))
 	}
 	if twice := r.movedTwiceWithin(80 * time.Second); twice > 0 {
-		t.Errorf("%d tasks are moved twice within the time that they should stay", twice)
+		t.Errorf("%d moves of tasks that had to stay after an earlier move", twice)
 	}
 }
 
-// Constraints hold through every move, and a team that is at its limit with more work waiting keeps the
-// places of what moves.
+// Moves respect the constraints of jobs. While a task of a team at its limit moves, other work of the team
+// that waits must not take its share of the limit.
 func TestSpreadConstraintsAndLimits(t *testing.T) {
 	for seed := range uint64(runsOf("PUMICEFRONT_SPREAD_SEEDS", 2)) {
-		o := faultySpread(seed, 3)
+		o := spreadFaultOptions(seed, 3)
 		o.constrained = true
 		r := newSpreadRun(o)
 		team := &r.w.cfg.Facts.Teams[0]
-		team.CPUs, team.CPUsMax = 64, 128 // what its jobs take, of which all run before the next is submitted
+		team.CPUs, team.CPUsMax = 64, 128 // exactly the cores of its jobs, all of which run before the next one is submitted
 		for _, n := range r.w.nodes {
 			n.boot()
 		}
-		r.w.after(spreadSwitchAt-5*time.Second, func() {
+		r.w.after(spreadRestartAt-5*time.Second, func() {
 			r.w.users.enterQuietly(&simJob{spec: wire.Job{ID: "req-800000", Class: "bulk", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 20,
 				CPUs: 2, MemoryGB: 2, Image: "img-hot-0", ImageGB: 1, Types: []string{"big"}}, run: 10 * time.Second, done: make([]bool, 20)})
 		})
-		r.playFaulty(t, spreadPlayed)
+		r.runWithFaults(t, spreadFaultRunEnd)
 		services := 0
 		for _, m := range r.w.moves {
 			if m.Outcome == balance.Moved && m.Team == "red" && r.w.users.jobs[m.Job].spec.Kind == wire.KindService {
@@ -167,52 +169,52 @@
 			}
 		}
 		if services == 0 {
-			t.Errorf("seed %d: no service of the team at its limit is moved (%v)", seed, r.w.coverage)
+			t.Errorf("seed %d: no service replica of the team at its limit was moved (%v)", seed, r.w.coverage)
 		}
 	}
 }
 
-// On a steady load moves end, whether idle machines are kept or consolidation and returns go on; and
-// nothing is rented for balance.
-func TestSpreadEnds(t *testing.T) {
-	for _, keep := range []bool{true, false} {
-		t.Run(fmt.Sprintf("idle machines are kept: %v", keep), func(t *testing.T) {
+// Under a steady load no moves start after some time, both when idle machines are kept and when machines
+// are consolidated and released. No machine is rented for balance.
+func TestSpreadMovesEnd(t *testing.T) {
+	for _, keepIdle := range []bool{true, false} {
+		t.Run(fmt.Sprintf("idle machines are kept: %v", keepIdle), func(t *testing.T) {
 			t.Parallel()
-			rented := map[bool]int{}
+			rentedMachines := map[bool]int{}
 			for _, on := range []bool{false, true} {
-				o := defaultSpread(20, 5, on)
-				o.arrayRun = 3 * time.Hour
-				o.change = func(s *balance.Settings) { s.KeepIdle = keep }
+				o := defaultSpreadOptions(20, 5, on)
+				o.arrayTaskRun = 3 * time.Hour
+				o.changeSettings = func(s *balance.Settings) { s.KeepIdle = keepIdle }
 				r := newSpreadRun(o)
-				if !keep {
+				if !keepIdle {
 					r.w.op.IdleS = 15
 				}
-				r.w.after(spreadSwitchAt, r.restartControllers)
-				r.w.Run(spreadSwitchAt + time.Hour)
-				rented[on] = len(r.w.hosts)
+				r.w.after(spreadRestartAt, r.restartControllers)
+				r.w.Run(spreadRestartAt + time.Hour)
+				rentedMachines[on] = len(r.w.hosts)
 				for _, rule := range r.w.Rules {
 					t.Error(rule)
 				}
 				late := 0
-				for _, m := range r.begun() {
-					if m.At.Sub(r.w.start) > spreadSwitchAt+5*time.Minute {
+				for _, m := range r.startedMoves() {
+					if m.At.Sub(r.w.start) > spreadRestartAt+5*time.Minute {
 						late++
 					}
 				}
-				if late > 0 || on && keep && len(r.begun()) == 0 {
-					t.Errorf("%d moves, %d of them after five minutes", len(r.begun()), late)
+				if late > 0 || on && keepIdle && len(r.startedMoves()) == 0 {
+					t.Errorf("%d moves, %d of them started later than five minutes after the restart", len(r.startedMoves()), late)
 				}
 			}
-			if rented[true] > rented[false] {
-				t.Errorf("%d machines are rented, %d without load spreading", rented[true], rented[false])
+			if rentedMachines[true] > rentedMachines[false] {
+				t.Errorf("%d machines were rented, %d without load spreading", rentedMachines[true], rentedMachines[false])
 			}
 		})
 	}
 }
 
-// A skew that can't be mended makes no moves: tasks that fill a machine, that can't save, or are bound to
-// a zone that is full.
-func TestSpreadCannotMend(t *testing.T) {
+// A skew that moves cannot reduce causes none: tasks fill a machine, cannot save a checkpoint, are pinned
+// to a full zone, have an image that no other machine has, or belong to a gang.
+func TestSpreadUnfixableSkew(t *testing.T) {
 	for name, spec := range map[string]wire.Job{
 		"tasks that fill a machine":            {Kind: wire.KindArray, Tasks: 10, CPUs: 16, EstimateS: 3600, CheckpointS: 20, SaveS: 1},
 		"tasks that can't save":                {Kind: wire.KindArray, Tasks: 20, CPUs: 4, EstimateS: 3600},
@@ -222,35 +224,36 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := faultySpread(1, 3)
-			o.empty = true
+			o := spreadFaultOptions(1, 3)
+			o.noLoad = true
 			r := newSpreadRun(o)
 			spec.ID, spec.Class, spec.Team, spec.Priority, spec.MemoryGB, spec.Image, spec.ImageGB, spec.Types = "req-700000", "bulk", "blue", "standard", 2, "img-1", 1, []string{"big"}
 			r.w.after(spreadSkewAt, func() {
 				r.w.users.enterQuietly(&simJob{spec: spec, run: time.Hour, done: make([]bool, spec.Tasks), saved: map[int]time.Duration{}})
 			})
-			r.w.after(spreadSwitchAt, r.restartControllers)
-			r.w.Run(spreadSwitchAt + 3*time.Minute)
-			r.sample()
+			r.w.after(spreadRestartAt, r.restartControllers)
+			r.w.Run(spreadRestartAt + 3*time.Minute)
+			r.takeSample()
 			if s := r.samples[0]; s.maximum < evenMaximum || len(r.w.Rules) > 0 {
-				t.Errorf("the load is even, or rules are broken: %+v %v", s, r.w.Rules)
+				t.Errorf("the load is even, or rules were violated: %+v %v", s, r.w.Rules)
 			}
-			if n := len(r.begun()); n > 0 {
-				t.Errorf("%d moves", n)
+			if n := len(r.startedMoves()); n > 0 {
+				t.Errorf("%d moves started, want none", n)
 			}
 		})
 	}
 }
 
-// A job whose image is on hot machines alone starts at once, and its image goes to a few machines.
-func TestSpreadWhereLocalMachinesAreHot(t *testing.T) {
-	o := defaultSpread(20, 2, true)
+// A job whose image only hot machines have starts at once, partly on other machines: a few of them fetch
+// the image.
+func TestSpreadStartsWhenImageMachinesAreHot(t *testing.T) {
+	o := defaultSpreadOptions(20, 2, true)
 	r := newSpreadRun(o)
-	r.w.after(spreadSwitchAt, r.restartControllers)
-	const submitted = spreadSwitchAt + 30*time.Second // nothing has settled: the skew is as it was
+	r.w.after(spreadRestartAt, r.restartControllers)
+	const submitted = spreadRestartAt + 30*time.Second // no task has run long enough to be moved: the skew remains
 	j := &simJob{spec: wire.Job{ID: "req-700000", Class: "bulk", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 8,
 		CPUs: 2, MemoryGB: 2, Image: "img-hot-0", ImageGB: 1, Types: []string{"big"}}, run: time.Minute, done: make([]bool, 8)}
-	started, on, last := 0, map[string]bool{}, time.Duration(0)
+	started, machines, lastStart := 0, map[string]bool{}, time.Duration(0)
 	r.w.after(submitted, func() {
 		r.w.users.enterQuietly(j)
 		r.fetches = 0
@@ -258,37 +261,37 @@
 	r.w.onFetch = func() { r.fetches++ }
 	r.w.onStart = func(h *host, task *task) {
 		if task.job == j {
-			started, on[h.id], last = started+1, true, r.w.now
+			started, machines[h.id], lastStart = started+1, true, r.w.now
 		}
 	}
 	r.w.Run(submitted + 40*time.Second)
-	if started != 8 || last > submitted+8*time.Second || len(on) > 4 || len(on) < 2 || r.fetches == 0 {
-		t.Errorf("%d tasks start on %d machines, the last at %v, with %d fetches", started, len(on), last, r.fetches)
+	if started != 8 || lastStart > submitted+8*time.Second || len(machines) > 4 || len(machines) < 2 || r.fetches == 0 {
+		t.Errorf("%d tasks started on %d machines, the last at %v, with %d fetches", started, len(machines), lastStart, r.fetches)
 	}
 }
 
-// Versions without load spreading lead in turn with those that have it, and back: one owner, one end, and
-// what the one has placed the other continues.
+// Controllers with and without load spreading lead in turn. Every task must keep one owner and every job
+// one final state, and each leader continues with the tasks that the other kind has placed.
 func TestSpreadBesideEarlierVersions(t *testing.T) {
 	for seed := range uint64(runsOf("PUMICEFRONT_SPREAD_SEEDS", 2)) {
-		r := newSpreadRun(faultySpread(seed, 3))
-		led := map[bool]int{}
-		for i := range 8 { // a node at a time gets the other version; the leader goes last
-			r.w.after(spreadSwitchAt+time.Duration(25+12*i)*time.Second, func() {
+		r := newSpreadRun(spreadFaultOptions(seed, 3))
+		leaderRestarts := map[bool]int{}
+		for i := range 8 { // the leader restarts with the other version
+			r.w.after(spreadRestartAt+time.Duration(25+12*i)*time.Second, func() {
 				n := r.w.leading()
 				spreads := r.w.op.Spreading
-				led[spreads != nil]++
+				leaderRestarts[spreads != nil]++
 				if i%2 == 0 {
 					r.w.op.Spreading = nil
 				} else {
-					r.w.setSpreading(r.change)
+					r.w.enableLoadSpreading(r.changeSettings)
 				}
 				n.crash(time.Second)
 			})
 		}
-		r.playFaulty(t, spreadPlayed)
-		if led[true] < 3 || led[false] < 3 || r.w.coverage["a move ends: moved"] == 0 {
-			t.Errorf("seed %d: leaders %v, %v", seed, led, slices.Sorted(maps.Keys(r.w.coverage)))
+		r.runWithFaults(t, spreadFaultRunEnd)
+		if leaderRestarts[true] < 3 || leaderRestarts[false] < 3 || r.w.coverage["a move ends: moved"] == 0 {
+			t.Errorf("seed %d: leaders by load spreading %v, coverage %v", seed, leaderRestarts, slices.Sorted(maps.Keys(r.w.coverage)))
 		}
 	}
 }
--- a/internal/sim/zone_faults.go
+++ b/internal/sim/zone_faults.go
@@ -9,19 +9,19 @@
 	"pumicefront/zones"
 )
 
-// Faults of whole zones, and what is noted of how the service takes them.
+// Faults of whole zones, and records of how the controllers handle them.
 
-// zoneHistory is what the leaders told of zones, and what was seen of them.
+// zoneHistory records the zone events that leaders emit, and the fetches in each zone.
 type zoneHistory struct {
-	changes  []controller.ZoneChanged
-	restarts map[scheduler.RestartPhase][]time.Duration // when displaced tasks ran again, by phase
-	fetching map[string]int                             // the most fetches at once in each zone
+	changes     []controller.ZoneChanged
+	restarts    map[scheduler.RestartPhase][]time.Duration // when displaced tasks ran again, by restart phase
+	maxFetching map[string]int                             // the largest number of machines that fetched at once, by zone
 }
 
-// recoverZones switches zone recovery on for all processes that start from now on.
-func (w *World) recoverZones(change func(*zones.Settings)) {
+// enableZoneRecovery restarts the cores of all controllers with zone recovery on.
+func (w *World) enableZoneRecovery(change func(*zones.Settings)) {
 	settings := zones.DefaultSettings()
-	settings.LostAfter = 3 * time.Second // leases are short here
+	settings.LostAfter = 3 * time.Second // leases last only ten seconds in these runs
 	if change != nil {
 		change(&settings)
 	}
@@ -45,7 +45,7 @@
 	w.coverage["a task that was lost with its zone runs again"]++
 }
 
-// noteFetch notes how many machines of a zone fetch at once.
+// noteFetch updates the largest number of machines in a zone that fetch an image at once.
 func (w *World) noteFetch(zone string) {
 	if w.shape.Zones == 0 {
 		return
@@ -56,34 +56,34 @@
 			n++
 		}
 	}
-	if w.zoneHistory.fetching == nil {
-		w.zoneHistory.fetching = map[string]int{}
+	if w.zoneHistory.maxFetching == nil {
+		w.zoneHistory.maxFetching = map[string]int{}
 	}
-	w.zoneHistory.fetching[zone] = max(w.zoneHistory.fetching[zone], n)
+	w.zoneHistory.maxFetching[zone] = max(w.zoneHistory.maxFetching[zone], n)
 }
 
-// darken cuts a zone off for a while: its machines reach nobody, and what was sent to or by them
-// arrives when it is back.
+// darken cuts off a zone's machines for a while. Messages to and from them are delivered when the cut
+// ends.
 func (w *World) darken(zone string, duration time.Duration) {
 	w.Log("%v zone %s goes dark", w.now, zone)
-	w.setDark(zone, true)
+	w.setZoneCut(zone, true)
 	w.after(duration, func() {
 		w.Log("%v zone %s is back", w.now, zone)
-		w.setDark(zone, false)
+		w.setZoneCut(zone, false)
 	})
 }
 
-func (w *World) setDark(zone string, dark bool) {
-	w.faults.darkZones[zone] = dark
+func (w *World) setZoneCut(zone string, cut bool) {
+	w.faults.darkZones[zone] = cut
 	for _, h := range w.hosts {
 		if h.zone == zone && !h.gone {
-			h.setCut(dark)
+			h.setCut(cut)
 		}
 	}
 }
 
-// isolate cuts a zone off with a controller in it, which goes on to reach the zone's machines
-// and nothing else.
+// isolate cuts off a zone together with a controller in it for a while: the controller reaches the zone's
+// machines, but neither other machines, the other controllers nor the state service.
 func (w *World) isolate(zone string, n *node, duration time.Duration) {
 	w.Log("%v zone %s is cut off with %s", w.now, zone, n.name)
 	w.faults.isolated = isolatedZone{zone: zone, node: n}
@@ -102,8 +102,8 @@
 	})
 }
 
-// losePower ends all that runs in a zone, and its machines with it.
-func (w *World) losePower(zone string) {
+// powerOffZone ends all machines of a zone that are up, and the tasks on them.
+func (w *World) powerOffZone(zone string) {
 	for _, h := range w.hosts {
 		if h.zone == zone && !h.gone && h.up < w.now {
 			h.vanish()
