--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -26,8 +26,8 @@
 	history    []history.Event
 }
 
-// NewCluster returns a cluster of count cells. The first has few machines and lends nothing; each of
-// the others lends lendCores cores.
+// NewCluster returns count linked cells. The first has few machines and lends nothing; each of the
+// others lends lendCores cores.
 func NewCluster(seed uint64, count int, lendCores float64) *Cluster {
 	c := emptyCluster(seed)
 	for i := range count {
@@ -52,8 +52,8 @@
 	return c
 }
 
-// NewLiveCluster returns a cluster of count cells without controllers, to which the caller adds real
-// ones. The first cell has few machines.
+// NewLiveCluster returns count cells without controllers, to which the caller adds real ones. The first
+// cell has few machines.
 func NewLiveCluster(ctx context.Context, seed uint64, count int) *Cluster {
 	c := emptyCluster(seed)
 	for i := range count {
@@ -78,7 +78,7 @@
 	return shape
 }
 
-// add adds a world to the cluster as its next cell.
+// add adds a world as the next cell.
 func (c *Cluster) add(w *World) {
 	w.cluster, w.place = c, len(c.Worlds)
 	c.Worlds = append(c.Worlds, w)
@@ -131,8 +131,8 @@
 }
 
 // call delivers a call from the leader of one cell to the controllers of another, which are tried in
-// turn. Unless the cluster is lossless, the call or its answer may be lost and the call may be
-// duplicated.
+// turn. Unless links are lossless, the call or its answer may be lost and the call may be duplicated.
+// Without an answer within 3 s the caller gets an empty reply.
 func (c *Cluster) call(n *node, call controller.CellCall) {
 	w, life := n.w, n.life
 	reply := once(func(r controller.CellReply) {
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// everywhere calls fn for every task that runs or saves a checkpoint on a machine, in all cells of the
-// cluster.
+// everywhere calls fn for every task that runs or saves a checkpoint on a machine, in this cell and in
+// all cells that are linked with it.
 func (w *World) everywhere(fn func(h *host, t *task)) {
 	if w.cluster == nil {
 		w.running(fn)
--- a/internal/sim/spreading_test.go
+++ b/internal/sim/spreading_test.go
@@ -138,15 +138,15 @@
 	}
 	r.runWithFaults(t, spreadFaultRunEnd+300*time.Second)
 	if crashedLeaders < 8 || len(r.movesByTerm()) < 2 {
-		t.Errorf("%d leaders crashed, %d moved tasks", crashedLeaders, len(r.movesByTerm()))
+		t.Errorf("%d leaders crashed, %d leaders moved tasks", crashedLeaders, len(r.movesByTerm()))
 	}
 	if twice := r.movedTwiceWithin(80 * time.Second); twice > 0 {
 		t.Errorf("%d moves of tasks that had to stay after an earlier move", twice)
 	}
 }
 
-// Moves respect the constraints of jobs. While a task of a team at its limit moves, other work of the team
-// that waits must not take its share of the limit.
+// Moves must respect the constraints of jobs. While a task of a team at its limit moves, waiting work of
+// the same team must not take the part of the limit that the task uses.
 func TestSpreadConstraintsAndLimits(t *testing.T) {
 	for seed := range uint64(runsOf("PUMICEFRONT_SPREAD_SEEDS", 2)) {
 		o := spreadFaultOptions(seed, 3)
@@ -276,7 +276,7 @@
 	for seed := range uint64(runsOf("PUMICEFRONT_SPREAD_SEEDS", 2)) {
 		r := newSpreadRun(spreadFaultOptions(seed, 3))
 		leaderRestarts := map[bool]int{}
-		for i := range 8 { // the leader restarts with the other version
+		for i := range 8 { // restarts the leader, with load spreading off and on in turn
 			r.w.after(spreadRestartAt+time.Duration(25+12*i)*time.Second, func() {
 				n := r.w.leading()
 				spreads := r.w.op.Spreading
