--- a/client/client.go
+++ b/client/client.go
@@ -1,5 +1,5 @@
-// Package client makes the HTTP calls of a controller: to the state service,
-// the cloud and the workers. Every call has a deadline and is sent once.
+// Package client makes a controller's outgoing HTTP calls: to the state service, the cloud API and
+// the workers. Every call has a deadline and is sent at most once; the package never retries.
 package client
 
 import (
@@ -16,96 +16,100 @@
 	"pumicefront/wire"
 )
 
-// maxAnswer bounds what is read of an answer, in bytes; the answer of a watch has no bound of its
-// own in the protocol.
-const maxAnswer = 16 << 20
+// maxResponseBytes bounds how much of a response body is read. The protocol itself does not bound the
+// response of a watch.
+const maxResponseBytes = 16 << 20
 
-// Client calls the services at fixed addresses and workers at any.
+// Client calls the state service and the cloud at fixed addresses, and workers at the address that
+// each call names.
 type Client struct {
-	state, cloud string
-	services     *http.Client
-	workers      *http.Client
-	calling      chan struct{} // one for each call of a worker under way
-	asking       chan struct{} // one for each of those that only ask for a report
-	entitled     func() bool   // whether the core may act for the controllers now
+	stateURL, cloudURL string
+	services           *http.Client
+	workers            *http.Client
+	workerSlots        chan struct{} // semaphore: worker calls in flight
+	reportSlots        chan struct{} // semaphore: worker calls in flight or waiting that carry no commands
+	hasAuthority       func() bool   // whether this controller may act as leader now
 }
 
-// New returns a client of the state service and the cloud at their host:port; conns bounds the
-// connections to workers. A new leader asks every machine at once: without a bound it would have no
-// socket left for the state service, whose connections are kept apart for the same reason.
+// New returns a client of the state service and the cloud, both given as host:port. maxWorkerConns
+// bounds the concurrent calls to workers: a new leader requests a report from every machine at once,
+// and without the bound no socket would be left for the state service. The state service and the cloud
+// use a separate connection pool for the same reason.
 //
-// Only a leader calls workers and the cloud. The core has asked for its authority
-// when it decided on a call, but the process may have stood still since, or the call
-// has waited for its place: entitled is asked again, and what is too late is not sent.
-func New(state, cloud string, conns int, entitled func() bool) *Client {
+// Only a leader calls workers and the cloud. The core checks its authority when it decides on a call,
+// but the process may be paused afterwards, or the call may wait for a free slot. hasAuthority is
+// therefore checked again immediately before sending, and the call is dropped if the authority has
+// expired.
+func New(stateAddr, cloudAddr string, maxWorkerConns int, hasAuthority func() bool) *Client {
 	return &Client{
-		state: "http://" + state, cloud: "http://" + cloud, entitled: entitled,
-		services: pool(32), workers: pool(conns),
-		calling: make(chan struct{}, conns), asking: make(chan struct{}, max(1, conns/2)),
+		stateURL: "http://" + stateAddr, cloudURL: "http://" + cloudAddr, hasAuthority: hasAuthority,
+		services: newHTTPClient(32), workers: newHTTPClient(maxWorkerConns),
+		workerSlots: make(chan struct{}, maxWorkerConns), reportSlots: make(chan struct{}, max(1, maxWorkerConns/2)),
 	}
 }
 
-// pool returns a client that keeps up to conns idle connections.
-func pool(conns int) *http.Client {
+// newHTTPClient returns an HTTP client that keeps up to maxIdle idle connections and follows no
+// redirects.
+func newHTTPClient(maxIdle int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			MaxIdleConns: conns, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
+			MaxIdleConns: maxIdle, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
 			DisableCompression: true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// call is one call that the core asked for.
+// call is one HTTP call that the core requested.
 type call struct {
 	service Service
 	op      Operation
 	method  string
 	target  string
-	body    any // sent as CBOR; nil: none
-	into    any // where the body of the answer is decoded; nil: it is not read
-	// readRefused decodes the body of an answer with another status too: the keys of a failed
-	// transaction, the report of a worker that refused its commands.
-	readRefused bool
-	timeout     time.Duration
+	body    any // request body, encoded as CBOR; nil: none
+	result  any // the response body is decoded into it; nil: the body is ignored
+	// decodeErrorBody also decodes the body of a response whose status is not 200: the keys of a failed
+	// transaction, or the report of a worker that rejected its commands.
+	decodeErrorBody bool
+	timeout         time.Duration
 }
 
-// answer is what came back of a call.
-type answer struct {
+// response is the HTTP response to a call.
+type response struct {
 	status     int
 	body       []byte
 	retryAfter time.Duration
 }
 
-// failed returns the *CallError of this call with a status, a kind and a fault.
-func (c call) failed(status int, kind, fault error) *CallError {
-	return &CallError{Service: c.service, Op: c.op, Method: c.method, Target: c.target, Status: status, Kind: kind, Err: fault}
+// newError returns a *CallError for this call with the given status, kind and cause.
+func (c call) newError(status int, kind, cause error) *CallError {
+	return &CallError{Service: c.service, Op: c.op, Method: c.method, Target: c.target, Status: status, Kind: kind, Err: cause}
 }
 
-// send makes the call once and decodes the answer into c.into. It returns nil for an answer with
-// 200 that could be read, and a *CallError otherwise.
-func (c call) send(by *http.Client) error {
-	got, err := request(by, c.timeout, c.method, c.target, c.body)
+// send makes the call once and decodes the response body into c.result. It returns nil for a response
+// with status 200 that could be decoded, and a *CallError otherwise.
+func (c call) send(httpClient *http.Client) error {
+	resp, err := sendRequest(httpClient, c.timeout, c.method, c.target, c.body)
 	if err != nil {
-		return c.failed(0, ErrNoAnswer, err)
+		return c.newError(0, ErrNoResponse, err)
 	}
-	if c.into != nil && (got.status == http.StatusOK || c.readRefused) {
-		if err := wire.Unmarshal(got.body, c.into); err != nil && got.status == http.StatusOK {
-			return c.failed(got.status, ErrUnreadable, err)
+	if c.result != nil && (resp.status == http.StatusOK || c.decodeErrorBody) {
+		if err := wire.Unmarshal(resp.body, c.result); err != nil && resp.status == http.StatusOK {
+			return c.newError(resp.status, ErrMalformedResponse, err)
 		}
 	}
-	if got.status != http.StatusOK {
-		refused := c.failed(got.status, statusKind(c.service, got.status), nil)
-		refused.RetryAfter = got.retryAfter
-		return refused
+	if resp.status != http.StatusOK {
+		callErr := c.newError(resp.status, statusKind(c.service, resp.status), nil)
+		callErr.RetryAfter = resp.retryAfter
+		return callErr
 	}
 	return nil
 }
 
-// request sends one request and returns the answer; an error tells that none came. The body of a
-// request can't be rewound, so that net/http never sends a second copy on its own: a copy that the
-// core doesn't know of could run after it was given up.
-func request(by *http.Client, timeout time.Duration, method, target string, body any) (answer, error) {
+// sendRequest sends one request and returns the response, or an error if no complete response arrived.
+// GetBody is cleared so that net/http cannot rewind the body and resend the request on its own: the
+// core would not know of the second copy, which could execute after the core has abandoned the call.
+func sendRequest(httpClient *http.Client, timeout time.Duration, method, target string, body any) (response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var reader io.Reader
@@ -114,113 +118,115 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, target, reader)
 	if err != nil {
-		return answer{}, fmt.Errorf("make request: %w", err)
+		return response{}, fmt.Errorf("create request: %w", err)
 	}
 	req.GetBody = nil
 	if body != nil {
 		req.Header.Set("Content-Type", "application/cbor")
 	}
-	resp, err := by.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return answer{}, fmt.Errorf("read answer: %w", err)
+		return response{}, fmt.Errorf("read response body: %w", err)
 	}
-	return answer{status: resp.StatusCode, body: raw, retryAfter: retryAfter(resp.Header)}, nil
+	return response{status: resp.StatusCode, body: raw, retryAfter: retryAfter(resp.Header)}, nil
 }
 
-// State makes a call of the core to the state service. A failed transaction's answer is decoded
-// too: it names the keys whose conditions failed.
+// State makes a call to the state service for the core. The response of a failed transaction is decoded
+// as well, because it names the keys whose conditions failed.
 func (c *Client) State(sc controller.StateCall) controller.StateReply {
 	reply := controller.StateReply{ID: sc.ID}
 	reply.Status = replyStatus(c.stateCall(sc, &reply).send(c.services))
 	return reply
 }
 
-// stateCall is the call of the state service that sc asks for, decoded into reply.
+// stateCall returns the HTTP call for sc; its response is decoded into reply.
 func (c *Client) stateCall(sc controller.StateCall, reply *controller.StateReply) call {
-	x := call{service: StateService, method: http.MethodGet, target: c.state, timeout: sc.Timeout}
+	req := call{service: StateService, method: http.MethodGet, target: c.stateURL, timeout: sc.Timeout}
 	switch sc.Op {
 	case controller.OpGet:
-		x.op, x.target, x.into = OpGet, x.target+wire.PathKV+"/"+sc.Key, &reply.Item
+		req.op, req.target, req.result = OpGet, req.target+wire.PathKV+"/"+sc.Key, &reply.Item
 	case controller.OpRange:
-		x.op, x.target, x.into = OpRange, x.target+wire.PathKV+"?prefix="+url.QueryEscape(sc.Key)+"&limit=1000", &reply.Page
+		req.op, req.target, req.result = OpRange, req.target+wire.PathKV+"?prefix="+url.QueryEscape(sc.Key)+"&limit=1000", &reply.Page
 		if sc.After != "" {
-			x.target += "&after=" + url.QueryEscape(sc.After)
+			req.target += "&after=" + url.QueryEscape(sc.After)
 		}
 	case controller.OpTxn:
-		x.op, x.method, x.target, x.body = OpTransaction, http.MethodPost, x.target+wire.PathTxn, sc.Txn
-		x.into, x.readRefused = &reply.Txn, true
+		req.op, req.method, req.target, req.body = OpTransaction, http.MethodPost, req.target+wire.PathTxn, sc.Txn
+		req.result, req.decodeErrorBody = &reply.Txn, true
 	case controller.OpGrant:
-		x.op, x.method, x.target = OpGrantLease, http.MethodPost, x.target+wire.PathLeases
-		x.body, x.into = wire.LeaseAsk{TTLms: sc.Life.Milliseconds()}, &reply.Grant
+		req.op, req.method, req.target = OpGrantLease, http.MethodPost, req.target+wire.PathLeases
+		req.body, req.result = wire.LeaseAsk{TTLms: sc.Life.Milliseconds()}, &reply.Grant
 	case controller.OpTouch:
-		x.op, x.method, x.target = OpRenewLease, http.MethodPost, x.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)+wire.PathTouch
+		req.op, req.method, req.target = OpRenewLease, http.MethodPost, req.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)+wire.PathTouch
 	case controller.OpEnd:
-		x.op, x.method, x.target = OpRevokeLease, http.MethodDelete, x.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)
+		req.op, req.method, req.target = OpRevokeLease, http.MethodDelete, req.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)
 	case controller.OpWatch:
-		x.op, x.into = OpWatch, &reply.Watch
-		x.target += wire.PathWatch + "?prefix=" + url.QueryEscape(sc.Key) +
+		req.op, req.result = OpWatch, &reply.Watch
+		req.target += wire.PathWatch + "?prefix=" + url.QueryEscape(sc.Key) +
 			"&after=" + strconv.FormatUint(sc.Revision, 10) + "&wait_ms=" + strconv.FormatInt(sc.Wait.Milliseconds(), 10)
 	}
-	return x
+	return req
 }
 
-// Cloud makes a call of the core to the cloud.
+// Cloud makes a call to the cloud for the core. Without authority the call is not sent and the reply has
+// status 0.
 func (c *Client) Cloud(cc controller.CloudCall) controller.CloudReply {
 	reply := controller.CloudReply{ID: cc.ID}
-	if !c.entitled() {
+	if !c.hasAuthority() {
 		return reply
 	}
 	reply.Status = replyStatus(c.cloudCall(cc, &reply).send(c.services))
 	return reply
 }
 
-// cloudCall is the call of the cloud that cc asks for, decoded into reply.
+// cloudCall returns the HTTP call for cc; its response is decoded into reply.
 func (c *Client) cloudCall(cc controller.CloudCall, reply *controller.CloudReply) call {
-	x := call{service: Cloud, method: http.MethodGet, target: c.cloud, timeout: cc.Timeout}
+	req := call{service: Cloud, method: http.MethodGet, target: c.cloudURL, timeout: cc.Timeout}
 	switch cc.Op {
 	case controller.CloudTypes:
-		x.op, x.target, x.into = OpMachineTypes, x.target+wire.PathTypes, &reply.Types
+		req.op, req.target, req.result = OpMachineTypes, req.target+wire.PathTypes, &reply.Types
 	case controller.CloudList:
-		x.op, x.target, x.into = OpListMachines, x.target+wire.PathMachines+"?limit=500", &reply.Page
+		req.op, req.target, req.result = OpListMachines, req.target+wire.PathMachines+"?limit=500", &reply.Page
 		if cc.After != "" {
-			x.target += "&after=" + url.QueryEscape(cc.After)
+			req.target += "&after=" + url.QueryEscape(cc.After)
 		}
 	case controller.CloudRent:
-		x.op, x.method, x.target, x.body, x.into = OpScaleOut, http.MethodPost, x.target+wire.PathMachines, cc.Rent, &reply.Names
+		req.op, req.method, req.target, req.body, req.result = OpScaleOut, http.MethodPost, req.target+wire.PathMachines, cc.Rent, &reply.Names
 	case controller.CloudRelease:
-		x.op, x.method, x.target, x.body = OpScaleIn, http.MethodPost, x.target+wire.PathRelease, wire.Names{Machines: cc.Names}
+		req.op, req.method, req.target, req.body = OpScaleIn, http.MethodPost, req.target+wire.PathRelease, wire.Names{Machines: cc.Names}
 	}
-	return x
+	return req
 }
 
-// Worker sends direct commands of the core to a worker. Calls that only ask for a
-// report take half of the places at most: where hundreds of machines hang, each of
-// them holds one until it is given up, and commands to the others must not wait.
+// Worker sends commands directly to a worker for the core, and waits for a free slot first. Calls without
+// commands, which only request a report, use at most half of the slots: when hundreds of machines hang,
+// each call to one of them holds its slot until it times out, and commands to the other machines must
+// not wait for that. Without authority the call is not sent and the reply has status 0.
 func (c *Client) Worker(cmd controller.WorkerCall) controller.WorkerReply {
 	if len(cmd.Commands.Commands) == 0 {
-		c.asking <- struct{}{}
-		defer func() { <-c.asking }()
+		c.reportSlots <- struct{}{}
+		defer func() { <-c.reportSlots }()
 	}
-	c.calling <- struct{}{}
-	defer func() { <-c.calling }()
+	c.workerSlots <- struct{}{}
+	defer func() { <-c.workerSlots }()
 	reply := controller.WorkerReply{ID: cmd.ID, Machine: cmd.Machine}
-	if !c.entitled() {
+	if !c.hasAuthority() {
 		return reply
 	}
 	reply.Status = replyStatus(workerCall(cmd, &reply).send(c.workers))
 	return reply
 }
 
-// workerCall is the call of a worker that cmd asks for; the report of a worker that refuses its
-// commands is decoded too.
+// workerCall returns the HTTP call for cmd; the report of a worker that rejects the commands is decoded
+// into reply as well.
 func workerCall(cmd controller.WorkerCall, reply *controller.WorkerReply) call {
 	return call{
 		service: Worker, op: OpCommands, method: http.MethodPost, target: "http://" + cmd.Addr + wire.PathCommands,
-		body: cmd.Commands, into: &reply.Report, readRefused: true, timeout: cmd.Timeout,
+		body: cmd.Commands, result: &reply.Report, decodeErrorBody: true, timeout: cmd.Timeout,
 	}
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -13,24 +13,25 @@
 	"pumicefront/wire"
 )
 
-// However many workers are called at once, sockets are left for the state service.
-func TestCallsOfWorkersAreBounded(t *testing.T) {
-	const most, calls = 4, 40
-	var now, peak atomic.Int64
-	var first sync.WaitGroup
-	first.Add(most)
+// Guards against calls to many workers using up the sockets: concurrent worker calls stay within the
+// bound, and a call to the state service succeeds while they are blocked.
+func TestConcurrentWorkerCallsAreBounded(t *testing.T) {
+	const maxConns, calls = 4, 40
+	var inFlight, peak atomic.Int64
+	var slotsFilled sync.WaitGroup
+	slotsFilled.Add(maxConns)
 	release := make(chan struct{})
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if n := now.Add(1); n > peak.Load() {
+		if n := inFlight.Add(1); n > peak.Load() {
 			peak.Store(n)
 		}
 		select {
 		case <-release:
 		default:
-			first.Done()
+			slotsFilled.Done()
 			<-release
 		}
-		now.Add(-1)
+		inFlight.Add(-1)
 		w.Write(wire.Marshal(wire.Report{Machine: "i-1"}))
 	}))
 	defer worker.Close()
@@ -39,31 +40,31 @@
 	}))
 	defer state.Close()
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	c := New(addr(state), "127.0.0.1:1", most, func() bool { return true })
+	c := New(addr(state), "127.0.0.1:1", maxConns, func() bool { return true })
 	stop := wire.Commands{Commands: []wire.Command{{Op: wire.OpStop, Task: "req-1/0", Attempt: 1}}}
 	var done sync.WaitGroup
 	for range calls {
 		done.Go(func() {
 			r := c.Worker(controller.WorkerCall{Machine: "i-1", Addr: addr(worker), Commands: stop, Timeout: time.Minute})
 			if r.Status != http.StatusOK || r.Report.Machine != "i-1" {
-				t.Errorf("status %d, %+v", r.Status, r.Report)
+				t.Errorf("status %d, report %+v", r.Status, r.Report)
 			}
 		})
 	}
-	first.Wait()
+	slotsFilled.Wait()
 	if r := c.State(controller.StateCall{Op: controller.OpGet, Key: "x", Timeout: time.Minute}); r.Status != http.StatusNotFound {
-		t.Errorf("the state service is not reached beside them: %d", r.Status)
+		t.Errorf("status %d of the state service while worker calls are blocked, want 404", r.Status)
 	}
 	close(release)
 	done.Wait()
-	if peak.Load() > most {
-		t.Errorf("%d calls at once, at most %d", peak.Load(), most)
+	if peak.Load() > maxConns {
+		t.Errorf("%d concurrent worker calls, want at most %d", peak.Load(), maxConns)
 	}
 }
 
-// A process may stand still between a decision and the call that follows from it. By
-// then another may lead: nothing is sent to a worker or the cloud.
-func TestNothingIsSentWithoutAuthority(t *testing.T) {
+// A process may be paused between a decision and the resulting call, and another controller may lead by
+// then. Without authority nothing is sent to a worker or the cloud.
+func TestNoCallsWithoutAuthority(t *testing.T) {
 	var calls atomic.Int64
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
@@ -71,51 +72,51 @@
 	}))
 	defer service.Close()
 	addr := strings.TrimPrefix(service.URL, "http://")
-	may := false
-	c := New(addr, addr, 4, func() bool { return may })
-	both := func() (int, int) {
+	authorized := false
+	c := New(addr, addr, 4, func() bool { return authorized })
+	callBoth := func() (int, int) {
 		return c.Worker(controller.WorkerCall{Addr: addr, Timeout: time.Minute}).Status,
 			c.Cloud(controller.CloudCall{Op: controller.CloudRelease, Timeout: time.Minute}).Status
 	}
-	if w, k := both(); w != 0 || k != 0 || calls.Load() != 0 {
+	if w, k := callBoth(); w != 0 || k != 0 || calls.Load() != 0 {
 		t.Errorf("status %d and %d, %d calls without authority", w, k, calls.Load())
 	}
-	may = true
-	if w, k := both(); w != http.StatusOK || k != http.StatusOK || calls.Load() != 2 {
+	authorized = true
+	if w, k := callBoth(); w != http.StatusOK || k != http.StatusOK || calls.Load() != 2 {
 		t.Errorf("status %d and %d, %d calls with authority", w, k, calls.Load())
 	}
 }
 
-// Hundreds of machines may hang when a new leader asks all of them at once: commands to
-// the others must find a place.
-func TestAskingLeavesRoomForCommands(t *testing.T) {
-	const most = 4
-	asked := make(chan struct{}, most*3)
+// A new leader requests a report from every machine at once, and hundreds of them may hang. Commands to
+// the other machines must still get a slot.
+func TestReportRequestsLeaveSlotsForCommands(t *testing.T) {
+	const maxConns = 4
+	reportRequests := make(chan struct{}, maxConns*3)
 	release := make(chan struct{})
-	hangs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked <- struct{}{}
+	hungWorker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		reportRequests <- struct{}{}
 		<-release
 	}))
-	defer hangs.Close()
-	works := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	defer hungWorker.Close()
+	healthyWorker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Write(wire.Marshal(wire.Report{Machine: "i-2"}))
 	}))
-	defer works.Close()
+	defer healthyWorker.Close()
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	c := New(addr(works), "127.0.0.1:1", most, func() bool { return true })
+	c := New(addr(healthyWorker), "127.0.0.1:1", maxConns, func() bool { return true })
 	var done sync.WaitGroup
-	for range most * 3 {
-		done.Go(func() { c.Worker(controller.WorkerCall{Machine: "i-1", Addr: addr(hangs), Timeout: time.Minute}) })
+	for range maxConns * 3 {
+		done.Go(func() { c.Worker(controller.WorkerCall{Machine: "i-1", Addr: addr(hungWorker), Timeout: time.Minute}) })
 	}
-	for range most / 2 {
-		<-asked
+	for range maxConns / 2 {
+		<-reportRequests
 	}
 	run := wire.Commands{Commands: []wire.Command{{Op: wire.OpRun, Task: "req-1/0", Attempt: 1}}}
-	if r := c.Worker(controller.WorkerCall{Machine: "i-2", Addr: addr(works), Commands: run, Timeout: time.Minute}); r.Status != http.StatusOK {
+	if r := c.Worker(controller.WorkerCall{Machine: "i-2", Addr: addr(healthyWorker), Commands: run, Timeout: time.Minute}); r.Status != http.StatusOK {
 		t.Errorf("status %d", r.Status)
 	}
-	if n := len(asked); n > 0 {
-		t.Errorf("%d more machines asked than half of the places", n)
+	if n := len(reportRequests); n > 0 {
+		t.Errorf("%d report requests beyond half of the slots", n)
 	}
 	close(release)
 	done.Wait()
--- a/client/errors.go
+++ b/client/errors.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Service is what a call goes to.
+// Service is the kind of endpoint that a call goes to.
 type Service string
 
 // The services and machines that a controller calls.
@@ -18,10 +18,10 @@
 	Worker       Service = "worker"
 )
 
-// Operation names a call in errors.
+// Operation is the name of a call as it appears in error messages.
 type Operation string
 
-// The calls of a controller.
+// The operations that a controller calls.
 const (
 	OpGet          Operation = "get"
 	OpRange        Operation = "range read"
@@ -37,48 +37,51 @@
 	OpCommands     Operation = "send commands"
 )
 
-// The kinds of failed call. A *CallError matches one of them with errors.Is.
+// The kinds of call failure. A *CallError matches exactly one of them with errors.Is.
 var (
-	// ErrNoAnswer tells that no answer came: the call may have run, or may still run later.
-	ErrNoAnswer = errors.New("no answer")
-	// ErrUnreadable tells of an answer with 200 whose body could not be decoded.
-	ErrUnreadable = errors.New("answer unreadable")
-	// ErrNotFound tells of 404: no such key, or a lease that expired.
+	// ErrNoResponse means that no complete response arrived: the call may have executed, or may still
+	// execute later.
+	ErrNoResponse = errors.New("no response")
+	// ErrMalformedResponse means a response with status 200 whose body could not be decoded.
+	ErrMalformedResponse = errors.New("malformed response")
+	// ErrNotFound means status 404: the key does not exist, or the lease has expired.
 	ErrNotFound = errors.New("not found")
-	// ErrConditionFailed tells of 409 of the state service: a compare-and-swap whose conditions did
-	// not hold, and nothing was changed.
+	// ErrConditionFailed means status 409 from the state service: the conditions of a compare-and-swap
+	// did not hold, and nothing was changed.
 	ErrConditionFailed = errors.New("condition failed")
-	// ErrFenced tells of 409 of a worker: the fencing token is lower than the highest it has seen,
-	// or the agent epoch does not match, and nothing was executed.
+	// ErrFenced means status 409 from a worker: the fencing token is lower than the highest that the
+	// worker has seen, or the agent epoch does not match, and nothing was executed.
 	ErrFenced = errors.New("fenced")
-	// ErrCompacted tells of 410 of a watch: the revision to start after is older than the service keeps.
+	// ErrCompacted means status 410 for a watch: the state service no longer keeps the revision to start
+	// after.
 	ErrCompacted = errors.New("revision compacted")
-	// ErrRateLimited tells of 429: above the rate that the service allows, and the call did not run.
+	// ErrRateLimited means status 429: the rate limit of the service was exceeded, and the call was not
+	// executed.
 	ErrRateLimited = errors.New("rate limited")
-	// ErrUnavailable tells of 503: the call did not run (an outage of the state service, no capacity
-	// in the cloud).
+	// ErrUnavailable means status 503: the call was not executed (an outage of the state service, or no
+	// capacity in the cloud).
 	ErrUnavailable = errors.New("unavailable")
-	// ErrRefused tells of an answer with any other status than 200 and those above.
+	// ErrRefused means a response with any other status than 200 and those above.
 	ErrRefused = errors.New("refused")
 )
 
-// CallError tells of a call that did not end in an answer with 200 that could be read.
+// CallError describes a call that did not return a decodable response with status 200.
 type CallError struct {
-	Service Service   // what was called
-	Op      Operation // which call
+	Service Service   // kind of endpoint
+	Op      Operation // operation that was called
 	Method  string    // HTTP method
 	Target  string    // URL of the call: endpoint, path and query
-	// Status is that of the answer; 0: no answer came.
+	// Status is the HTTP status of the response; 0: no response.
 	Status int
-	// RetryAfter is the wait that the answer asked for in Retry-After, in whole seconds; 0: none.
+	// RetryAfter is the delay from the response's Retry-After header, in whole seconds; 0: none.
 	RetryAfter time.Duration
 	// Kind is one of the errors above.
 	Kind error
-	// Err is the fault of the transport or the decoder, if there is one.
+	// Err is the underlying error of the transport or the decoder; nil if there is none.
 	Err error
 }
 
-// Error tells the service, the call, its target and what went wrong:
+// Error names the service, the operation, the target and the failure:
 // "state service transaction POST http://10.0.0.5:2379/multi: status 409: condition failed".
 func (e *CallError) Error() string {
 	text := fmt.Sprintf("%s %s %s %s: ", e.Service, e.Op, e.Method, e.Target)
@@ -92,7 +95,7 @@
 	return text
 }
 
-// Unwrap returns the kind and the fault, so that errors.Is and errors.As find both.
+// Unwrap returns the kind and the underlying error, so that errors.Is and errors.As find both.
 func (e *CallError) Unwrap() []error {
 	wrapped := []error{e.Kind}
 	if e.Err != nil {
@@ -101,7 +104,7 @@
 	return wrapped
 }
 
-// statusKind is the kind of an answer with a status other than 200.
+// statusKind returns the kind of error for a response whose status is not 200.
 func statusKind(service Service, status int) error {
 	switch {
 	case status == http.StatusNotFound:
@@ -120,20 +123,20 @@
 	return ErrRefused
 }
 
-// replyStatus is the status that the core is told of a call: 200 without an error, that of the
-// answer otherwise, and 0 where no answer came or one with 200 could not be read.
+// replyStatus returns the status that the core receives for a call: 200 without an error, 0 if there was
+// no response or one with status 200 could not be decoded, and the status of the response otherwise.
 func replyStatus(err error) int {
-	var failed *CallError
+	var callErr *CallError
 	switch {
 	case err == nil:
 		return http.StatusOK
-	case !errors.As(err, &failed), errors.Is(err, ErrNoAnswer), errors.Is(err, ErrUnreadable):
+	case !errors.As(err, &callErr), errors.Is(err, ErrNoResponse), errors.Is(err, ErrMalformedResponse):
 		return 0
 	}
-	return failed.Status
+	return callErr.Status
 }
 
-// retryAfter reads a Retry-After header in seconds; a date, or none, gives 0.
+// retryAfter parses a Retry-After header in seconds. It returns 0 if the header is missing or a date.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/client/errors_test.go
+++ b/client/errors_test.go
@@ -14,13 +14,13 @@
 	"pumicefront/wire"
 )
 
-// answering is a service that answers every call with status and body, and Retry-After if it is
-// not empty.
-func answering(t *testing.T, status int, body []byte, retry string) string {
+// startServer starts a server that answers every request with the given status and body, and with a
+// Retry-After header unless it is empty. It returns the server's address.
+func startServer(t *testing.T, status int, body []byte, retryAfter string) string {
 	t.Helper()
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if retry != "" {
-			w.Header().Set("Retry-After", retry)
+		if retryAfter != "" {
+			w.Header().Set("Retry-After", retryAfter)
 		}
 		w.WriteHeader(status)
 		_, _ = w.Write(body)
@@ -29,55 +29,55 @@
 	return strings.TrimPrefix(service.URL, "http://")
 }
 
-// A call that fails tells its service, call, target and status to errors.As, and its kind to
-// errors.Is; the core is told the same status as before.
-func TestCallErrorsTellKindAndStatus(t *testing.T) {
+// A failed call is a *CallError with its service, operation, target and status, matches its kind and no
+// other with errors.Is, and the core receives the matching status.
+func TestCallErrorKindAndStatus(t *testing.T) {
 	failed := wire.Marshal(wire.TxnAnswer{Revision: 431, Failed: []string{"a/b"}})
 	for _, c := range []struct {
-		name       string
-		status     int
-		body       []byte
-		retry      string
-		op         controller.StateOp
-		want       error
-		wantOp     Operation
-		path       string
-		replied    int
-		retryAfter time.Duration
+		name           string
+		status         int
+		body           []byte
+		retryHeader    string
+		op             controller.StateOp
+		wantKind       error
+		wantOp         Operation
+		wantPath       string
+		wantStatus     int
+		wantRetryAfter time.Duration
 	}{
 		{"compare-and-swap failed", http.StatusConflict, failed, "", controller.OpTxn, ErrConditionFailed, OpTransaction, wire.PathTxn, http.StatusConflict, 0},
 		{"no such key", http.StatusNotFound, wire.Marshal(wire.Page{Revision: 431}), "", controller.OpGet, ErrNotFound, OpGet, wire.PathKV + "/a/b", http.StatusNotFound, 0},
 		{"lease expired", http.StatusNotFound, nil, "", controller.OpTouch, ErrNotFound, OpRenewLease, wire.PathLeases + "/7" + wire.PathTouch, http.StatusNotFound, 0},
-		{"watch too old", http.StatusGone, nil, "", controller.OpWatch, ErrCompacted, OpWatch, wire.PathWatch, http.StatusGone, 0},
+		{"watch revision compacted", http.StatusGone, nil, "", controller.OpWatch, ErrCompacted, OpWatch, wire.PathWatch, http.StatusGone, 0},
 		{"rate limited", http.StatusTooManyRequests, nil, "3", controller.OpRange, ErrRateLimited, OpRange, wire.PathKV, http.StatusTooManyRequests, 3 * time.Second},
 		{"outage", http.StatusServiceUnavailable, nil, "", controller.OpGrant, ErrUnavailable, OpGrantLease, wire.PathLeases, http.StatusServiceUnavailable, 0},
-		{"malformed", http.StatusBadRequest, wire.Marshal(wire.Error{Error: "no such lease"}), "", controller.OpTxn, ErrRefused, OpTransaction, wire.PathTxn, http.StatusBadRequest, 0},
-		{"unreadable", http.StatusOK, []byte("not cbor"), "", controller.OpGet, ErrUnreadable, OpGet, wire.PathKV + "/a/b", 0, 0},
+		{"bad request", http.StatusBadRequest, wire.Marshal(wire.Error{Error: "no such lease"}), "", controller.OpTxn, ErrRefused, OpTransaction, wire.PathTxn, http.StatusBadRequest, 0},
+		{"malformed response", http.StatusOK, []byte("not cbor"), "", controller.OpGet, ErrMalformedResponse, OpGet, wire.PathKV + "/a/b", 0, 0},
 	} {
-		client := New(answering(t, c.status, c.body, c.retry), "127.0.0.1:1", 4, func() bool { return true })
+		client := New(startServer(t, c.status, c.body, c.retryHeader), "127.0.0.1:1", 4, func() bool { return true })
 		sc := controller.StateCall{Op: c.op, Key: "a/b", Lease: 7, Timeout: time.Minute}
 		var reply controller.StateReply
 		err := client.stateCall(sc, &reply).send(client.services)
 		var call *CallError
-		if !errors.As(err, &call) || !errors.Is(err, c.want) {
-			t.Errorf("%s: want %v in a *CallError, got %T %v", c.name, c.want, err, err)
+		if !errors.As(err, &call) || !errors.Is(err, c.wantKind) {
+			t.Errorf("%s: want %v in a *CallError, got %T %v", c.name, c.wantKind, err, err)
 			continue
 		}
-		if call.Service != StateService || call.Op != c.wantOp || !strings.Contains(call.Target, c.path) || call.Status != c.status || call.RetryAfter != c.retryAfter {
+		if call.Service != StateService || call.Op != c.wantOp || !strings.Contains(call.Target, c.wantPath) || call.Status != c.status || call.RetryAfter != c.wantRetryAfter {
 			t.Errorf("%s: %+v", c.name, call)
 		}
-		if errors.Is(err, ErrNoAnswer) || c.want != ErrRefused && errors.Is(err, ErrRefused) {
+		if errors.Is(err, ErrNoResponse) || c.wantKind != ErrRefused && errors.Is(err, ErrRefused) {
 			t.Errorf("%s: matches another kind: %v", c.name, err)
 		}
-		if got := client.State(sc).Status; got != c.replied {
-			t.Errorf("%s: the core is told %d, want %d", c.name, got, c.replied)
+		if got := client.State(sc).Status; got != c.wantStatus {
+			t.Errorf("%s: the core receives status %d, want %d", c.name, got, c.wantStatus)
 		}
 	}
 }
 
-// A failed transaction's answer is still read: the core learns which conditions failed.
-func TestFailedTransactionIsRead(t *testing.T) {
-	addr := answering(t, http.StatusConflict, wire.Marshal(wire.TxnAnswer{Revision: 431, Failed: []string{"a/b"}}), "")
+// The response of a failed transaction is decoded: the core needs the keys whose conditions failed.
+func TestFailedTransactionBodyIsDecoded(t *testing.T) {
+	addr := startServer(t, http.StatusConflict, wire.Marshal(wire.TxnAnswer{Revision: 431, Failed: []string{"a/b"}}), "")
 	c := New(addr, "127.0.0.1:1", 4, func() bool { return true })
 	r := c.State(controller.StateCall{Op: controller.OpTxn, Timeout: time.Minute})
 	if r.Status != http.StatusConflict || len(r.Txn.Failed) != 1 || r.Txn.Failed[0] != "a/b" || r.Txn.Revision != 431 {
@@ -85,8 +85,9 @@
 	}
 }
 
-// Without an answer the kind is ErrNoAnswer, the transport's fault is kept, and the core is told 0.
-func TestNoAnswerKeepsItsCause(t *testing.T) {
+// Without a response the kind is ErrNoResponse, the transport's error is wrapped, and the core receives
+// status 0.
+func TestNoResponseWrapsTransportError(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +100,7 @@
 	var reply controller.StateReply
 	err = c.stateCall(controller.StateCall{Op: controller.OpGet, Key: "a", Timeout: time.Minute}, &reply).send(c.services)
 	var call *CallError
-	if !errors.As(err, &call) || !errors.Is(err, ErrNoAnswer) || !errors.Is(err, syscall.ECONNREFUSED) || call.Status != 0 {
+	if !errors.As(err, &call) || !errors.Is(err, ErrNoResponse) || !errors.Is(err, syscall.ECONNREFUSED) || call.Status != 0 {
 		t.Errorf("%T %v", err, err)
 	}
 	if r := c.Cloud(controller.CloudCall{Op: controller.CloudTypes, Timeout: time.Minute}); r.Status != 0 {
@@ -107,10 +108,10 @@
 	}
 }
 
-// A worker that refuses commands for an old fencing token is fenced, not a failed compare-and-swap,
-// and its report is read.
-func TestWorkerThatRefusesIsFenced(t *testing.T) {
-	addr := answering(t, http.StatusConflict, wire.Marshal(wire.Report{Machine: "i-1", Token: 42}), "")
+// A worker that rejects commands because of a stale fencing token gives ErrFenced, not
+// ErrConditionFailed, and its report is decoded.
+func TestWorkerConflictIsFenced(t *testing.T) {
+	addr := startServer(t, http.StatusConflict, wire.Marshal(wire.Report{Machine: "i-1", Token: 42}), "")
 	c := New("127.0.0.1:1", "127.0.0.1:1", 4, func() bool { return true })
 	cmd := controller.WorkerCall{Machine: "i-1", Addr: addr, Timeout: time.Minute}
 	var reply controller.WorkerReply
@@ -124,9 +125,9 @@
 	}
 }
 
-// The cloud's refusal for want of capacity is ErrUnavailable; its text names the call.
+// The cloud's response for lack of capacity is ErrUnavailable, and the error text names the call.
 func TestCloudWithoutCapacity(t *testing.T) {
-	addr := answering(t, http.StatusServiceUnavailable, wire.Marshal(wire.Error{Error: "no capacity"}), "")
+	addr := startServer(t, http.StatusServiceUnavailable, wire.Marshal(wire.Error{Error: "no capacity"}), "")
 	c := New("127.0.0.1:1", addr, 4, func() bool { return true })
 	cc := controller.CloudCall{Op: controller.CloudRent, Rent: wire.Rent{Request: "r-1", Count: 2}, Timeout: time.Minute}
 	var reply controller.CloudReply
--- a/cmd/pumicefront/main.go
+++ b/cmd/pumicefront/main.go
@@ -50,7 +50,7 @@
 	for _, warning := range cfg.Warnings {
 		slog.Error("setting not used", "warning", warning)
 	}
-	tune(cfg)
+	configureRuntime(cfg)
 	return server.New(cfg, op).Run(context.Background())
 }
 
@@ -82,7 +82,7 @@
 	if f.Once || !isatty.IsTerminal(os.Stdout.Fd()) {
 		return view.Print(context.Background(), os.Stdout, f.Address)
 	}
-	return view.Watch(context.Background(), f.Address, max(f.Interval, shortestInterval))
+	return view.Watch(context.Background(), f.Address, max(f.Interval, minInterval))
 }
 
 type zonesCmd struct{ viewFlags }
@@ -95,12 +95,12 @@
 // Run shows how load is spread.
 func (c *spreadCmd) Run() error { return show(spreadview.View, c.viewFlags) }
 
-// shortestInterval keeps a view from asking the core all the time.
-const shortestInterval = 200 * time.Millisecond
+// minInterval keeps a view from asking the core all the time.
+const minInterval = 200 * time.Millisecond
 
 type cellsCmd struct {
-	Show        cellsShowCmd `cmd:"" default:"withargs" help:"Show the links to other cells, and jobs out and in by team."`
-	DeclareGone cellsGoneCmd `cmd:"" help:"Vouch for a cell's having ended all that it was granted. docs/operations.md says what you must be sure of."`
+	Show        cellsShowCmd        `cmd:"" default:"withargs" help:"Show the links to other cells, and jobs out and in by team."`
+	DeclareGone cellsDeclareGoneCmd `cmd:"" help:"Vouch for a cell's having ended all that it was granted. docs/operations.md says what you must be sure of."`
 }
 
 type cellsShowCmd struct {
@@ -112,14 +112,14 @@
 	return cellview.View.Print(context.Background(), os.Stdout, c.Address)
 }
 
-type cellsGoneCmd struct {
+type cellsDeclareGoneCmd struct {
 	Address []string `help:"Listener for cells of a controller of the home." required:""`
 	Cell    string   `help:"The cell that is gone." required:""`
 	By      string   `help:"Who vouches for it; this is recorded." required:""`
 }
 
 // Run declares the cell gone.
-func (c *cellsGoneCmd) Run() error {
+func (c *cellsDeclareGoneCmd) Run() error {
 	return cellview.DeclareGone(context.Background(), c.Address, c.Cell, c.By)
 }
 
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// tune fits the runtime to the machine: one thread runs at a time, the heap is
+// configureRuntime fits the runtime to the machine: one thread runs at a time, the heap is
 // small against the memory limit, and collecting seldom saves processor time.
-func tune(cfg *config.Platform) {
+func configureRuntime(cfg *config.Platform) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
 	debug.SetMemoryLimit(int64(cfg.Facts.Resources.MemoryMB * 0.6 * (1 << 20)))
--- a/config/cell.go
+++ b/config/cell.go
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	return checkFields([]field{
+	return checkFields([]bound{
 		{"cell.spill_after", seconds, c.SpillAfter.Seconds(), 0.1, 3600},
 		{"cell.return_after", seconds, c.ReturnAfter.Seconds(), 1, 3600},
 		{"cell.lend_cores", "", c.LendCores, 0, 1e9},
--- a/config/config.go
+++ b/config/config.go
@@ -28,7 +28,7 @@
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"external"`
-	Facts Facts `toml:"facts"` // what the deployment is like
+	Facts Deployment `toml:"facts"` // what the deployment is like
 
 	Warnings []Warning `toml:"-"` // settings that could not be used
 }
@@ -39,8 +39,8 @@
 	Addr   string `toml:"endpoint"` // its mesh address, host:port
 }
 
-// Facts describe the deployment.
-type Facts struct {
+// Deployment describe the deployment.
+type Deployment struct {
 	Teams      []Team      `toml:"teams"`      // quotas of the teams
 	Objectives []Objective `toml:"objectives"` // service-level objectives
 	// Workers are the workers' intervals.
@@ -66,7 +66,7 @@
 // from a moment that nobody announces; what Next doesn't name stays.
 type State struct {
 	Limits
-	Next Next `toml:"-"` // limits that will change; see Coming
+	Next NextLimits `toml:"-"` // limits that will change; see Coming
 }
 
 // Limits of the state service.
@@ -79,7 +79,7 @@
 
 // Coming are the limits from that moment on.
 func (s State) Coming() Limits {
-	return Limits{orNow(s.Next.RPS, s.RPS), orNow(s.Next.WriteRPS, s.WriteRPS), orNow(s.Next.ValueKB, s.ValueKB), orNow(s.Next.TxnOps, s.TxnOps)}
+	return Limits{valueOr(s.Next.RPS, s.RPS), valueOr(s.Next.WriteRPS, s.WriteRPS), valueOr(s.Next.ValueKB, s.ValueKB), valueOr(s.Next.TxnOps, s.TxnOps)}
 }
 
 // Tightest hold before and after it.
@@ -88,11 +88,11 @@
 	return Limits{min(s.RPS, next.RPS), min(s.WriteRPS, next.WriteRPS), min(s.ValueKB, next.ValueKB), min(s.TxnOps, next.TxnOps)}
 }
 
-func orNow[N int | float64](next *N, now N) N {
-	if next == nil {
-		return now
+func valueOr[N int | float64](value *N, fallback N) N {
+	if value == nil {
+		return fallback
 	}
-	return *next
+	return *value
 }
 
 // Team is a team's guarantee and limit.
@@ -187,7 +187,7 @@
 	if err := toml.Unmarshal(raw, &file); err != nil {
 		return fmt.Errorf("read coming limits: %w", err)
 	}
-	p.Facts.State.Next, p.Warnings = nextLimits(file.Facts.State.Next)
+	p.Facts.State.Next, p.Warnings = parseNextLimits(file.Facts.State.Next)
 	return nil
 }
 
@@ -205,7 +205,7 @@
 		return o, fmt.Errorf("read settings: %w", diags)
 	}
 	if diags := gohcl.DecodeBody(file.Body, nil, &o); diags.HasErrors() {
-		return o, malformed(fieldAt(file.Body, diags[0].Subject), diags)
+		return o, malformed(settingAt(file.Body, diags[0].Subject), diags)
 	}
 	if err := o.check(); err != nil {
 		return o, fmt.Errorf("%s: %w", path, err)
@@ -234,8 +234,8 @@
 	return o, nil
 }
 
-// fieldAt names the setting that a complaint is about; HCL tells only where it is.
-func fieldAt(body hcl.Body, at *hcl.Range) string {
+// settingAt names the setting that a complaint is about; HCL tells only where it is.
+func settingAt(body hcl.Body, at *hcl.Range) string {
 	native, ok := body.(*hclsyntax.Body)
 	if !ok || at == nil {
 		return "unknown"
@@ -246,7 +246,7 @@
 		}
 	}
 	for _, block := range native.Blocks {
-		if name := fieldAt(block.Body, at); name != "unknown" {
+		if name := settingAt(block.Body, at); name != "unknown" {
 			return block.Type + "." + name
 		}
 		if block.Range().ContainsPos(at.Start) {
@@ -259,18 +259,18 @@
 // seconds is the unit of a duration where it is checked against its bounds.
 const seconds = "seconds"
 
-// field is one bound on a setting.
-type field struct {
-	name       string // as the file spells it
-	unit       string // of value where the file gives it in another form, such as "1.4s"; empty: none
-	value      float64
-	least, max float64
+// bound is one bound on a setting.
+type bound struct {
+	name     string // as the file spells it
+	unit     string // of value where the file gives it in another form, such as "1.4s"; empty: none
+	value    float64
+	min, max float64
 }
 
 // checkFields returns a *SettingError of ErrOutOfRange for the first field outside its bounds.
-func checkFields(fields []field) error {
+func checkFields(fields []bound) error {
 	for _, f := range fields {
-		if !(f.value >= f.least && f.value <= f.max) {
+		if !(f.value >= f.min && f.value <= f.max) {
 			return outOfRange(f)
 		}
 	}
@@ -281,7 +281,7 @@
 	if _, err := time.ParseDuration(o.LeaderLife); err != nil {
 		return malformed("leader_life", err)
 	}
-	return checkFields([]field{
+	return checkFields([]bound{
 		{"leader_life", seconds, o.LeaderLifetime().Seconds(), 0.5, 60},
 		{"silent_share", "", o.SilentShare, 0.2, 10},
 		{"idle_s", "", o.IdleS, 0, 86400},
@@ -313,25 +313,25 @@
 		}
 	}
 	for _, t := range p.Facts.Teams {
-		within := func(guarantee, most float64) bool {
-			return guarantee >= 0 && most >= 0 && (most == 0 || guarantee <= most) // 0: no limit
+		validQuota := func(guarantee, limit float64) bool {
+			return guarantee >= 0 && limit >= 0 && (limit == 0 || guarantee <= limit) // 0: no limit
 		}
 		if t.Name == "" {
 			return missing("facts.teams.name", "is empty")
 		}
-		if !within(t.CPUs, t.CPUsMax) || !within(t.GPUs, t.GPUsMax) {
+		if !validQuota(t.CPUs, t.CPUsMax) || !validQuota(t.GPUs, t.GPUsMax) {
 			return &SettingError{Field: "facts.teams", Kind: ErrOutOfRange, Detail: fmt.Sprintf("of team %q: a guarantee is outside its limit", t.Name)}
 		}
 	}
 	f := &p.Facts
-	return checkFields([]field{
+	return checkFields([]bound{
 		{"facts.workers.report_s", "", f.Workers.ReportS, 0.01, 3600},
 		{"facts.workers.lease_s", "", f.Workers.LeaseS, 0.1, 86400},
 		{"facts.workers.cancel_s", "", f.Workers.CancelS, 0.1, 86400},
-		{"facts.state.rps", "", f.State.RPS, leastRPS, mostOfALimit},
-		{"facts.state.write_rps", "", f.State.WriteRPS, leastWriteRPS, mostOfALimit},
-		{"facts.state.value_kb", "", f.State.ValueKB, leastValueKB, 1e4},
-		{"facts.state.txn_ops", "", float64(f.State.TxnOps), leastTxnOps, 1e4},
+		{"facts.state.rps", "", f.State.RPS, minRPS, maxLimit},
+		{"facts.state.write_rps", "", f.State.WriteRPS, minWriteRPS, maxLimit},
+		{"facts.state.value_kb", "", f.State.ValueKB, minValueKB, 1e4},
+		{"facts.state.txn_ops", "", float64(f.State.TxnOps), minTxnOps, 1e4},
 		{"facts.cloud.rps", "", f.Cloud.RPS, 0.1, 1e4},
 		{"facts.cloud.list_lag_s", "", f.Cloud.ListLagS, 0, 3600},
 		{"facts.resources.memory_mb", "", f.Resources.MemoryMB, 32, 1e6},
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const good = `
+const validPlatform = `
 member = "n0"
 area = "a"
 client_listen = "127.0.0.1:1"
@@ -40,7 +40,7 @@
 max_connections = 1500
 `
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -49,36 +49,36 @@
 }
 
 func TestLoadPlatform(t *testing.T) {
-	p, err := LoadPlatform(write(t, "s.toml", good))
+	p, err := LoadPlatform(writeFile(t, "s.toml", validPlatform))
 	if err != nil || p.Member != "n0" || p.Facts.Teams[0].CPUsMax != 8 || p.Others[0].Addr != "127.0.0.1:3" {
 		t.Fatalf("%+v %v", p, err)
 	}
-	if _, err := LoadPlatform(write(t, "s.toml", strings.Replace(good, "cpus_max = 8.0", "cpus_max = 0.0", 1))); err != nil {
+	if _, err := LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "cpus_max = 8.0", "cpus_max = 0.0", 1))); err != nil {
 		t.Errorf("a guarantee without a limit: %v", err)
 	}
 	for bad, field := range map[string]string{
-		strings.Replace(good, "lease_s = 10.0", "lease_s = 0", 1):                              "facts.workers.lease_s",
-		strings.Replace(good, `state = "127.0.0.1:5"`, `state = "nowhere"`, 1):                 "external.state",
-		strings.Replace(good, `member = "n0"`, "", 1):                                          "member",
-		strings.Replace(good, "cpus_max = 8.0", "cpus_max = 1.0", 1):                           "facts.teams",
-		strings.Replace(good, "report_s = 2", `report_s = "often"`, 1):                         "report_s",
-		strings.Replace(good, `endpoint = "127.0.0.1:3"`, `endpoint = "127.0.0.1:3:9:9:9"`, 1): "others.n1.endpoint",
+		strings.Replace(validPlatform, "lease_s = 10.0", "lease_s = 0", 1):                              "facts.workers.lease_s",
+		strings.Replace(validPlatform, `state = "127.0.0.1:5"`, `state = "nowhere"`, 1):                 "external.state",
+		strings.Replace(validPlatform, `member = "n0"`, "", 1):                                          "member",
+		strings.Replace(validPlatform, "cpus_max = 8.0", "cpus_max = 1.0", 1):                           "facts.teams",
+		strings.Replace(validPlatform, "report_s = 2", `report_s = "often"`, 1):                         "report_s",
+		strings.Replace(validPlatform, `endpoint = "127.0.0.1:3"`, `endpoint = "127.0.0.1:3:9:9:9"`, 1): "others.n1.endpoint",
 	} {
-		if _, err := LoadPlatform(write(t, "s.toml", bad)); err == nil || !strings.Contains(err.Error(), field) {
+		if _, err := LoadPlatform(writeFile(t, "s.toml", bad)); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("want a complaint about %s, got %v", field, err)
 		}
 	}
 }
 
 func TestLoadOperator(t *testing.T) {
-	o, err := LoadOperator(write(t, "o.hcl", "idle_s = 10\n"))
+	o, err := LoadOperator(writeFile(t, "o.hcl", "idle_s = 10\n"))
 	if err != nil || o.IdleS != 10 || o.LeaderLife != DefaultOperator().LeaderLife {
 		t.Fatalf("%+v %v", o, err)
 	}
 	for bad, field := range map[string]string{
 		`leader_life = "soon"`: "leader_life", "headroom = -1": "headroom", "no_such = 1": "no_such", "idle_s = \"x\"": "idle_s",
 	} {
-		if _, err := LoadOperator(write(t, "o.hcl", bad)); err == nil || !strings.Contains(err.Error(), field) {
+		if _, err := LoadOperator(writeFile(t, "o.hcl", bad)); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("want a complaint about %s, got %v", field, err)
 		}
 	}
@@ -90,7 +90,7 @@
 // The coming limits of the state service may be missing or name only some.
 func TestNextLimits(t *testing.T) {
 	load := func(next string) (*Platform, error) {
-		return LoadPlatform(write(t, "s.toml", strings.Replace(good, "[facts.cloud]", next+"\n[facts.cloud]", 1)))
+		return LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "[facts.cloud]", next+"\n[facts.cloud]", 1)))
 	}
 	p, err := load("")
 	if err != nil || p.Facts.State.Coming() != p.Facts.State.Limits || p.Facts.State.Tightest() != p.Facts.State.Limits {
@@ -123,7 +123,7 @@
 		"rps = inf\nrps_x = {}": {10, 50, 8, 16},
 	} {
 		name, _, _ := strings.Cut(bad, " ")
-		p, err := LoadPlatform(write(t, "s.toml", strings.Replace(good, "[facts.cloud]", "[facts.state.next]\n"+bad+"\n[facts.cloud]", 1)))
+		p, err := LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "[facts.cloud]", "[facts.state.next]\n"+bad+"\n[facts.cloud]", 1)))
 		if err != nil {
 			t.Errorf("%s stops the start: %v", bad, err)
 			continue
@@ -135,14 +135,14 @@
 			t.Errorf("%s: warnings %v", bad, p.Warnings)
 		}
 	}
-	p, err := LoadPlatform(write(t, "s.toml", strings.Replace(good, "txn_ops = 16", "txn_ops = 16\nnext = 5", 1)))
+	p, err := LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "txn_ops = 16", "txn_ops = 16\nnext = 5", 1)))
 	if err != nil || len(p.Warnings) != 1 || p.Facts.State.Tightest() != (Limits{10, 5, 1, 4}) {
 		t.Errorf("next is no table: %+v %v", p, err)
 	}
 	for _, bad := range []string{"txn_ops = 2", "value_kb = 0.5", "write_rps = \"few\""} {
 		name, _, _ := strings.Cut(bad, " ")
 		now := map[string]string{"txn_ops": "txn_ops = 16", "value_kb": "value_kb = 8.0", "write_rps": "write_rps = 50.0"}[name]
-		if _, err := LoadPlatform(write(t, "s.toml", strings.Replace(good, now, bad, 1))); err == nil || !strings.Contains(err.Error(), name) {
+		if _, err := LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, now, bad, 1))); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s, which holds now: %v", bad, err)
 		}
 	}
--- a/config/errors.go
+++ b/config/errors.go
@@ -71,10 +71,10 @@
 }
 
 // outOfRange is the error of a number outside its bounds; unit, if any, is that of the number.
-func outOfRange(f field) *SettingError {
+func outOfRange(f bound) *SettingError {
 	value := fmt.Sprint(f.value)
 	if f.unit != "" {
 		value += " " + f.unit
 	}
-	return &SettingError{Field: f.name, Kind: ErrOutOfRange, Detail: fmt.Sprintf("is %s, must be between %v and %v", value, f.least, f.max)}
+	return &SettingError{Field: f.name, Kind: ErrOutOfRange, Detail: fmt.Sprintf("is %s, must be between %v and %v", value, f.min, f.max)}
 }
--- a/config/errors_test.go
+++ b/config/errors_test.go
@@ -11,26 +11,26 @@
 // spells it, tells the kind of fault to errors.Is, and keeps the parser's fault.
 func TestSettingErrorsNameFieldAndKind(t *testing.T) {
 	type want struct {
-		field string
-		kind  error
-		cause bool // a parser's fault is wrapped
+		field    string
+		kind     error
+		hasCause bool // a parser's fault is wrapped
 	}
 	platform := map[string]want{
-		strings.Replace(good, "lease_s = 10.0", "lease_s = 0", 1):                     {"facts.workers.lease_s", ErrOutOfRange, false},
-		strings.Replace(good, `state = "127.0.0.1:5"`, `state = "nowhere"`, 1):        {"external.state", ErrMalformed, true},
-		strings.Replace(good, `member = "n0"`, "", 1):                                 {"member", ErrMissing, false},
-		strings.Replace(good, `member = "n1"`, `member = "n0"`, 1):                    {"others.member", ErrConflict, false},
-		strings.Replace(good, `member = "n1"`, `member = ""`, 1):                      {"others.member", ErrMissing, false},
-		strings.Replace(good, "cpus_max = 8.0", "cpus_max = 1.0", 1):                  {"facts.teams", ErrOutOfRange, false},
-		strings.Replace(good, `name = "red"`, `name = ""`, 1):                         {"facts.teams.name", ErrMissing, false},
-		strings.Replace(good, "report_s = 2", `report_s = "often"`, 1):                {"facts.workers.report_s", ErrMalformed, true},
-		strings.Replace(good, "max_connections = 1500", "max_connections = 8", 1):     {"facts.resources.max_connections", ErrOutOfRange, false},
-		strings.Replace(good, "txn_ops = 16", "txn_ops = 2", 1):                       {"facts.state.txn_ops", ErrOutOfRange, false},
-		strings.Replace(good, `endpoint = "127.0.0.1:3"`, `endpoint = "here:3:9"`, 1): {"others.n1.endpoint", ErrMalformed, true},
+		strings.Replace(validPlatform, "lease_s = 10.0", "lease_s = 0", 1):                     {"facts.workers.lease_s", ErrOutOfRange, false},
+		strings.Replace(validPlatform, `state = "127.0.0.1:5"`, `state = "nowhere"`, 1):        {"external.state", ErrMalformed, true},
+		strings.Replace(validPlatform, `member = "n0"`, "", 1):                                 {"member", ErrMissing, false},
+		strings.Replace(validPlatform, `member = "n1"`, `member = "n0"`, 1):                    {"others.member", ErrConflict, false},
+		strings.Replace(validPlatform, `member = "n1"`, `member = ""`, 1):                      {"others.member", ErrMissing, false},
+		strings.Replace(validPlatform, "cpus_max = 8.0", "cpus_max = 1.0", 1):                  {"facts.teams", ErrOutOfRange, false},
+		strings.Replace(validPlatform, `name = "red"`, `name = ""`, 1):                         {"facts.teams.name", ErrMissing, false},
+		strings.Replace(validPlatform, "report_s = 2", `report_s = "often"`, 1):                {"facts.workers.report_s", ErrMalformed, true},
+		strings.Replace(validPlatform, "max_connections = 1500", "max_connections = 8", 1):     {"facts.resources.max_connections", ErrOutOfRange, false},
+		strings.Replace(validPlatform, "txn_ops = 16", "txn_ops = 2", 1):                       {"facts.state.txn_ops", ErrOutOfRange, false},
+		strings.Replace(validPlatform, `endpoint = "127.0.0.1:3"`, `endpoint = "here:3:9"`, 1): {"others.n1.endpoint", ErrMalformed, true},
 	}
 	for bad, w := range platform {
-		_, err := LoadPlatform(write(t, "s.toml", bad))
-		checkSettingError(t, err, w.field, w.kind, w.cause)
+		_, err := LoadPlatform(writeFile(t, "s.toml", bad))
+		checkSettingError(t, err, w.field, w.kind, w.hasCause)
 	}
 	operators := map[string]want{
 		`leader_life = "soon"`: {"leader_life", ErrMalformed, true},
@@ -48,20 +48,20 @@
 		"load_spreading {\n moves_in_flight = 101\n}\n":                                                            {"load_spreading.moves_in_flight", ErrOutOfRange, false},
 	}
 	for bad, w := range operators {
-		_, err := LoadOperator(write(t, "o.hcl", bad))
-		checkSettingError(t, err, w.field, w.kind, w.cause)
+		_, err := LoadOperator(writeFile(t, "o.hcl", bad))
+		checkSettingError(t, err, w.field, w.kind, w.hasCause)
 	}
 }
 
-func checkSettingError(t *testing.T, err error, field string, kind error, cause bool) {
+func checkSettingError(t *testing.T, err error, field string, kind error, hasCause bool) {
 	t.Helper()
 	var setting *SettingError
 	if !errors.As(err, &setting) {
 		t.Errorf("want a *SettingError about %s, got %T %v", field, err, err)
 		return
 	}
-	if setting.Field != field || !errors.Is(err, kind) || (setting.Err != nil) != cause {
-		t.Errorf("want field %s, kind %v, a cause %v; got field %s, cause %v: %v", field, kind, cause, setting.Field, setting.Err, err)
+	if setting.Field != field || !errors.Is(err, kind) || (setting.Err != nil) != hasCause {
+		t.Errorf("want field %s, kind %v, a cause %v; got field %s, cause %v: %v", field, kind, hasCause, setting.Field, setting.Err, err)
 	}
 	for _, other := range []error{ErrMissing, ErrMalformed, ErrOutOfRange, ErrConflict} {
 		if other != kind && errors.Is(err, other) {
@@ -75,24 +75,24 @@
 
 // A bound of a duration tells its unit; the field keeps the name of the setting alone.
 func TestSettingErrorText(t *testing.T) {
-	_, err := LoadOperator(write(t, "o.hcl", `leader_life = "0.2s"`))
+	_, err := LoadOperator(writeFile(t, "o.hcl", `leader_life = "0.2s"`))
 	if err == nil || !strings.HasSuffix(err.Error(), "field leader_life is 0.2 seconds, must be between 0.5 and 60") {
 		t.Errorf("got %v", err)
 	}
-	_, err = LoadPlatform(write(t, "s.toml", strings.Replace(good, "lease_s = 10.0", "lease_s = 0", 1)))
+	_, err = LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "lease_s = 10.0", "lease_s = 0", 1)))
 	if err == nil || !strings.HasSuffix(err.Error(), "s.toml: field facts.workers.lease_s is 0, must be between 0.1 and 86400") {
 		t.Errorf("got %v", err)
 	}
 }
 
 // A file that is not there is no fault of a setting, and says so to errors.Is.
-func TestMissingFileIsNoSettingError(t *testing.T) {
-	_, err := LoadPlatform(write(t, "s.toml", good) + ".gone")
+func TestMissingFileIsNotSettingError(t *testing.T) {
+	_, err := LoadPlatform(writeFile(t, "s.toml", validPlatform) + ".gone")
 	var setting *SettingError
 	if !errors.Is(err, fs.ErrNotExist) || errors.As(err, &setting) {
 		t.Errorf("platform's file: %v", err)
 	}
-	_, err = LoadOperator(write(t, "o.hcl", "") + ".gone")
+	_, err = LoadOperator(writeFile(t, "o.hcl", "") + ".gone")
 	if err == nil || errors.As(err, &setting) {
 		t.Errorf("operators' file: %v", err)
 	}
--- a/config/load_spreading.go
+++ b/config/load_spreading.go
@@ -47,9 +47,9 @@
 			return nil, err
 		}
 	}
-	l.High, l.LeastShare = orNow(b.High, l.High), orNow(b.LeastShare, l.LeastShare)
-	l.LeastGain, l.CostShare = orNow(b.LeastGain, l.LeastGain), orNow(b.CostShare, l.CostShare)
-	l.MovesPerMinute, l.MovesInFlight = orNow(b.MovesPerMinute, l.MovesPerMinute), orNow(b.MovesInFlight, l.MovesInFlight)
+	l.High, l.LeastShare = valueOr(b.High, l.High), valueOr(b.LeastShare, l.LeastShare)
+	l.LeastGain, l.CostShare = valueOr(b.LeastGain, l.LeastGain), valueOr(b.CostShare, l.CostShare)
+	l.MovesPerMinute, l.MovesInFlight = valueOr(b.MovesPerMinute, l.MovesPerMinute), valueOr(b.MovesInFlight, l.MovesInFlight)
 	if b.KeepIdle != nil {
 		l.KeepIdle = *b.KeepIdle
 	}
@@ -66,7 +66,7 @@
 	if err := checkAddress("load_spreading.status_listen", l.StatusListen); err != nil {
 		return err
 	}
-	return checkFields([]field{
+	return checkFields([]bound{
 		{"load_spreading.high", "", l.High, 1.02, 10},
 		{"load_spreading.least_share", "", l.LeastShare, 0, 1},
 		{"load_spreading.least_gain", "", l.LeastGain, 0.005, 1},
--- a/config/load_spreading_test.go
+++ b/config/load_spreading_test.go
@@ -15,7 +15,7 @@
 	if err != nil || o.Spreading == nil || !reflect.DeepEqual(o.Spreading.Settings, balance.DefaultSettings()) {
 		t.Fatalf("%+v %v", o.Spreading, err)
 	}
-	o, err = LoadOperator(write(t, "o.hcl", "load_spreading {\n stay = \"2m\"\n keep_idle = true\n status_listen = \"127.0.0.1:7072\"\n}\n"))
+	o, err = LoadOperator(writeFile(t, "o.hcl", "load_spreading {\n stay = \"2m\"\n keep_idle = true\n status_listen = \"127.0.0.1:7072\"\n}\n"))
 	want := balance.DefaultSettings()
 	want.Stay, want.KeepIdle = 2*time.Minute, true
 	if err != nil || o.Spreading.Settings != want || o.Spreading.StatusListen != "127.0.0.1:7072" || o.SpreadingBlock != nil {
@@ -40,7 +40,7 @@
 		"status_listen = \"everywhere\"": "load_spreading.status_listen",
 		"no_such = 1":                    "load_spreading.no_such",
 	} {
-		if _, err := LoadOperator(write(t, "o.hcl", "load_spreading {\n"+bad+"\n}\n")); err == nil || !strings.Contains(err.Error(), field) {
+		if _, err := LoadOperator(writeFile(t, "o.hcl", "load_spreading {\n"+bad+"\n}\n")); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: want a complaint about %s, got %v", bad, field, err)
 		}
 	}
--- a/config/next.go
+++ b/config/next.go
@@ -9,15 +9,15 @@
 // The least limits of the state service that a controller can work with: the end of a job
 // takes two changes, and an election, a refusal and a user's request a few requests a second.
 const (
-	leastRPS      = 10
-	leastWriteRPS = 5
-	leastValueKB  = 1
-	leastTxnOps   = 4
-	mostOfALimit  = 1e6
+	minRPS      = 10
+	minWriteRPS = 5
+	minValueKB  = 1
+	minTxnOps   = 4
+	maxLimit    = 1e6
 )
 
-// Next names the limits that will change.
-type Next struct {
+// NextLimits names the limits that will change.
+type NextLimits struct {
 	RPS      *float64 // nil: stays
 	WriteRPS *float64 // nil: stays
 	ValueKB  *float64 // nil: stays
@@ -25,43 +25,43 @@
 }
 
 // String shows what is named.
-func (n Next) String() string {
-	var named []string
-	show := func(name string, value *float64) {
+func (n NextLimits) String() string {
+	var parts []string
+	add := func(name string, value *float64) {
 		if value != nil {
-			named = append(named, fmt.Sprintf("%s:%v", name, *value))
+			parts = append(parts, fmt.Sprintf("%s:%v", name, *value))
 		}
 	}
-	show("RPS", n.RPS)
-	show("WriteRPS", n.WriteRPS)
-	show("ValueKB", n.ValueKB)
+	add("RPS", n.RPS)
+	add("WriteRPS", n.WriteRPS)
+	add("ValueKB", n.ValueKB)
 	if n.TxnOps != nil {
-		named = append(named, fmt.Sprintf("TxnOps:%d", *n.TxnOps))
+		parts = append(parts, fmt.Sprintf("TxnOps:%d", *n.TxnOps))
 	}
-	return "{" + strings.Join(named, " ") + "}"
+	return "{" + strings.Join(parts, " ") + "}"
 }
 
-// nextFields is state.next as it stands in the file, whatever the types of its values.
-type nextFields struct{ rps, writeRPS, valueKB, txnOps any }
+// rawNextLimits is state.next as it stands in the file, whatever the types of its values.
+type rawNextLimits struct{ rps, writeRPS, valueKB, txnOps any }
 
-// nextLimits reads state.next. Unknown fields are ignored; what is no table gives no limit
+// parseNextLimits reads state.next. Unknown fields are ignored; what is no table gives no limit
 // that can be used.
-func nextLimits(table any) (Next, []Warning) {
+func parseNextLimits(table any) (NextLimits, []Warning) {
 	if table == nil {
-		return Next{}, nil
+		return NextLimits{}, nil
 	}
 	fields, ok := table.(map[string]any)
 	if !ok {
-		return leastLimits(), []Warning{{Field: "facts.state.next", Value: table, Used: "the least limits"}}
+		return minLimits(), []Warning{{Field: "facts.state.next", Value: table, Used: "the least limits"}}
 	}
-	return nextFields{
+	return rawNextLimits{
 		rps: fields["rps"], writeRPS: fields["write_rps"], valueKB: fields["value_kb"], txnOps: fields["txn_ops"],
-	}.understand()
+	}.parse()
 }
 
-func leastLimits() Next {
-	rps, writeRPS, valueKB, txnOps := float64(leastRPS), float64(leastWriteRPS), float64(leastValueKB), leastTxnOps
-	return Next{RPS: &rps, WriteRPS: &writeRPS, ValueKB: &valueKB, TxnOps: &txnOps}
+func minLimits() NextLimits {
+	rps, writeRPS, valueKB, txnOps := float64(minRPS), float64(minWriteRPS), float64(minValueKB), minTxnOps
+	return NextLimits{RPS: &rps, WriteRPS: &writeRPS, ValueKB: &valueKB, TxnOps: &txnOps}
 }
 
 // A Warning tells of a setting that can't be used, and of the safe value that is used
@@ -77,34 +77,34 @@
 	return fmt.Sprintf("field %s is %v, which can't be used: the service keeps to %v", w.Field, w.Value, w.Used)
 }
 
-// understand takes what can be used of the fields. A value of another kind, or one outside
+// parse takes what can be used of the fields. A value of another kind, or one outside
 // the bounds, gives way to the least that a controller can work with: whatever limit comes,
 // the service then exceeds it as little as it can.
-func (f nextFields) understand() (Next, []Warning) {
-	var next Next
+func (f rawNextLimits) parse() (NextLimits, []Warning) {
+	var next NextLimits
 	var warnings []Warning
-	limit := func(name string, value any, least float64, whole bool) *float64 {
+	limit := func(name string, value any, minimum float64, whole bool) *float64 {
 		if value == nil {
 			return nil
 		}
-		amount, known := amountOf(value)
-		if !known || !(amount >= least && amount <= mostOfALimit) || whole && amount != math.Trunc(amount) {
-			warnings = append(warnings, Warning{Field: "facts.state.next." + name, Value: value, Used: fmt.Sprint(least)})
-			amount = least
+		number, isNumber := numberOf(value)
+		if !isNumber || !(number >= minimum && number <= maxLimit) || whole && number != math.Trunc(number) {
+			warnings = append(warnings, Warning{Field: "facts.state.next." + name, Value: value, Used: fmt.Sprint(minimum)})
+			number = minimum
 		}
-		return &amount
+		return &number
 	}
-	next.RPS = limit("rps", f.rps, leastRPS, false)
-	next.WriteRPS = limit("write_rps", f.writeRPS, leastWriteRPS, false)
-	next.ValueKB = limit("value_kb", f.valueKB, leastValueKB, false)
-	if ops := limit("txn_ops", f.txnOps, leastTxnOps, true); ops != nil {
+	next.RPS = limit("rps", f.rps, minRPS, false)
+	next.WriteRPS = limit("write_rps", f.writeRPS, minWriteRPS, false)
+	next.ValueKB = limit("value_kb", f.valueKB, minValueKB, false)
+	if ops := limit("txn_ops", f.txnOps, minTxnOps, true); ops != nil {
 		n := int(*ops)
 		next.TxnOps = &n
 	}
 	return next, warnings
 }
 
-func amountOf(value any) (float64, bool) {
+func numberOf(value any) (float64, bool) {
 	switch v := value.(type) {
 	case float64:
 		return v, true
--- a/config/zone_recovery.go
+++ b/config/zone_recovery.go
@@ -45,7 +45,7 @@
 			return nil, err
 		}
 	}
-	z.FirstStarts, z.FirstFetches = orNow(b.FirstStarts, z.FirstStarts), orNow(b.FirstFetches, z.FirstFetches)
+	z.FirstStarts, z.FirstFetches = valueOr(b.FirstStarts, z.FirstStarts), valueOr(b.FirstFetches, z.FirstFetches)
 	if b.StatusListen != nil {
 		z.StatusListen = *b.StatusListen
 	}
@@ -70,7 +70,7 @@
 	if err := checkAddress("zone_recovery.status_listen", z.StatusListen); err != nil {
 		return err
 	}
-	return checkFields([]field{
+	return checkFields([]bound{
 		{"zone_recovery.lost_after", seconds, z.LostAfter.Seconds(), 0.1, 600},
 		{"zone_recovery.hold_down", seconds, z.HoldDown.Seconds(), 0, 600},
 		{"zone_recovery.hold_down_most", seconds, z.HoldDownMost.Seconds(), z.HoldDown.Seconds(), 3600},
--- a/config/zone_recovery_test.go
+++ b/config/zone_recovery_test.go
@@ -8,15 +8,15 @@
 	"pumicefront/zones"
 )
 
-func TestZoneRecoveryIsOffWithoutItsBlock(t *testing.T) {
-	o, err := LoadOperator(write(t, "o.hcl", "idle_s = 10\n"))
+func TestZoneRecoveryIsOffByDefault(t *testing.T) {
+	o, err := LoadOperator(writeFile(t, "o.hcl", "idle_s = 10\n"))
 	if err != nil || o.ZoneRecovery != nil || o.ZoneRecovery.String() != "off" {
 		t.Errorf("%+v %v", o, err)
 	}
 }
 
 func TestZoneRecoverySettings(t *testing.T) {
-	o, err := LoadOperator(write(t, "o.hcl", "zone_recovery {\n hold_down = \"7s\"\n first_starts = 3\n}\n"))
+	o, err := LoadOperator(writeFile(t, "o.hcl", "zone_recovery {\n hold_down = \"7s\"\n first_starts = 3\n}\n"))
 	want := zones.DefaultSettings()
 	want.HoldDown, want.FirstStarts = 7*time.Second, 3
 	if err != nil || o.ZoneRecovery == nil || o.ZoneRecovery.Settings != want {
@@ -38,7 +38,7 @@
 		`no_such = 1`:                               "zone_recovery.no_such",
 		"lost_after = \"1s\"\n}\nzone_recovery {\n": "zone_recovery",
 	} {
-		if _, err := LoadOperator(write(t, "o.hcl", "zone_recovery {\n"+bad+"\n}\n")); err == nil || !strings.Contains(err.Error(), field) {
+		if _, err := LoadOperator(writeFile(t, "o.hcl", "zone_recovery {\n"+bad+"\n}\n")); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: want a complaint about %s, got %v", bad, field, err)
 		}
 	}
--- a/movetrace/recorder.go
+++ b/movetrace/recorder.go
@@ -15,8 +15,8 @@
 
 // Names of spans, events and attributes.
 const (
-	spanMove   = "move"
-	eventGiven = "held room is given up"
+	spanMove                 = "move"
+	eventReservationReleased = "held room is given up"
 
 	keyJob     = "job"
 	keyTask    = "task"
@@ -27,17 +27,17 @@
 	keyOutcome = "outcome"
 	keyReason  = "reason"
 
-	outcomeLeaderOver = "its leader leads no more"
+	outcomeLeadershipLost = "its leader leads no more"
 )
 
 // Recorder turns steps of moves into spans. A nil one records nothing. It is used by one goroutine.
 type Recorder struct {
 	tracer trace.Tracer
-	moves  map[balance.TaskID]move
+	moves  map[balance.TaskID]moveSpan
 }
 
 // move is one that is under way.
-type move struct {
+type moveSpan struct {
 	span trace.Span
 	term uint64
 }
@@ -47,7 +47,7 @@
 	if e == nil {
 		return nil
 	}
-	return &Recorder{tracer: e.Tracer("pumicefront/movetrace"), moves: map[balance.TaskID]move{}}
+	return &Recorder{tracer: e.Tracer("pumicefront/movetrace"), moves: map[balance.TaskID]moveSpan{}}
 }
 
 // Record records a step of a move.
@@ -55,10 +55,10 @@
 	if r == nil {
 		return
 	}
-	m := r.move(c)
+	m := r.findOrStartMove(c)
 	at := trace.WithTimestamp(c.At)
 	if c.Loss != "" && c.Loss != balance.LossOver {
-		m.span.AddEvent(eventGiven, at, trace.WithAttributes(attribute.String(keyReason, string(c.Loss))))
+		m.span.AddEvent(eventReservationReleased, at, trace.WithAttributes(attribute.String(keyReason, string(c.Loss))))
 	}
 	if c.Outcome == "" {
 		m.span.AddEvent(c.Phase.String(), at)
@@ -71,10 +71,10 @@
 
 // move returns the move that a step belongs to. What an earlier term of this controller has left open
 // ends with the first step of a later one.
-func (r *Recorder) move(c controller.MoveChanged) move {
+func (r *Recorder) findOrStartMove(c controller.MoveChanged) moveSpan {
 	for id, open := range r.moves {
 		if open.term != c.Term {
-			open.span.SetAttributes(attribute.String(keyOutcome, outcomeLeaderOver))
+			open.span.SetAttributes(attribute.String(keyOutcome, outcomeLeadershipLost))
 			open.span.End(trace.WithTimestamp(c.At))
 			delete(r.moves, id)
 		}
@@ -84,7 +84,7 @@
 		_, span := r.tracer.Start(context.Background(), spanMove, trace.WithTimestamp(c.Began), trace.WithAttributes(
 			attribute.String(keyJob, c.Job), attribute.Int(keyTask, c.Index), attribute.String(keyFrom, c.From), attribute.String(keyTo, c.To),
 			attribute.Int64(keyTerm, int64(c.Term)), attribute.Float64(keyGain, c.Gain)))
-		found = move{span, c.Term}
+		found = moveSpan{span, c.Term}
 		r.moves[c.TaskID] = found
 	}
 	return found
--- a/movetrace/recorder_test.go
+++ b/movetrace/recorder_test.go
@@ -15,7 +15,7 @@
 // Each move is a span with its steps; what a leader leaves open ends with the next term.
 func TestSpansOfMoves(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
-	r := New(spanexport.With(sdktrace.WithSyncer(spans), "n0"))
+	r := New(spanexport.NewWithOption(sdktrace.WithSyncer(spans), "n0"))
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	step := func(job string, term uint64, s int, phase balance.Phase, outcome balance.Outcome, loss balance.Loss) {
 		m := balance.Move{Task: balance.Task{TaskID: balance.TaskID{Job: job, Index: 2}}, From: "a", To: "b"}
@@ -32,7 +32,7 @@
 		took    time.Duration
 		events  int
 		outcome string
-	}{"moved": {5 * time.Second, 3, "diverted"}, "left": {9 * time.Second, 1, outcomeLeaderOver}, "next": {10 * time.Second, 1, "completed"}}
+	}{"moved": {5 * time.Second, 3, "diverted"}, "left": {9 * time.Second, 1, outcomeLeadershipLost}, "next": {10 * time.Second, 1, "completed"}}
 	for _, s := range spans.GetSpans() {
 		job, outcome := "", ""
 		for _, a := range s.Attributes {
--- a/server/cell_gate.go
+++ b/server/cell_gate.go
@@ -9,34 +9,35 @@
 	"pumicefront/config"
 )
 
-// What other cells may ask of this one: a cell that floods must turn away neither users nor the
-// other cells.
+// Limits on the calls from other cells: a cell that sends too many calls must not cause requests of users
+// or of other cells to be rejected.
 
-// Bounds on the calls of one cell. It asks every two seconds, at most twice a second when much changes.
+// Limits on the calls of one cell. A cell normally calls every two seconds, and at most twice a second
+// when much changes.
 const (
 	cellCallsPerSecond = 10
-	cellCallsAtOnce    = 20
-	cellQueuePerPeer   = 8  // calls that wait for the core, for each cell; operators' requests share them
-	cellConnections    = 16 // open at once, for each cell
+	cellCallBurst      = 20
+	queuedCallsPerCell = 8  // queue slots per cell for calls that wait for the core; shared with operators' requests
+	connectionsPerCell = 16 // open connections per cell
 )
 
-// cellGate bounds the calls of each cell that the settings name.
-type cellGate struct {
+// cellRateLimiter limits the call rate of each cell that is configured as a peer.
+type cellRateLimiter struct {
 	limiters map[cells.Cell]*rate.Limiter
 }
 
-func newCellGate(settings *config.Cell) *cellGate {
-	g := &cellGate{limiters: map[cells.Cell]*rate.Limiter{}}
+func newCellRateLimiter(settings *config.Cell) *cellRateLimiter {
+	g := &cellRateLimiter{limiters: map[cells.Cell]*rate.Limiter{}}
 	for _, p := range settings.Peers {
-		g.limiters[cells.Cell(p.Name)] = rate.NewLimiter(cellCallsPerSecond, cellCallsAtOnce)
+		g.limiters[cells.Cell(p.Name)] = rate.NewLimiter(cellCallsPerSecond, cellCallBurst)
 	}
 	return g
 }
 
-// known reports whether a cell may call at all.
-func (g *cellGate) known(cell cells.Cell) bool { return g.limiters[cell] != nil }
+// isPeer reports whether a cell is configured as a peer; other cells may not call.
+func (g *cellRateLimiter) isPeer(cell cells.Cell) bool { return g.limiters[cell] != nil }
 
-// admits reports whether a call of a known cell is within its bounds, and counts it.
-func (g *cellGate) admits(cell cells.Cell, now time.Time) bool {
+// allow reports whether a peer's call is within its rate limit, and counts the call against the limit.
+func (g *cellRateLimiter) allow(cell cells.Cell, now time.Time) bool {
 	return g.limiters[cell].AllowN(now, 1)
 }
--- a/server/operators.go
+++ b/server/operators.go
@@ -12,21 +12,22 @@
 	"pumicefront/spanexport"
 )
 
-// What the listeners for operators and other cells have in common.
+// Shared by the listeners for operators and for other cells.
 
-// operatorsServer is the server of such a listener.
-func operatorsServer(handler http.Handler) *http.Server {
+// newHTTPServer returns the HTTP server of such a listener.
+func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 8 << 10}
 }
 
-// askCore has the core answer a request by way of a queue, or refuses it.
-func askCore(w http.ResponseWriter, queue chan<- request, id uint64, in controller.Input) (controller.Answer, bool) {
-	a, ok := ask(queue, id, in)
+// callCoreOrReject sends a request to the core through the given queue and returns the answer. Without an
+// answer of status 200 it writes an error response and returns false.
+func callCoreOrReject(w http.ResponseWriter, queue chan<- request, id uint64, in controller.Input) (controller.Answer, bool) {
+	a, ok := callCore(queue, id, in)
 	if ok && a.Status == http.StatusOK {
 		return a, true
 	}
 	status := a.Status
-	if !ok || status == 0 { // 0: the state service has not answered
+	if !ok || status == 0 { // 0: no response from the state service
 		status = http.StatusServiceUnavailable
 	}
 	w.Header().Set("Retry-After", "1")
@@ -34,22 +35,23 @@
 	return a, false
 }
 
-// serveStatus answers with what the core tells, as JSON.
+// serveStatus responds with the core's answer as JSON.
 func serveStatus(w http.ResponseWriter, queue chan<- request, id uint64, in controller.Input) {
-	a, ok := askCore(w, queue, id, in)
+	a, ok := callCoreOrReject(w, queue, id, in)
 	if !ok {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(a.Body); err != nil {
-		slog.Debug("answer not written", "err", err)
+		slog.Debug("failed to write response", "err", err)
 	}
 }
 
-// closeTimeout bounds the wait for the last spans to be written.
-const closeTimeout = time.Second
+// spanFlushTimeout bounds the wait for the remaining spans to be written at shutdown.
+const spanFlushTimeout = time.Second
 
-// openTrace opens where spans are written to, as a setting says; without such a place there is none.
+// openTrace returns an exporter that writes spans to target, the value of the setting named field. An empty
+// target gives no exporter.
 func openTrace(field, target, member string) (*spanexport.Exporter, error) {
 	if target == "" {
 		return nil, nil
@@ -61,12 +63,12 @@
 	return spans, nil
 }
 
-// startOperatorsEndpoint serves a status at an address, if there is one, and returns what ends that and
-// writes the last spans.
-func (s *Server) startOperatorsEndpoint(address, path string, serve http.HandlerFunc, spans *spanexport.Exporter) (stop func(), err error) {
+// startStatusEndpoint serves a status at the given address unless it is empty. It returns the function that
+// stops the endpoint and writes the remaining spans.
+func (s *Server) startStatusEndpoint(address, path string, serve http.HandlerFunc, spans *spanexport.Exporter) (stop func(), err error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, serve)
-	status := operatorsServer(mux)
+	status := newHTTPServer(mux)
 	if address != "" {
 		ln, err := listen(address)
 		if err != nil {
@@ -75,13 +77,13 @@
 		go func() { slog.Info("status endpoint closed", "path", path, "err", status.Serve(ln)) }()
 	}
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), spanFlushTimeout)
 		defer cancel()
 		if err := status.Close(); err != nil {
-			slog.Error("status endpoint", "path", path, "err", err)
+			slog.Error("failed to close status endpoint", "path", path, "err", err)
 		}
 		if err := spans.Close(ctx); err != nil {
-			slog.Error("spans not written", "err", err)
+			slog.Error("failed to write spans", "err", err)
 		}
 	}, nil
 }
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,6 @@
-// Package server is the shell around the core: HTTP for users, workers and the
-// load balancer, the mesh, and the calls that the core asks for. One goroutine
-// owns the core; everything else reaches it through one bounded queue.
+// Package server runs the controller core and does all its I/O: HTTP for users, workers, operators, other
+// cells and the load balancer, the mesh with the other controllers, and the outgoing calls that the core
+// requests. One goroutine owns the core; all other goroutines reach it through bounded queues.
 package server
 
 import (
@@ -32,92 +32,93 @@
 )
 
 const (
-	answerTimeout = 3 * time.Second
-	answerLife    = 2 * time.Second // users wait for two
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 90 * time.Second
-	listenPause   = 200 * time.Millisecond
-	listenTries   = 100
+	answerTimeout       = 3 * time.Second
+	maxAnswerAge        = 2 * time.Second // users time out after 2 s
+	headerTimeout       = 5 * time.Second
+	idleTimeout         = 90 * time.Second
+	listenRetryInterval = 200 * time.Millisecond
+	maxListenRetries    = 100
 )
 
 // Server runs one controller.
 type Server struct {
-	cfg     *config.Platform
-	op      config.Operator
-	core    *controller.Core
-	client  *client.Client
-	mesh    *mesh.Mesh
-	inputs  chan controller.Input
-	asked   chan request
-	byCells chan request // what other cells and their operators ask: in a queue of their own; nil: this cell is alone
-	gate    *cellGate
-	nextID  atomic.Uint64
-	open    atomic.Int64              // connections of users and workers
-	until   atomic.Pointer[time.Time] // the core's authority, as it was after its last step
-	zones   *zonetrace.Recorder       // nil: recoveries of zones are not traced
-	cells   *celllink.Client          // nil: this cell is alone
-	moves   *movetrace.Recorder       // nil: moves are not traced
+	cfg            *config.Platform
+	operator       config.Operator
+	core           *controller.Core
+	client         *client.Client
+	mesh           *mesh.Mesh
+	inputs         chan controller.Input
+	requests       chan request
+	cellRequests   chan request // requests of other cells and of spill-over operators, in a separate queue; nil: spill-over is off
+	cellLimiter    *cellRateLimiter
+	nextID         atomic.Uint64
+	conns          atomic.Int64              // open connections of users and workers
+	authorityUntil atomic.Pointer[time.Time] // when the core's authority expires, as of its last step
+	zoneTrace      *zonetrace.Recorder       // nil: zone recoveries are not traced
+	cellClient     *celllink.Client          // nil: spill-over is off
+	moveTrace      *movetrace.Recorder       // nil: moves are not traced
 }
 
-// How the sockets are shared: most for users and workers, some for calls of
-// workers, the rest for the state service, the cloud, the other controllers and
-// connections that wait to be accepted.
+// The socket budget: three quarters for connections from users and workers, an eighth for calls to workers
+// (see New), and the rest for the state service, the cloud, the other controllers and connections that
+// wait to be accepted.
 func (s *Server) maxConnections() int       { return s.cfg.Facts.Resources.MaxConnections * 3 / 4 }
-func (s *Server) nearConnectionLimit() bool { return s.open.Load() > int64(s.maxConnections()*5/6) }
+func (s *Server) nearConnectionLimit() bool { return s.conns.Load() > int64(s.maxConnections()*5/6) }
 
-// trackConnection follows the number of open connections.
+// trackConnection counts the open connections of users and workers.
 func (s *Server) trackConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		s.open.Add(1)
+		s.conns.Add(1)
 	case http.StateClosed, http.StateHijacked:
-		s.open.Add(-1)
+		s.conns.Add(-1)
 	}
 }
 
-// request is an input that waits for an answer.
+// request is an input to the core whose sender waits for an answer.
 type request struct {
-	id    uint64
-	input controller.Input
-	at    time.Time
-	reply chan answer
+	id         uint64
+	input      controller.Input
+	receivedAt time.Time
+	reply      chan timedAnswer
 }
 
-// answer is an answer and when the core decided on it.
-type answer struct {
+// timedAnswer is an answer together with the time at which the core decided on it.
+type timedAnswer struct {
 	controller.Answer
-	at time.Time
+	decidedAt time.Time
 }
 
-// entitled reports whether the core may act for the controllers now.
-func (s *Server) entitled() bool {
-	until := s.until.Load()
-	return until != nil && time.Now().Before(*until)
+// hasAuthority reports whether this controller may act as leader now.
+func (s *Server) hasAuthority() bool {
+	authorityUntil := s.authorityUntil.Load()
+	return authorityUntil != nil && time.Now().Before(*authorityUntil)
 }
 
-// New makes a controller from its settings. The queues hold what all connections
-// can ask at once: when everybody comes back in the same second, nobody is sent away
-// for lack of a place.
-func New(cfg *config.Platform, op config.Operator) *Server {
+// New returns a controller with the given settings. The queues have room for one request of every
+// connection, so that no request is rejected for a full queue when all clients reconnect in the same
+// second.
+func New(cfg *config.Platform, operator config.Operator) *Server {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	conns := cfg.Facts.Resources.MaxConnections
 	s := &Server{
-		cfg:    cfg,
-		op:     op,
-		core:   controller.New(cfg, op, rng, time.Now()),
-		inputs: make(chan controller.Input, conns),
-		asked:  make(chan request, conns),
+		cfg:      cfg,
+		operator: operator,
+		core:     controller.New(cfg, operator, rng, time.Now()),
+		inputs:   make(chan controller.Input, conns),
+		requests: make(chan request, conns),
 	}
-	if op.Cell != nil {
-		s.byCells, s.gate = make(chan request, cellQueuePerPeer*len(op.Cell.Peers)), newCellGate(op.Cell)
+	if operator.Cell != nil {
+		s.cellRequests, s.cellLimiter = make(chan request, queuedCallsPerCell*len(operator.Cell.Peers)), newCellRateLimiter(operator.Cell)
 	}
-	s.client = client.New(cfg.External.State, cfg.External.Cloud, conns/8, s.entitled)
+	s.client = client.New(cfg.External.State, cfg.External.Cloud, conns/8, s.hasAuthority)
 	return s
 }
 
-// Run serves until ctx ends or a listener fails. It returns the error of an address that can't be
-// listened at (one in use is tried again for listenTries times listenPause first), of a trace file
-// that can't be opened, or of the server that stopped; where ctx ends, that of closing the server.
+// Run serves until ctx is done or a listener fails. It returns an error if it cannot listen on an address
+// (an address in use is first retried maxListenRetries times, listenRetryInterval apart), if a trace file
+// cannot be opened, or if the HTTP server stops. When ctx is done it returns the result of closing the
+// HTTP server.
 func (s *Server) Run(ctx context.Context) error {
 	peers := map[string]string{}
 	for _, o := range s.cfg.Others {
@@ -130,64 +131,64 @@
 	s.mesh = mesh.New(ctx, meshLn, peers, func(e *mesh.Envelope) {
 		select {
 		case s.inputs <- controller.MeshMessage{Envelope: e}:
-		default: // overloaded: the mesh promises nothing
+		default: // overloaded: the message is dropped, since the mesh does not guarantee delivery
 		}
 	})
 	ln, err := listen(s.cfg.Listen)
 	if err != nil {
 		return err
 	}
-	closeZones, err := s.startZones()
+	closeZones, err := s.startZoneStatus()
 	if err != nil {
 		return err
 	}
 	defer closeZones()
-	closeCells, err := s.startCells()
+	closeCells, err := s.startCellListener()
 	if err != nil {
 		return err
 	}
 	defer closeCells()
-	closeSpreading, err := s.startSpreading()
+	closeSpreading, err := s.startLoadSpreadingStatus()
 	if err != nil {
 		return err
 	}
 	defer closeSpreading()
-	h := &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 8 << 10, ConnState: s.trackConnection}
+	httpServer := &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 8 << 10, ConnState: s.trackConnection}
 	failed := make(chan error, 1)
-	// Beyond the limit connections wait unaccepted, and the load balancer tries
-	// another controller; the rest of the sockets is for the core's own calls.
+	// Connections beyond the limit stay unaccepted, so that the load balancer tries another controller;
+	// the remaining sockets are reserved for the core's own calls.
 	ln = netutil.LimitListener(ln, s.maxConnections())
-	go func() { failed <- h.Serve(ln) }()
-	go s.loop(ctx)
+	go func() { failed <- httpServer.Serve(ln) }()
+	go s.runCore(ctx)
 	slog.Info("serving", "member", s.cfg.Member, "addr", s.cfg.Listen)
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
-		return h.Close()
+		return httpServer.Close()
 	}
 }
 
-// listen waits a while for an address that is in use: after a process was killed,
-// a connection of another may hold its port for a moment, and ending over that
-// would only delay the start.
+// listen retries for a while if the address is in use: after a process was killed, a connection of another
+// process may hold the port for a moment, and exiting because of that would only delay the start.
 func listen(addr string) (net.Listener, error) {
-	for tries := 0; ; tries++ {
+	for retries := 0; ; retries++ {
 		ln, err := net.Listen("tcp", addr)
 		if err == nil {
 			return ln, nil
 		}
-		if tries == listenTries || !errors.Is(err, syscall.EADDRINUSE) {
+		if retries == maxListenRetries || !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
-		slog.Info("address in use, trying again", "addr", addr)
-		time.Sleep(listenPause)
+		slog.Info("address in use, retrying", "addr", addr)
+		time.Sleep(listenRetryInterval)
 	}
 }
 
-// loop is the one goroutine that owns the core.
-func (s *Server) loop(ctx context.Context) {
-	waiting := map[uint64]chan answer{}
+// runCore is the event loop that owns the core: after New, only its goroutine uses the core. It passes
+// inputs and timer expirations to the core and executes the resulting outputs.
+func (s *Server) runCore(ctx context.Context) {
+	waiting := map[uint64]chan timedAnswer{}
 	timer := time.NewTimer(0)
 	for {
 		var in controller.Input
@@ -195,12 +196,12 @@
 		case <-ctx.Done():
 			return
 		case in = <-s.inputs:
-		case r := <-s.asked:
-			if in = take(waiting, r); in == nil {
+		case r := <-s.requests:
+			if in = registerRequest(waiting, r); in == nil {
 				continue
 			}
-		case r := <-s.byCells:
-			if in = take(waiting, r); in == nil {
+		case r := <-s.cellRequests:
+			if in = registerRequest(waiting, r); in == nil {
 				continue
 			}
 		case <-timer.C:
@@ -208,33 +209,34 @@
 		}
 		now := time.Now()
 		outputs := s.core.Step(now, in)
-		until := s.core.Authority()
-		s.until.Store(&until)
+		authorityUntil := s.core.Authority()
+		s.authorityUntil.Store(&authorityUntil)
 		for _, o := range outputs {
 			if a, ok := o.(controller.Answer); ok {
 				if ch := waiting[a.Req]; ch != nil {
-					ch <- answer{a, now}
+					ch <- timedAnswer{a, now}
 					delete(waiting, a.Req)
 				}
 				continue
 			}
-			s.carryOut(o)
+			s.execute(o)
 		}
 		timer.Reset(time.Until(s.core.Wake()))
 	}
 }
 
-// take notes who waits for the answer to a request, and returns what it asks; nothing if nobody waits
-// any more: no work is wasted on what was refused already.
-func take(waiting map[uint64]chan answer, r request) controller.Input {
-	if time.Since(r.at) > answerTimeout {
+// registerRequest records where the answer to a request goes and returns the request's input. It returns
+// nil if the sender has already timed out, so that the core does no work for a request that was rejected.
+func registerRequest(waiting map[uint64]chan timedAnswer, r request) controller.Input {
+	if time.Since(r.receivedAt) > answerTimeout {
 		return nil
 	}
 	waiting[r.id] = r.reply
 	return r.input
 }
 
-func (s *Server) carryOut(o controller.Output) {
+// execute starts the I/O that an output of the core describes. The results of calls come back as inputs.
+func (s *Server) execute(o controller.Output) {
 	switch o := o.(type) {
 	case controller.StateCall:
 		go func() { s.inputs <- s.client.State(o) }()
@@ -243,47 +245,47 @@
 	case controller.WorkerCall:
 		go func() { s.inputs <- s.client.Worker(o) }()
 	case controller.CellCall:
-		go func() { s.inputs <- s.cells.Call(o) }()
+		go func() { s.inputs <- s.cellClient.Call(o) }()
 	case controller.MeshSend:
 		s.mesh.Send(o.To, o.Envelope)
 	case controller.ZoneChanged, controller.TaskDisplaced, controller.TaskRestarted, controller.ZoneRecovered, controller.RecoveriesHandedOver:
-		s.zones.Record(o)
+		s.zoneTrace.Record(o)
 	case controller.MoveChanged:
-		s.moves.Record(o)
+		s.moveTrace.Record(o)
 	case controller.Event:
 		slog.Log(context.Background(), o.Level, o.Text, o.Attrs...)
 	}
 }
 
-// ServeHTTP takes a request of a user, a worker or the load balancer.
+// ServeHTTP serves a request of a user, a worker or the load balancer.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := s.nextID.Add(1)
 	in, status := s.route(id, r)
 	if status != 0 {
-		respond(w, controller.Answer{Status: status, Body: wire.Error{Error: http.StatusText(status)}})
+		writeAnswer(w, controller.Answer{Status: status, Body: wire.Error{Error: http.StatusText(status)}})
 		return
 	}
-	a, ok := s.ask(id, in)
+	a, ok := s.callCore(id, in)
 	if !ok {
-		respond(w, overloaded())
+		writeAnswer(w, overloadedAnswer())
 		return
 	}
 	if _, report := in.(controller.ReportRequest); report && s.nearConnectionLimit() {
-		// There may be more workers than sockets: none keeps one between reports.
+		// There may be more workers than sockets, so workers must reconnect for each report.
 		w.Header().Set("Connection", "close")
 	}
-	respond(w, a)
+	writeAnswer(w, a)
 }
 
-// ask has the core answer a request of a user, a worker or an operator.
-func (s *Server) ask(id uint64, in controller.Input) (controller.Answer, bool) {
-	return ask(s.asked, id, in)
+// callCore passes a request of a user or a worker to the core and waits for the answer.
+func (s *Server) callCore(id uint64, in controller.Input) (controller.Answer, bool) {
+	return callCore(s.requests, id, in)
 }
 
-// ask has the core answer a request by way of a queue. It has no answer where the core is overloaded or
-// too slow.
-func ask(queue chan<- request, id uint64, in controller.Input) (controller.Answer, bool) {
-	reply := make(chan answer, 1)
+// callCore sends a request to the core through the given queue and waits for the answer. It returns false
+// if the queue is full, or if the answer takes longer than answerTimeout or is older than maxAnswerAge.
+func callCore(queue chan<- request, id uint64, in controller.Input) (controller.Answer, bool) {
+	reply := make(chan timedAnswer, 1)
 	select {
 	case queue <- request{id, in, time.Now(), reply}:
 	default:
@@ -293,27 +295,27 @@
 	defer timer.Stop()
 	select {
 	case a := <-reply:
-		// If the process stood still, or is far behind, what was true then may not be now.
-		return a.Answer, time.Since(a.at) <= answerLife
+		// If the process was paused or is far behind, the answer may no longer be true.
+		return a.Answer, time.Since(a.decidedAt) <= maxAnswerAge
 	case <-timer.C:
 		return controller.Answer{}, false
 	}
 }
 
-func overloaded() controller.Answer {
+func overloadedAnswer() controller.Answer {
 	return controller.Answer{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "overloaded"}, RetryAfter: time.Second}
 }
 
-// route turns a request into an input, or tells the status that refuses it.
+// route converts an HTTP request into an input of the core. A status other than 0 rejects the request.
 func (s *Server) route(id uint64, r *http.Request) (controller.Input, int) {
 	path := r.URL.Path
 	switch {
 	case path == wire.PathReady:
-		return controller.UserRequest{Req: id, Op: controller.UserReady}, method(r, http.MethodGet)
+		return controller.UserRequest{Req: id, Op: controller.UserReady}, checkMethod(r, http.MethodGet)
 	case path == wire.PathReport:
 		return s.routeReport(id, r)
 	case path == wire.PathJobs:
-		if st := method(r, http.MethodPost); st != 0 {
+		if st := checkMethod(r, http.MethodPost); st != 0 {
 			return nil, st
 		}
 		body, err := readBody(r)
@@ -324,21 +326,21 @@
 	case strings.HasPrefix(path, wire.PathJobs+"/"):
 		job := strings.TrimPrefix(path, wire.PathJobs+"/")
 		if rest, ok := strings.CutSuffix(job, wire.PathAbort); ok && !strings.Contains(rest, "/") {
-			return controller.UserRequest{Req: id, Op: controller.UserAbort, Job: rest}, method(r, http.MethodPost)
+			return controller.UserRequest{Req: id, Op: controller.UserAbort, Job: rest}, checkMethod(r, http.MethodPost)
 		}
 		if strings.Contains(job, "/") {
 			return nil, http.StatusNotFound
 		}
-		return controller.UserRequest{Req: id, Op: controller.UserPoll, Job: job}, method(r, http.MethodGet)
+		return controller.UserRequest{Req: id, Op: controller.UserPoll, Job: job}, checkMethod(r, http.MethodGet)
 	}
 	return nil, http.StatusNotFound
 }
 
 func (s *Server) routeReport(id uint64, r *http.Request) (controller.Input, int) {
-	if st := method(r, http.MethodPost); st != 0 {
+	if st := checkMethod(r, http.MethodPost); st != 0 {
 		return nil, st
 	}
-	// A worker's report may be larger than a user's request: it lists all tasks.
+	// A worker's report lists all its tasks, so it may be larger than a user's request.
 	body, err := io.ReadAll(io.LimitReader(r.Body, 4*wire.MaxBody))
 	if err != nil {
 		return nil, http.StatusBadRequest
@@ -350,14 +352,14 @@
 	return in, 0
 }
 
-func method(r *http.Request, want string) int {
+func checkMethod(r *http.Request, want string) int {
 	if r.Method != want {
 		return http.StatusMethodNotAllowed
 	}
 	return 0
 }
 
-var errTooLarge = errors.New("body too large")
+var errTooLarge = errors.New("request body too large")
 
 func readBody(r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
@@ -367,7 +369,7 @@
 	return body, err
 }
 
-func respond(w http.ResponseWriter, a controller.Answer) {
+func writeAnswer(w http.ResponseWriter, a controller.Answer) {
 	w.Header().Set("Content-Type", "application/cbor")
 	if a.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
@@ -376,6 +378,6 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(a.Status)
 	if _, err := w.Write(body); err != nil {
-		slog.Debug("answer not written", "err", err)
+		slog.Debug("failed to write response", "err", err)
 	}
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// What can't be taken is refused at once, with the time to come back.
-func TestFullQueueRefusesAtOnce(t *testing.T) {
-	s := &Server{asked: make(chan request)} // nobody takes anything
+// A request that does not fit into the queue is rejected immediately, with a Retry-After header.
+func TestFullQueueRejectsImmediately(t *testing.T) {
+	s := &Server{requests: make(chan request)} // unbuffered and without a receiver
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest("POST", "/v2/runs", strings.NewReader("x")))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") != "1" {
@@ -60,8 +60,8 @@
 	}
 }
 
-// A port that is still held when the process starts must not end it.
-func TestListenWaitsForItsPort(t *testing.T) {
+// A port that is still in use when the process starts must not make the process exit.
+func TestListenRetriesWhilePortIsInUse(t *testing.T) {
 	held, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -82,52 +82,51 @@
 		t.Error(err)
 	}
 	if _, err := listen("203.0.113.1:1"); err == nil {
-		t.Error("an address of another machine is taken")
+		t.Error("listening on an address of another machine gave no error")
 	}
 }
 
-// Where workers come close to using up the sockets, they are not left to hold them
-// between reports; users keep theirs.
-func TestCrowdedWorkersGiveTheirSocketsBack(t *testing.T) {
+// Near the connection limit, workers' connections are closed after each report; users keep theirs.
+func TestWorkerConnectionsCloseNearLimit(t *testing.T) {
 	cfg := &config.Platform{}
 	cfg.Facts.Resources.MaxConnections = 40
-	s := &Server{cfg: cfg, asked: make(chan request, 1)}
-	ask := func(path string, body []byte) string {
+	s := &Server{cfg: cfg, requests: make(chan request, 1)}
+	connectionHeader := func(path string, body []byte) string {
 		go func() {
-			r := <-s.asked
-			r.reply <- answer{controller.Answer{Status: http.StatusOK, Body: struct{}{}}, time.Now()}
+			r := <-s.requests
+			r.reply <- timedAnswer{controller.Answer{Status: http.StatusOK, Body: struct{}{}}, time.Now()}
 		}()
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest("POST", path, bytes.NewReader(body)))
 		return w.Header().Get("Connection")
 	}
 	report := wire.Marshal(wire.Report{Machine: "i-1"})
-	if got := ask("/v1/report", report); got != "" {
-		t.Errorf("connection %q though there are sockets", got)
+	if got := connectionHeader("/v1/report", report); got != "" {
+		t.Errorf("connection header %q far from the limit of connections", got)
 	}
 	for range s.maxConnections() {
 		s.trackConnection(nil, http.StateNew)
 	}
-	if got := ask("/v1/report", report); got != "close" {
-		t.Errorf("connection %q for a worker near the limit of connections", got)
+	if got := connectionHeader("/v1/report", report); got != "close" {
+		t.Errorf("connection header %q for a worker near the limit of connections", got)
 	}
-	if got := ask("/v2/runs", []byte("x")); got != "" {
-		t.Errorf("connection %q for a user", got)
+	if got := connectionHeader("/v2/runs", []byte("x")); got != "" {
+		t.Errorf("connection header %q for a user", got)
 	}
 	s.trackConnection(nil, http.StateClosed)
-	if s.open.Load() != int64(s.maxConnections()-1) {
-		t.Errorf("%d connections open", s.open.Load())
+	if s.conns.Load() != int64(s.maxConnections()-1) {
+		t.Errorf("%d connections open", s.conns.Load())
 	}
 }
 
-// An answer that was decided on before the process stood still is not given: another
-// controller may have told something newer since.
-func TestOldAnswersAreNotGiven(t *testing.T) {
-	for age, want := range map[time.Duration]int{0: http.StatusOK, answerLife + time.Second: http.StatusServiceUnavailable} {
-		s := &Server{cfg: &config.Platform{}, asked: make(chan request, 1)}
+// An answer that the core decided on before the process was paused is rejected: another controller may have
+// answered with newer state since.
+func TestStaleAnswersAreRejected(t *testing.T) {
+	for age, want := range map[time.Duration]int{0: http.StatusOK, maxAnswerAge + time.Second: http.StatusServiceUnavailable} {
+		s := &Server{cfg: &config.Platform{}, requests: make(chan request, 1)}
 		go func() {
-			r := <-s.asked
-			r.reply <- answer{controller.Answer{Status: http.StatusOK, Body: struct{}{}}, time.Now().Add(-age)}
+			r := <-s.requests
+			r.reply <- timedAnswer{controller.Answer{Status: http.StatusOK, Body: struct{}{}}, time.Now().Add(-age)}
 		}()
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest("GET", "/v2/runs/req-1", nil))
@@ -137,9 +136,9 @@
 	}
 }
 
-// A cell that floods is turned away at once and takes no place of a user, nor of another cell; a cell that
-// is no peer is not heard at all.
-func TestCellThatFloodsTurnsNobodyElseAway(t *testing.T) {
+// A cell that sends too many calls is rejected immediately and uses up no queue slots of users or other
+// cells. A cell that is not a peer is always rejected.
+func TestCellFloodDoesNotAffectOtherClients(t *testing.T) {
 	op := config.DefaultOperator()
 	op.Cell = &config.Cell{Name: "a", Peers: []config.CellPeer{{Name: "b"}, {Name: "c"}}}
 	cfg := &config.Platform{}
@@ -154,28 +153,28 @@
 		s.serveCellMessages(w, httptest.NewRequest("POST", cells.MessagesPath, bytes.NewReader(body)))
 		return w
 	}
-	answering := func() {
-		r := <-s.byCells
-		r.reply <- answer{controller.Answer{Status: http.StatusOK, Body: controller.CellAnswer{}}, time.Now()}
+	answerNextCall := func() {
+		r := <-s.cellRequests
+		r.reply <- timedAnswer{controller.Answer{Status: http.StatusOK, Body: controller.CellAnswer{}}, time.Now()}
 	}
 	statuses := map[int]int{}
 	for range 500 {
-		if len(s.asked) > 0 {
-			t.Fatal("a call of a cell takes the place of a user")
+		if len(s.requests) > 0 {
+			t.Fatal("a call of a cell uses the queue of users")
 		}
-		go answering()
+		go answerNextCall()
 		w := call("b")
 		if statuses[w.Code]++; w.Code == http.StatusTooManyRequests && w.Header().Get("Retry-After") != "1" {
-			t.Error("no time to come back")
+			t.Error("no Retry-After header")
 		}
 	}
-	if statuses[http.StatusOK] < cellCallsAtOnce || statuses[http.StatusTooManyRequests] < 400 || len(statuses) != 2 {
-		t.Errorf("answers to a flood: %v", statuses)
+	if statuses[http.StatusOK] < cellCallBurst || statuses[http.StatusTooManyRequests] < 400 || len(statuses) != 2 {
+		t.Errorf("statuses of 500 calls in a row: %v", statuses)
 	}
 	if w := call("c"); w.Code != http.StatusOK {
-		t.Errorf("another cell gets %d", w.Code)
+		t.Errorf("another cell gets status %d", w.Code)
 	}
 	if w := call("d"); w.Code != http.StatusForbidden {
-		t.Errorf("a cell that is no peer gets %d", w.Code)
+		t.Errorf("a cell that is not a peer gets status %d", w.Code)
 	}
 }
--- a/server/spreading.go
+++ b/server/spreading.go
@@ -8,11 +8,12 @@
 	"pumicefront/movetrace"
 )
 
-// What operators may switch on beside load spreading: spans of moves, and an endpoint that tells of it.
+// Optional observability of load spreading: spans of moves, and a status endpoint.
 
-// startSpreading starts what the operators' settings ask for, and returns what ends it.
-func (s *Server) startSpreading() (stop func(), err error) {
-	settings := s.op.Spreading
+// startLoadSpreadingStatus starts the span export and the status endpoint of load spreading as configured,
+// and returns the function that stops them.
+func (s *Server) startLoadSpreadingStatus() (stop func(), err error) {
+	settings := s.operator.Spreading
 	if settings == nil {
 		return func() {}, nil
 	}
@@ -20,12 +21,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s.moves = movetrace.New(spans)
-	return s.startOperatorsEndpoint(settings.StatusListen, balance.StatusPath, s.serveSpread, spans)
+	s.moveTrace = movetrace.New(spans)
+	return s.startStatusEndpoint(settings.StatusListen, balance.StatusPath, s.serveLoadSpreadingStatus, spans)
 }
 
-// serveSpread tells operators how load is spread.
-func (s *Server) serveSpread(w http.ResponseWriter, _ *http.Request) {
+// serveLoadSpreadingStatus serves operators the status of load spreading.
+func (s *Server) serveLoadSpreadingStatus(w http.ResponseWriter, _ *http.Request) {
 	id := s.nextID.Add(1)
-	serveStatus(w, s.asked, id, controller.SpreadStatusRequest{Req: id})
+	serveStatus(w, s.requests, id, controller.SpreadStatusRequest{Req: id})
 }
--- a/server/zones.go
+++ b/server/zones.go
@@ -8,11 +8,12 @@
 	"pumicefront/zonetrace"
 )
 
-// What operators may switch on beside zone recovery: spans, and an endpoint that tells of the zones.
+// Optional observability of zone recovery: spans of recoveries, and a status endpoint.
 
-// startZones starts what the operators' settings ask for, and returns what ends it.
-func (s *Server) startZones() (stop func(), err error) {
-	settings := s.op.ZoneRecovery
+// startZoneStatus starts the span export and the status endpoint of zone recovery as configured, and
+// returns the function that stops them.
+func (s *Server) startZoneStatus() (stop func(), err error) {
+	settings := s.operator.ZoneRecovery
 	if settings == nil {
 		return func() {}, nil
 	}
@@ -20,12 +21,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s.zones = zonetrace.New(spans)
-	return s.startOperatorsEndpoint(settings.StatusListen, zones.StatusPath, s.serveZones, spans)
+	s.zoneTrace = zonetrace.New(spans)
+	return s.startStatusEndpoint(settings.StatusListen, zones.StatusPath, s.serveZoneStatus, spans)
 }
 
-// serveZones tells operators of the zones.
-func (s *Server) serveZones(w http.ResponseWriter, _ *http.Request) {
+// serveZoneStatus serves operators the status of the zones.
+func (s *Server) serveZoneStatus(w http.ResponseWriter, _ *http.Request) {
 	id := s.nextID.Add(1)
-	serveStatus(w, s.asked, id, controller.ZoneStatusRequest{Req: id})
+	serveStatus(w, s.requests, id, controller.ZoneStatusRequest{Req: id})
 }
--- a/spanexport/exporter.go
+++ b/spanexport/exporter.go
@@ -22,9 +22,9 @@
 // keyMember names the controller whose spans they are.
 const keyMember = "member"
 
-// interval is how long an ended span may wait to be written: a process may be killed at any time, and
+// flushInterval is how long an ended span may wait to be written: a process may be killed at any time, and
 // what it has not written is lost.
-const interval = time.Second
+const flushInterval = time.Second
 
 // Exporter writes spans; it has a goroutine of its own, with a bounded queue.
 type Exporter struct {
@@ -55,11 +55,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("write spans: %w", err)
 	}
-	return With(sdktrace.WithBatcher(out, sdktrace.WithBatchTimeout(interval)), member), nil
+	return NewWithOption(sdktrace.WithBatcher(out, sdktrace.WithBatchTimeout(flushInterval)), member), nil
 }
 
-// With returns an exporter that hands spans on as the option says; tests keep them in memory.
-func With(option sdktrace.TracerProviderOption, member string) *Exporter {
+// NewWithOption returns an exporter that hands spans on as the option says; tests keep them in memory.
+func NewWithOption(option sdktrace.TracerProviderOption, member string) *Exporter {
 	return &Exporter{provider: sdktrace.NewTracerProvider(option, sdktrace.WithResource(resource.NewSchemaless(attribute.String(keyMember, member))))}
 }
 
--- a/spreadview/render.go
+++ b/spreadview/render.go
@@ -14,8 +14,8 @@
 // View shows the spread of load.
 var View = statusview.View[balance.Status]{Path: balance.StatusPath, Render: Render}
 
-// machinesShown bounds the machines that are shown beside the hot ones.
-const machinesShown = 20
+// maxListedMachines bounds the machines that are shown beside the hot ones.
+const maxListedMachines = 20
 
 // Render writes a status as lines of text.
 func Render(s balance.Status) string {
@@ -30,7 +30,7 @@
 	if s.Block != balance.NotBlocked {
 		fmt.Fprintf(&out, "no moves are begun: %s\n", s.Block)
 	}
-	fmt.Fprintf(&out, "moves: %d begun%s; held room given up:%s\n\n", s.Counts.Begun, counts(s.Counts.Outcomes), counts(s.Counts.Losses))
+	fmt.Fprintf(&out, "moves: %d begun%s; held room given up:%s\n\n", s.Counts.Begun, formatCounts(s.Counts.Outcomes), formatCounts(s.Counts.Losses))
 	table := tabwriter.NewWriter(&out, 0, 0, 2, ' ', 0)
 	writeMachines(table, s)
 	writeTeams(table, s.Teams)
@@ -44,23 +44,23 @@
 
 func writeMachines(table *tabwriter.Writer, s balance.Status) {
 	fmt.Fprintln(table, "MACHINE\tZONE\tSHARE\tHOT\tTASKS\tMOVABLE\tSTAYING")
-	left := s.Others
+	omitted := s.Others
 	for i, m := range s.Machines {
-		if !m.Hot && i >= machinesShown {
-			left++
+		if !m.Hot && i >= maxListedMachines {
+			omitted++
 			continue
 		}
-		fmt.Fprintf(table, "%s\t%s\t%.2f\t%s\t%d\t%s\t%s\n", m.ID, m.Zone, m.Share, yes(m.Hot), m.Tasks, movable(m), staying(m))
+		fmt.Fprintf(table, "%s\t%s\t%.2f\t%s\t%d\t%s\t%s\n", m.ID, m.Zone, m.Share, yesOrDash(m.Hot), m.Tasks, movableText(m), stayingText(m))
 	}
-	if left > 0 {
-		fmt.Fprintf(table, "and %d more\n", left)
+	if omitted > 0 {
+		fmt.Fprintf(table, "and %d more\n", omitted)
 	}
 }
 
 func writeTeams(table *tabwriter.Writer, teams []balance.TeamStatus) {
 	fmt.Fprintln(table, "\nTEAM\tSIZE\tMACHINES\tMOST ON ONE\tON HOT ONES\tHOT")
 	for _, t := range teams {
-		fmt.Fprintf(table, "%s\t%.0f\t%d\t%.0f%%\t%.0f%%\t%s\n", t.Team, t.Size, t.Machines, 100*t.OnOne, 100*t.OnHot, yes(t.Hot))
+		fmt.Fprintf(table, "%s\t%.0f\t%d\t%.0f%%\t%.0f%%\t%s\n", t.Team, t.Size, t.Machines, 100*t.OnOne, 100*t.OnHot, yesOrDash(t.Hot))
 	}
 }
 
@@ -78,27 +78,27 @@
 func writeMoves(table *tabwriter.Writer, moves []balance.MoveStatus) {
 	fmt.Fprintln(table, "\nMOVE\tFROM\tTO\tPHASE\tROOM HELD\tFOR")
 	for _, m := range moves {
-		fmt.Fprintf(table, "%s/%d\t%s\t%s\t%s\t%s\t%.0f s\n", m.Job, m.Task, m.From, m.To, m.Phase, yes(m.Held), m.ForS)
+		fmt.Fprintf(table, "%s/%d\t%s\t%s\t%s\t%s\t%.0f s\n", m.Job, m.Task, m.From, m.To, m.Phase, yesOrDash(m.Held), m.ForS)
 	}
 }
 
-func yes(is bool) string {
+func yesOrDash(is bool) string {
 	if is {
 		return "yes"
 	}
 	return "-"
 }
 
-// movable tells how many tasks of a hot machine tolerate a move.
-func movable(m balance.MachineStatus) string {
+// movableText tells how many tasks of a hot machine tolerate a move.
+func movableText(m balance.MachineStatus) string {
 	if !m.Hot {
 		return "-"
 	}
 	return fmt.Sprint(m.Movable)
 }
 
-// staying tells why the others stay.
-func staying(m balance.MachineStatus) string {
+// stayingText tells why the others stay.
+func stayingText(m balance.MachineStatus) string {
 	var parts []string
 	for _, c := range m.Staying {
 		parts = append(parts, fmt.Sprintf("%d %s", c.Tasks, c.Reason))
--- a/spreadview/render_test.go
+++ b/spreadview/render_test.go
@@ -21,15 +21,15 @@
 		Moves:  []balance.MoveStatus{{Job: "req-9", Task: 3, From: "i-1", To: "i-2", Phase: balance.Waiting, Held: true, ForS: 2}},
 		Counts: balance.Counts{Begun: 7, Outcomes: map[balance.Outcome]int{balance.Moved: 5, balance.Diverted: 1}},
 	}
-	for i := range machinesShown + 10 {
+	for i := range maxListedMachines + 10 {
 		s.Machines = append(s.Machines, balance.MachineStatus{ID: fmt.Sprintf("cool-%d", i), Share: 0.5, Tasks: 4})
 	}
 	raw, err := json.Marshal(s)
-	var told balance.Status
-	if err != nil || json.Unmarshal(raw, &told) != nil {
+	var decoded balance.Status
+	if err != nil || json.Unmarshal(raw, &decoded) != nil {
 		t.Fatal(err)
 	}
-	shown := Render(told)
+	shown := Render(decoded)
 	for _, want := range []string{"leader n1, 42 machines: mean share 0.70, variation 0.31, maximum 1.43", "no moves are begun: work waits", "7 begun diverted 1 moved 5",
 		"i-1      a     1.00   yes  8      2        4 one of a gang; 2 has run for too short a time", "and 16 more", "red 96 9 25% 50% -", "img-2 3 11", "req-9/3  i-1   i-2    waiting  yes"} {
 		if !strings.Contains(strings.Join(strings.Fields(shown), " "), strings.Join(strings.Fields(want), " ")) {
--- a/statusclient/fetch.go
+++ b/statusclient/fetch.go
@@ -16,8 +16,8 @@
 // AskTimeout bounds the wait for one controller.
 const AskTimeout = 2 * time.Second
 
-// largestStatus bounds what is read of an answer.
-const largestStatus = 1 << 20
+// maxStatusBytes bounds what is read of an answer.
+const maxStatusBytes = 1 << 20
 
 // ErrNoLeader tells that controllers answered and none of them leads.
 var ErrNoLeader = errors.New("no controller that was asked leads")
@@ -96,7 +96,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, &StatusError{Target: target, Status: resp.StatusCode, RetryAfter: retryAfter(resp.Header)}
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, largestStatus))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxStatusBytes))
 	if err != nil {
 		return nil, fmt.Errorf("answer of %s: %w", target, err)
 	}
--- a/statusview/view.go
+++ b/statusview/view.go
@@ -47,30 +47,30 @@
 
 // model is the state of a view in a terminal, as bubbletea wants it.
 type model[S statusclient.Status] struct {
-	view      View[S]
-	ctx       context.Context
-	addresses []string
-	interval  time.Duration
-	status    S
-	err       error
-	asked     bool
+	view        View[S]
+	ctx         context.Context
+	addresses   []string
+	interval    time.Duration
+	status      S
+	err         error
+	fetchedOnce bool
 }
 
-// fetched is an answer, or why there is none.
-type fetched[S statusclient.Status] struct {
+// fetchResult is an answer, or why there is none.
+type fetchResult[S statusclient.Status] struct {
 	status S
 	err    error
 }
 
-// due tells that it is time to ask again.
-type due struct{}
+// refreshTick tells that it is time to ask again.
+type refreshTick struct{}
 
 // Init asks for the first time.
 func (m model[S]) Init() tea.Cmd { return m.fetch }
 
 func (m model[S]) fetch() tea.Msg {
 	status, err := m.view.Fetch(m.ctx, m.addresses)
-	return fetched[S]{status, err}
+	return fetchResult[S]{status, err}
 }
 
 // Update handles keys and answers.
@@ -81,13 +81,13 @@
 		case "q", "esc", "ctrl+c":
 			return m, tea.Quit
 		}
-	case fetched[S]:
-		m.asked, m.err = true, msg.err
+	case fetchResult[S]:
+		m.fetchedOnce, m.err = true, msg.err
 		if msg.err == nil {
 			m.status = msg.status
 		}
-		return m, tea.Tick(m.interval, func(time.Time) tea.Msg { return due{} })
-	case due:
+		return m, tea.Tick(m.interval, func(time.Time) tea.Msg { return refreshTick{} })
+	case refreshTick:
 		return m, m.fetch
 	}
 	return m, nil
@@ -96,7 +96,7 @@
 // View draws what is known. After a failure that is the last answer, and why there is no newer one.
 func (m model[S]) View() string {
 	text := "asking…\n"
-	if m.asked {
+	if m.fetchedOnce {
 		text = ""
 		if m.status.AnsweredBy() != "" {
 			text = m.view.Render(m.status)
--- a/zonetrace/recorder.go
+++ b/zonetrace/recorder.go
@@ -47,7 +47,7 @@
 type classRestarts struct {
 	span                 trace.Span
 	displaced, restarted int
-	last                 time.Time
+	lastRestart          time.Time
 }
 
 // New returns a recorder whose spans the exporter writes; without one it is nil.
@@ -65,25 +65,25 @@
 	}
 	switch o := o.(type) {
 	case controller.ZoneChanged:
-		r.changed(o)
+		r.recordZoneChange(o)
 	case controller.TaskDisplaced:
-		r.class(o.Zone, o.Class, o.At).displaced++
+		r.findOrStartClass(o.Zone, o.Class, o.At).displaced++
 	case controller.TaskRestarted:
-		restarts := r.class(o.Zone, o.Class, o.Lost)
+		restarts := r.findOrStartClass(o.Zone, o.Class, o.Lost)
 		restarts.restarted++
-		restarts.last = o.At
+		restarts.lastRestart = o.At
 	case controller.ZoneRecovered:
-		r.finish(o.Zone, o.At)
+		r.endRecovery(o.Zone, o.At)
 	case controller.RecoveriesHandedOver:
 		for zone, recovery := range r.recoveries {
 			recovery.span.SetAttributes(attribute.Bool(keyHandedOver, true))
-			r.finish(zone, o.At)
+			r.endRecovery(zone, o.At)
 		}
 	}
 }
 
-// recovery returns the recovery of a zone, begun if there is none.
-func (r *Recorder) recovery(zone string, at time.Time) *recovery {
+// findOrStartRecovery returns the recovery of a zone, begun if there is none.
+func (r *Recorder) findOrStartRecovery(zone string, at time.Time) *recovery {
 	found := r.recoveries[zone]
 	if found == nil {
 		ctx, span := r.tracer.Start(context.Background(), spanRecovery, trace.WithTimestamp(at), trace.WithAttributes(attribute.String(keyZone, zone)))
@@ -93,8 +93,8 @@
 	return found
 }
 
-func (r *Recorder) changed(c controller.ZoneChanged) {
-	recovery := r.recovery(c.Zone, c.At)
+func (r *Recorder) recordZoneChange(c controller.ZoneChanged) {
+	recovery := r.findOrStartRecovery(c.Zone, c.At)
 	if recovery.state == nil && c.From != zones.Healthy {
 		recovery.span.SetAttributes(attribute.Bool(keyResumed, true))
 	}
@@ -104,20 +104,20 @@
 	_, recovery.state = r.tracer.Start(recovery.ctx, spanState+c.To.String(), trace.WithTimestamp(c.At))
 }
 
-// class returns the restarts of a class in the recovery of a zone.
-func (r *Recorder) class(zone, class string, at time.Time) *classRestarts {
-	recovery := r.recovery(zone, at)
+// findOrStartClass returns the restarts of a class in the recovery of a zone.
+func (r *Recorder) findOrStartClass(zone, class string, at time.Time) *classRestarts {
+	recovery := r.findOrStartRecovery(zone, at)
 	restarts := recovery.classes[class]
 	if restarts == nil {
 		_, span := r.tracer.Start(recovery.ctx, spanRestart+class, trace.WithTimestamp(at))
-		restarts = &classRestarts{span: span, last: at}
+		restarts = &classRestarts{span: span, lastRestart: at}
 		recovery.classes[class] = restarts
 	}
 	return restarts
 }
 
-// finish ends the spans of a recovery.
-func (r *Recorder) finish(zone string, at time.Time) {
+// endRecovery ends the spans of a recovery.
+func (r *Recorder) endRecovery(zone string, at time.Time) {
 	recovery := r.recoveries[zone]
 	if recovery == nil {
 		return
@@ -125,7 +125,7 @@
 	delete(r.recoveries, zone)
 	for _, restarts := range recovery.classes {
 		restarts.span.SetAttributes(attribute.Int(keyDisplaced, restarts.displaced), attribute.Int(keyRestarted, restarts.restarted))
-		restarts.span.End(trace.WithTimestamp(restarts.last))
+		restarts.span.End(trace.WithTimestamp(restarts.lastRestart))
 	}
 	if recovery.state != nil {
 		recovery.state.End(trace.WithTimestamp(at))
--- a/zonetrace/recorder_test.go
+++ b/zonetrace/recorder_test.go
@@ -15,8 +15,8 @@
 	"pumicefront/zones"
 )
 
-// recovered is what the core tells of one recovery; a leader ends amid a second one.
-func recovered(start time.Time) []controller.Output {
+// recoveryOutputs is what the core tells of one recovery; a leader ends amid a second one.
+func recoveryOutputs(start time.Time) []controller.Output {
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	return []controller.Output{
 		controller.ZoneChanged{Zone: "a", From: zones.Healthy, To: zones.Suspected, At: at(0)},
@@ -33,9 +33,9 @@
 
 func TestSpansOfARecovery(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
-	r := New(spanexport.With(sdktrace.WithSyncer(spans), "n0"))
+	r := New(spanexport.NewWithOption(sdktrace.WithSyncer(spans), "n0"))
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	for _, o := range recovered(start) {
+	for _, o := range recoveryOutputs(start) {
 		r.Record(o)
 	}
 	want := map[string]time.Duration{"zone suspected": 8 * time.Second, "zone lost": 32 * time.Second, "restart web": 6 * time.Second, "zone held down": 10 * time.Second}
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	r := New(exporter)
-	for _, o := range recovered(time.Now()) {
+	for _, o := range recoveryOutputs(time.Now()) {
 		r.Record(o)
 	}
 	if err := exporter.Close(context.Background()); err != nil {
--- a/zoneview/render.go
+++ b/zoneview/render.go
@@ -20,7 +20,7 @@
 	fmt.Fprintln(table, "ZONE\tSTATE\tFOR\tMACHINES\tSILENT\tLOSSES\tHELD FOR\tSTARTS\tFETCHES\tDISPLACED")
 	for _, z := range s.Zones {
 		fmt.Fprintf(table, "%s\t%s\t%.0f s\t%d\t%d\t%d\t%s\t%s\t%d\t%d\n",
-			z.Name, z.State, z.ForS, z.Responsive+z.Silent, z.Silent, z.Losses, heldText(z), startsText(z), z.Fetching, z.Displaced)
+			z.Name, z.State, z.ForS, z.Responsive+z.Silent, z.Silent, z.Losses, holdDownText(z), startsText(z), z.Fetching, z.Displaced)
 	}
 	fmt.Fprintln(table, "\nCLASS\tWAITING\tTEAM LIMIT\tZONE\tROOM")
 	for _, c := range s.Waiting {
@@ -39,7 +39,7 @@
 	return "ask " + leader
 }
 
-func heldText(z zones.ZoneStatus) string {
+func holdDownText(z zones.ZoneStatus) string {
 	if z.State != zones.HeldDown {
 		return "-"
 	}
--- a/zoneview/view_test.go
+++ b/zoneview/view_test.go
@@ -18,8 +18,8 @@
 	"pumicefront/zones"
 )
 
-// endpoint stands in for a controller's status endpoint, and returns its address.
-func endpoint(t *testing.T, answer func(w http.ResponseWriter)) string {
+// startEndpoint stands in for a controller's status endpoint, and returns its address.
+func startEndpoint(t *testing.T, answer func(w http.ResponseWriter)) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != zones.StatusPath || r.Method != http.MethodGet {
@@ -31,15 +31,15 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func telling(t *testing.T, s zones.Status) string {
-	return endpoint(t, func(w http.ResponseWriter) {
+func serveZoneStatus(t *testing.T, s zones.Status) string {
+	return startEndpoint(t, func(w http.ResponseWriter) {
 		if err := json.NewEncoder(w).Encode(s); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-var leading = zones.Status{Member: "n1", Leading: true,
+var leaderStatus = zones.Status{Member: "n1", Leading: true,
 	Zones: []zones.ZoneStatus{
 		{Name: "east", State: zones.HeldDown, ForS: 3, Responsive: 5, Silent: 2, Losses: 1, HeldForS: 4, Window: 8, UnderWay: 3, Displaced: 12},
 		{Name: "west", ForS: 60, Responsive: 9},
@@ -47,12 +47,12 @@
 	Waiting: []zones.ClassStatus{{Class: "batch", Tasks: 9, TeamLimit: 1, Ramp: 5, Room: 3}},
 }
 
-func TestPrintAsksUntilALeaderAnswers(t *testing.T) {
-	follower := telling(t, zones.Status{Member: "n0", Leader: "n1"})
-	broken := endpoint(t, func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) })
-	odd := endpoint(t, func(w http.ResponseWriter) { _, _ = io.WriteString(w, "<html>") })
+func TestPrintQueriesUntilLeaderAnswers(t *testing.T) {
+	follower := serveZoneStatus(t, zones.Status{Member: "n0", Leader: "n1"})
+	broken := startEndpoint(t, func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) })
+	odd := startEndpoint(t, func(w http.ResponseWriter) { _, _ = io.WriteString(w, "<html>") })
 	var out bytes.Buffer
-	if err := View.Print(context.Background(), &out, []string{broken, odd, follower, telling(t, leading)}); err != nil {
+	if err := View.Print(context.Background(), &out, []string{broken, odd, follower, serveZoneStatus(t, leaderStatus)}); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{"east  held down  3 s", "4 s       3 of 8", "west  healthy", "batch  9        1           5     3"} {
@@ -66,10 +66,10 @@
 	}
 }
 
-func TestWatchShowsAndEnds(t *testing.T) {
+func TestWatchShowsStatusUntilQuit(t *testing.T) {
 	keys, press := io.Pipe()
 	var out bytes.Buffer
-	address := telling(t, leading)
+	address := serveZoneStatus(t, leaderStatus)
 	done := make(chan error)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
