--- a/config/cell.go
+++ b/config/cell.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Cell are the operators' settings of a cell that takes part in spilling over; docs/operations.md
-// explains each.
+// Cell holds the operator settings of a cell that takes part in spill-over; docs/operations.md explains each
+// of them.
 type Cell struct {
-	Name        string        // this cell's name, as its peers know it
-	Listen      string        // where the other cells reach this controller
-	SpillAfter  time.Duration // how long a batch waits for room before it may go to another cell
-	ReturnAfter time.Duration // how long one of another cell may wait for room here
-	LendCores   float64       // for batches of other cells
+	Name        string        // this cell's name, as configured in its peers
+	Listen      string        // address at which this controller listens for other cells
+	SpillAfter  time.Duration // how long a batch job waits for capacity before it may be offered to another cell
+	ReturnAfter time.Duration // how long a job of another cell may wait here without running before it is returned
+	LendCores   float64       // cores lent to batch jobs of other cells
 	Peers       []CellPeer    // the other cells
 }
 
-// CellPeer is another cell.
+// CellPeer is another cell that jobs may spill over to or come from.
 type CellPeer struct {
-	Name      string   `hcl:"name,label"` // the cell's name
-	Addresses []string `hcl:"addresses"`  // host:port of each of its controllers' listeners for cells
+	Name      string   `hcl:"name,label"` // name of the cell
+	Addresses []string `hcl:"addresses"`  // host:port of the cell listener of each of its controllers
 }
 
-// cellBlock is the block as it stands in the operators' file.
+// cellBlock is the block as written in the operators' file.
 type cellBlock struct {
 	Name        string     `hcl:"name"`
 	Listen      string     `hcl:"listen"`
@@ -33,7 +33,7 @@
 	Peers       []CellPeer `hcl:"peer,block"`
 }
 
-// Defaults of the settings that may be left out.
+// Defaults of optional settings.
 const (
 	defaultSpillAfter  = 20 * time.Second
 	defaultReturnAfter = 30 * time.Second
@@ -54,7 +54,7 @@
 	return c, c.check()
 }
 
-// parseDuration reads a duration that is not left out.
+// parseDuration parses an optional duration; without a text it leaves the default in place.
 func parseDuration(field string, text *string, into *time.Duration) error {
 	if text == nil {
 		return nil
@@ -75,12 +75,12 @@
 		return malformed("cell.listen", err)
 	}
 	if len(c.Peers) == 0 {
-		return missing("cell.peer", "is missing: a cell alone has nowhere to spill")
+		return missing("cell.peer", "is missing: spill-over needs at least one other cell")
 	}
 	seen := map[string]bool{c.Name: true}
 	for _, p := range c.Peers {
 		if seen[p.Name] {
-			return conflicting("cell.peer", fmt.Sprintf("%q is named twice, or is this cell", p.Name))
+			return conflicting("cell.peer", fmt.Sprintf("%q is configured twice, or is the name of this cell", p.Name))
 		}
 		seen[p.Name] = true
 		if len(p.Addresses) == 0 {
@@ -92,14 +92,14 @@
 			}
 		}
 	}
-	return checkFields([]bound{
+	return checkBounds([]bound{
 		{"cell.spill_after", seconds, c.SpillAfter.Seconds(), 0.1, 3600},
 		{"cell.return_after", seconds, c.ReturnAfter.Seconds(), 1, 3600},
 		{"cell.lend_cores", "", c.LendCores, 0, 1e9},
 	})
 }
 
-// String lists the settings as check-settings prints them.
+// String formats the settings for check-settings.
 func (c *Cell) String() string {
 	if c == nil {
 		return "off"
--- a/config/cell_test.go
+++ b/config/cell_test.go
@@ -21,7 +21,7 @@
 	}
 	o, err = load(minimalCell + peerBlock)
 	if err != nil || o.Cell.LendCores != 0 || o.Cell.SpillAfter != 20*time.Second || o.Cell.ReturnAfter != 30*time.Second {
-		t.Errorf("the least of settings: %v %v", o.Cell, err)
+		t.Errorf("minimal settings: %v %v", o.Cell, err)
 	}
 	for bad, field := range map[string]string{
 		minimalCell: "cell.peer",
@@ -37,7 +37,7 @@
 		minimalCell + peerBlock + "no_such = 1\n":                           "cell.no_such",
 	} {
 		if _, err := load(bad); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: want a complaint about %s, got %v", bad, field, err)
+			t.Errorf("%s: want an error about %s, got %v", bad, field, err)
 		}
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the settings that the platform hands to a controller
-// (TOML) and those that its operators keep (HCL).
+// Package config reads and checks a controller's two settings files: the platform settings (TOML), which
+// the platform generates, and the operator settings (HCL), which the operators maintain.
 package config
 
 import (
@@ -17,77 +17,79 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Platform is the file that the platform hands over. Unknown fields are ignored.
+// Platform holds the settings that the platform passes to a controller. Unknown fields are ignored.
 type Platform struct {
 	Member string `toml:"member"`        // this controller's name
 	Listen string `toml:"client_listen"` // host:port for users, workers and health checks
 	Mesh   string `toml:"mesh_addr"`     // host:port for the other controllers
 	Others []Peer `toml:"others"`        // the other controllers
-	// External are the addresses of the services, host:port.
+	// External holds the addresses of the external services, as host:port.
 	External struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"external"`
-	Facts Deployment `toml:"facts"` // what the deployment is like
+	Facts Deployment `toml:"facts"` // properties of the deployment
 
-	Warnings []Warning `toml:"-"` // settings that could not be used
+	Warnings []Warning `toml:"-"` // unusable settings that were replaced by safe values
 }
 
-// Peer is another controller.
+// Peer is another controller of the same cluster.
 type Peer struct {
 	Member string `toml:"member"`   // its name
 	Addr   string `toml:"endpoint"` // its mesh address, host:port
 }
 
-// Deployment describe the deployment.
+// Deployment describes the deployment: teams, objectives, and the intervals and limits of the services.
 type Deployment struct {
 	Teams      []Team      `toml:"teams"`      // quotas of the teams
 	Objectives []Objective `toml:"objectives"` // service-level objectives
-	// Workers are the workers' intervals.
+	// Workers holds the timing of the workers.
 	Workers struct {
-		ReportS float64 `toml:"report_s"` // seconds between reports, give or take a quarter
-		LeaseS  float64 `toml:"lease_s"`  // seconds without an answered report after which a worker's lease expires
-		CancelS float64 `toml:"cancel_s"` // seconds within which all tasks of a cancelled job must be gone
+		ReportS float64 `toml:"report_s"` // seconds between reports, plus or minus a quarter
+		LeaseS  float64 `toml:"lease_s"`  // seconds after its last answered report until a worker's lease expires
+		CancelS float64 `toml:"cancel_s"` // seconds within which all tasks of a cancelled job must have ended
 	} `toml:"workers"`
 	State State `toml:"state"` // limits of the state service
-	// Cloud are the limits of the cloud.
+	// Cloud holds the limits of the cloud API.
 	Cloud struct {
 		RPS      float64 `toml:"rps"`        // requests per second
-		ListLagS float64 `toml:"list_lag_s"` // seconds by which its list of machines lags
+		ListLagS float64 `toml:"list_lag_s"` // seconds by which the list of machines may be stale
 	} `toml:"cloud"`
-	// Resources are what this process may take of its machine.
+	// Resources holds the resource limits of this process.
 	Resources struct {
 		MemoryMB       float64 `toml:"memory_mb"`       // memory, in MB
-		MaxConnections int     `toml:"max_connections"` // sockets open at once
+		MaxConnections int     `toml:"max_connections"` // maximum number of open sockets
 	} `toml:"resources"`
 }
 
-// State holds the limits of the state service, and in Next those that it will have
-// from a moment that nobody announces; what Next doesn't name stays.
+// State holds the current limits of the state service, and in Next the limits that will replace them at a
+// time that is not announced. Limits that Next does not name stay unchanged.
 type State struct {
 	Limits
-	Next NextLimits `toml:"-"` // limits that will change; see Coming
+	Next NextLimits `toml:"-"` // upcoming changes of the limits; see Coming
 }
 
-// Limits of the state service.
+// Limits holds the limits of the state service.
 type Limits struct {
 	RPS      float64 `toml:"rps"`       // requests per second
 	WriteRPS float64 `toml:"write_rps"` // puts and deletes per second
-	ValueKB  float64 `toml:"value_kb"`  // size of a value, in KiB as JSON
-	TxnOps   int     `toml:"txn_ops"`   // puts and deletes of one transaction
+	ValueKB  float64 `toml:"value_kb"`  // maximum size of a value, in KiB encoded as JSON
+	TxnOps   int     `toml:"txn_ops"`   // puts and deletes per transaction
 }
 
-// Coming are the limits from that moment on.
+// Coming returns the limits that apply after the upcoming change.
 func (s State) Coming() Limits {
 	return Limits{valueOr(s.Next.RPS, s.RPS), valueOr(s.Next.WriteRPS, s.WriteRPS), valueOr(s.Next.ValueKB, s.ValueKB), valueOr(s.Next.TxnOps, s.TxnOps)}
 }
 
-// Tightest hold before and after it.
+// Tightest returns the lower of the current and the upcoming value of each limit: these limits are safe
+// both before and after the change.
 func (s State) Tightest() Limits {
 	next := s.Coming()
 	return Limits{min(s.RPS, next.RPS), min(s.WriteRPS, next.WriteRPS), min(s.ValueKB, next.ValueKB), min(s.TxnOps, next.TxnOps)}
 }
 
+// valueOr returns the value, or the fallback if the value is nil.
 func valueOr[N int | float64](value *N, fallback N) N {
 	if value == nil {
 		return fallback
@@ -95,49 +97,49 @@
 	return *value
 }
 
-// Team is a team's guarantee and limit.
+// Team is the quota of a team: its guarantee and its limit.
 type Team struct {
-	Name    string  `toml:"name"`     // as jobs name it
+	Name    string  `toml:"name"`     // team name, as in job specifications
 	CPUs    float64 `toml:"cpus"`     // guaranteed cores; 0: none
-	CPUsMax float64 `toml:"cpus_max"` // most cores that its tasks may use at once; 0: no limit
+	CPUsMax float64 `toml:"cpus_max"` // maximum cores in use at once; 0: no limit
 	GPUs    float64 `toml:"gpus"`     // guaranteed GPUs; 0: none
-	GPUsMax float64 `toml:"gpus_max"` // most GPUs that its tasks may use at once; 0: no limit
+	GPUsMax float64 `toml:"gpus_max"` // maximum GPUs in use at once; 0: no limit
 }
 
-// Objective is one aim on starting or finishing. For a deadline it is in multiples
-// of the time that each job has.
+// Objective is a service-level objective on how fast jobs or tasks start or finish. A deadline objective is
+// expressed as a multiple of each job's own deadline.
 type Objective struct {
 	Kind    string  `toml:"kind"`     // "wait", "guarantee", "finished" or "deadline"; others are ignored
-	Class   string  `toml:"class"`    // class of jobs that it is for; empty: all
-	WithinS float64 `toml:"within_s"` // seconds within which a share of the jobs or tasks start or finish
-	Times   float64 `toml:"times"`    // for a deadline: the multiple of the job's due_s
-	Share   float64 `toml:"share"`    // share, 0 to 1, that is to be within
+	Class   string  `toml:"class"`    // job class that it applies to; empty: all
+	WithinS float64 `toml:"within_s"` // seconds within which the share of jobs or tasks must start or finish
+	Times   float64 `toml:"times"`    // for a deadline: multiple of the job's due_s
+	Share   float64 `toml:"share"`    // share of jobs or tasks, 0 to 1, that must meet the objective
 }
 
-// Operator holds the operators' own settings; docs/operations.md explains each.
+// Operator holds the operator settings; docs/operations.md explains each of them.
 type Operator struct {
-	LeaderLife   string  `hcl:"leader_life,optional"`   // life of the leader's lease, a Go duration: "1.4s"
-	SilentShare  float64 `hcl:"silent_share,optional"`  // share of the workers' lease that a machine may be silent before it is suspected
-	IdleS        float64 `hcl:"idle_s,optional"`        // seconds that an unneeded machine stays
-	Headroom     float64 `hcl:"headroom,optional"`      // room kept beyond what runs, as a share of it
-	HeadroomMost float64 `hcl:"headroom_most,optional"` // the most that Headroom may come to
-	Surge        float64 `hcl:"surge,optional"`         // the most room kept for services, in deviations of what arrives while a machine boots
-	SurgeBatch   float64 `hcl:"surge_batch,optional"`   // the same for batch work
+	LeaderLife   string  `hcl:"leader_life,optional"`   // time to live of the leader's lease, as a Go duration: "1.4s"
+	SilentShare  float64 `hcl:"silent_share,optional"`  // share of the worker lease that a machine may send no report before it is suspected
+	IdleS        float64 `hcl:"idle_s,optional"`        // seconds that an idle machine is kept before scale-in
+	Headroom     float64 `hcl:"headroom,optional"`      // spare capacity, as a share of the capacity in use; grows where machines boot slowly
+	HeadroomMost float64 `hcl:"headroom_most,optional"` // maximum share of spare capacity
+	Surge        float64 `hcl:"surge,optional"`         // maximum spare capacity for services, in standard deviations of the arrivals during a machine's boot
+	SurgeBatch   float64 `hcl:"surge_batch,optional"`   // as Surge, for batch jobs
 
-	ZoneRecoveryBlock *zoneRecoveryBlock  `hcl:"zone_recovery,block"` // as the file has it; nil once read
-	ZoneRecovery      *ZoneRecovery       // what follows from the block; nil: zone recovery is off
-	CellBlock         *cellBlock          `hcl:"cell,block"`           // as the file has it; nil once read
-	SpreadingBlock    *loadSpreadingBlock `hcl:"load_spreading,block"` // as the file has it; nil once read
-	Spreading         *LoadSpreading      // what follows from the block; nil: load is not spread
-	Cell              *Cell               // what follows from the block; nil: this cell is alone
+	ZoneRecoveryBlock *zoneRecoveryBlock  `hcl:"zone_recovery,block"` // block as in the file; nil after loading
+	ZoneRecovery      *ZoneRecovery       // parsed from the block; nil: zone recovery is off
+	CellBlock         *cellBlock          `hcl:"cell,block"`           // block as in the file; nil after loading
+	SpreadingBlock    *loadSpreadingBlock `hcl:"load_spreading,block"` // block as in the file; nil after loading
+	Spreading         *LoadSpreading      // parsed from the block; nil: load spreading is off
+	Cell              *Cell               // parsed from the block; nil: spill-over between cells is off
 }
 
-// DefaultOperator are the settings where the file says nothing.
+// DefaultOperator returns the defaults of settings that the operators' file leaves out.
 func DefaultOperator() Operator {
 	return Operator{LeaderLife: "1.4s", SilentShare: 0.25, IdleS: 15, Headroom: 0.1, HeadroomMost: 1.5, Surge: 2, SurgeBatch: 1}
 }
 
-// LeaderLifetime is the life of the leader's lease; 0 where LeaderLife is no duration.
+// LeaderLifetime returns the time to live of the leader's lease, or 0 if LeaderLife is not a valid duration.
 func (o Operator) LeaderLifetime() time.Duration {
 	d, err := time.ParseDuration(o.LeaderLife)
 	if err != nil {
@@ -146,12 +148,12 @@
 	return d
 }
 
-// Seconds turns a number of seconds from the settings into a duration.
+// Seconds converts a number of seconds from the settings into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// LoadPlatform reads and checks the platform's file. A wrong setting gives a *SettingError behind
-// the path of the file; a file that can't be read gives the error of os.ReadFile, and one that is
-// no TOML that of the decoder. Coming limits that can't be used give Warnings instead.
+// LoadPlatform reads and checks the platform's file. An invalid setting gives a *SettingError, prefixed with
+// the path of the file. A file that cannot be read gives the error of os.ReadFile, and a file that is not
+// valid TOML gives the decoder's error. Unusable upcoming limits give Warnings instead of an error.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -168,15 +170,15 @@
 	if err := p.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := p.readNext(raw); err != nil {
+	if err := p.readNextLimits(raw); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &p, nil
 }
 
-// readNext takes the coming limits from the file apart from the rest: what is wrong with
-// them must not stop the service from starting.
-func (p *Platform) readNext(raw []byte) error {
+// readNextLimits reads the upcoming limits separately from the other settings, because a fault in them must
+// not prevent the controller from starting.
+func (p *Platform) readNextLimits(raw []byte) error {
 	var file struct {
 		Facts struct {
 			State struct {
@@ -185,16 +187,16 @@
 		} `toml:"facts"`
 	}
 	if err := toml.Unmarshal(raw, &file); err != nil {
-		return fmt.Errorf("read coming limits: %w", err)
+		return fmt.Errorf("read upcoming limits: %w", err)
 	}
 	p.Facts.State.Next, p.Warnings = parseNextLimits(file.Facts.State.Next)
 	return nil
 }
 
-// LoadOperator reads and checks the operators' file; with no path the defaults hold. A wrong
-// setting gives a *SettingError (those that the checks find behind the path of the file, those that
-// HCL finds with the path in its diagnostics); a file that can't be read or parsed gives the
-// diagnostics of HCL.
+// LoadOperator reads and checks the operators' file; an empty path gives the defaults. An invalid setting
+// gives a *SettingError: prefixed with the path of the file if a check found it, and with the path in the
+// HCL diagnostics if the HCL decoder found it. A file that cannot be read or parsed gives the HCL
+// diagnostics.
 func LoadOperator(path string) (Operator, error) {
 	o := DefaultOperator()
 	if path == "" {
@@ -234,7 +236,8 @@
 	return o, nil
 }
 
-// settingAt names the setting that a complaint is about; HCL tells only where it is.
+// settingAt returns the name of the setting at a position in the file: HCL diagnostics contain the position
+// of a fault, but not the name of the setting. It returns "unknown" if there is no setting there.
 func settingAt(body hcl.Body, at *hcl.Range) string {
 	native, ok := body.(*hclsyntax.Body)
 	if !ok || at == nil {
@@ -256,20 +259,20 @@
 	return "unknown"
 }
 
-// seconds is the unit of a duration where it is checked against its bounds.
+// seconds is the unit in which durations are checked against their bounds.
 const seconds = "seconds"
 
-// bound is one bound on a setting.
+// bound is the allowed range of a numeric setting, together with its value.
 type bound struct {
-	name     string // as the file spells it
-	unit     string // of value where the file gives it in another form, such as "1.4s"; empty: none
+	name     string // as spelled in the file
+	unit     string // unit of value if the file uses another form, such as "1.4s"; empty: none
 	value    float64
 	min, max float64
 }
 
-// checkFields returns a *SettingError of ErrOutOfRange for the first field outside its bounds.
-func checkFields(fields []bound) error {
-	for _, f := range fields {
+// checkBounds returns a *SettingError of kind ErrOutOfRange for the first setting outside its bounds.
+func checkBounds(bounds []bound) error {
+	for _, f := range bounds {
 		if !(f.value >= f.min && f.value <= f.max) {
 			return outOfRange(f)
 		}
@@ -281,7 +284,7 @@
 	if _, err := time.ParseDuration(o.LeaderLife); err != nil {
 		return malformed("leader_life", err)
 	}
-	return checkFields([]bound{
+	return checkBounds([]bound{
 		{"leader_life", seconds, o.LeaderLifetime().Seconds(), 0.5, 60},
 		{"silent_share", "", o.SilentShare, 0.2, 10},
 		{"idle_s", "", o.IdleS, 0, 86400},
@@ -300,10 +303,10 @@
 		"external.cloud": p.External.Cloud, "external.state": p.External.State}
 	for _, o := range p.Others {
 		if o.Member == "" {
-			return missing("others.member", `is ""`)
+			return missing("others.member", "is empty")
 		}
 		if o.Member == p.Member {
-			return conflicting("others.member", fmt.Sprintf("is %q, this member itself", o.Member))
+			return conflicting("others.member", fmt.Sprintf("is %q, the name of this member", o.Member))
 		}
 		addrs["others."+o.Member+".endpoint"] = o.Addr
 	}
@@ -320,11 +323,11 @@
 			return missing("facts.teams.name", "is empty")
 		}
 		if !validQuota(t.CPUs, t.CPUsMax) || !validQuota(t.GPUs, t.GPUsMax) {
-			return &SettingError{Field: "facts.teams", Kind: ErrOutOfRange, Detail: fmt.Sprintf("of team %q: a guarantee is outside its limit", t.Name)}
+			return &SettingError{Field: "facts.teams", Kind: ErrOutOfRange, Detail: fmt.Sprintf("of team %q: a guarantee or limit is negative, or a guarantee exceeds its limit", t.Name)}
 		}
 	}
 	f := &p.Facts
-	return checkFields([]bound{
+	return checkBounds([]bound{
 		{"facts.workers.report_s", "", f.Workers.ReportS, 0.01, 3600},
 		{"facts.workers.lease_s", "", f.Workers.LeaseS, 0.1, 86400},
 		{"facts.workers.cancel_s", "", f.Workers.CancelS, 0.1, 86400},
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -65,7 +65,7 @@
 		strings.Replace(validPlatform, `endpoint = "127.0.0.1:3"`, `endpoint = "127.0.0.1:3:9:9:9"`, 1): "others.n1.endpoint",
 	} {
 		if _, err := LoadPlatform(writeFile(t, "s.toml", bad)); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("want a complaint about %s, got %v", field, err)
+			t.Errorf("want an error about %s, got %v", field, err)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		`leader_life = "soon"`: "leader_life", "headroom = -1": "headroom", "no_such = 1": "no_such", "idle_s = \"x\"": "idle_s",
 	} {
 		if _, err := LoadOperator(writeFile(t, "o.hcl", bad)); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("want a complaint about %s, got %v", field, err)
+			t.Errorf("want an error about %s, got %v", field, err)
 		}
 	}
 	if _, err := LoadOperator("../deploy/pumicefront.hcl"); err != nil {
@@ -87,29 +87,29 @@
 	}
 }
 
-// The coming limits of the state service may be missing or name only some.
+// The upcoming limits of the state service may be missing or incomplete.
 func TestNextLimits(t *testing.T) {
 	load := func(next string) (*Platform, error) {
 		return LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "[facts.cloud]", next+"\n[facts.cloud]", 1)))
 	}
 	p, err := load("")
 	if err != nil || p.Facts.State.Coming() != p.Facts.State.Limits || p.Facts.State.Tightest() != p.Facts.State.Limits {
-		t.Errorf("without any: %+v %v", p, err)
+		t.Errorf("without upcoming limits: %+v %v", p, err)
 	}
 	p, err = load("[facts.state.next]\nvalue_kb = 2.0\nwrite_rps = 70.0\nunknown = 1")
 	if want := (Limits{100, 70, 2, 16}); err != nil || p.Facts.State.Coming() != want {
-		t.Errorf("coming %+v, want %+v: %v", p.Facts.State.Coming(), want, err)
+		t.Errorf("upcoming limits %+v, want %+v: %v", p.Facts.State.Coming(), want, err)
 	}
 	if want := (Limits{100, 50, 2, 16}); p.Facts.State.Tightest() != want {
-		t.Errorf("tightest %+v, want %+v", p.Facts.State.Tightest(), want)
+		t.Errorf("tightest limits %+v, want %+v", p.Facts.State.Tightest(), want)
 	}
 	if got := p.Facts.State.Next.String(); got != "{WriteRPS:70 ValueKB:2}" {
-		t.Errorf("shown as %s", got)
+		t.Errorf("formatted as %s", got)
 	}
 }
 
-// A coming limit that can't be used is named, and the service starts with the least that it
-// can work with instead; a bad limit that holds now stops it.
+// An unusable upcoming limit gives a warning, and the controller starts with the minimum that it can work
+// with instead. An invalid current limit is an error.
 func TestUnusableNextLimits(t *testing.T) {
 	for bad, want := range map[string]Limits{
 		"value_kb = 0":          {100, 50, 1, 16},
@@ -125,11 +125,11 @@
 		name, _, _ := strings.Cut(bad, " ")
 		p, err := LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "[facts.cloud]", "[facts.state.next]\n"+bad+"\n[facts.cloud]", 1)))
 		if err != nil {
-			t.Errorf("%s stops the start: %v", bad, err)
+			t.Errorf("%s: want only a warning, got an error: %v", bad, err)
 			continue
 		}
 		if got := p.Facts.State.Tightest(); got != want {
-			t.Errorf("%s: keeps to %+v, want %+v", bad, got, want)
+			t.Errorf("%s: tightest limits %+v, want %+v", bad, got, want)
 		}
 		if len(p.Warnings) != 1 || p.Warnings[0].Field != "facts.state.next."+name || strings.Contains(p.Warnings[0].String(), "\n") {
 			t.Errorf("%s: warnings %v", bad, p.Warnings)
@@ -137,13 +137,13 @@
 	}
 	p, err := LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "txn_ops = 16", "txn_ops = 16\nnext = 5", 1)))
 	if err != nil || len(p.Warnings) != 1 || p.Facts.State.Tightest() != (Limits{10, 5, 1, 4}) {
-		t.Errorf("next is no table: %+v %v", p, err)
+		t.Errorf("next is not a table: %+v %v", p, err)
 	}
 	for _, bad := range []string{"txn_ops = 2", "value_kb = 0.5", "write_rps = \"few\""} {
 		name, _, _ := strings.Cut(bad, " ")
 		now := map[string]string{"txn_ops": "txn_ops = 16", "value_kb": "value_kb = 8.0", "write_rps": "write_rps = 50.0"}[name]
 		if _, err := LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, now, bad, 1))); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s, which holds now: %v", bad, err)
+			t.Errorf("%s as a current limit: want an error about it, got %v", bad, err)
 		}
 	}
 }
--- a/config/errors.go
+++ b/config/errors.go
@@ -6,33 +6,33 @@
 	"strings"
 )
 
-// The kinds of fault in a setting. A SettingError matches one of them with errors.Is.
+// The kinds of invalid setting. A SettingError matches exactly one of them with errors.Is.
 var (
-	// ErrMissing tells of a setting that must be given and is missing or empty.
+	// ErrMissing means that a required setting is missing or empty.
 	ErrMissing = errors.New("missing")
-	// ErrMalformed tells of a value that is not of its kind (an address, a duration, a number),
-	// or of a setting that the operators' file may not hold.
+	// ErrMalformed means that a value cannot be parsed (as an address, a duration or a number), or that the
+	// operators' file contains an unknown setting.
 	ErrMalformed = errors.New("malformed")
-	// ErrOutOfRange tells of a number outside the bounds that a controller can work with.
+	// ErrOutOfRange means that a number is outside the range that a controller supports.
 	ErrOutOfRange = errors.New("out of range")
-	// ErrConflict tells of a setting that repeats a name, or names this member or cell itself.
+	// ErrConflict means that a name is used twice, or is the name of this member or cell itself.
 	ErrConflict = errors.New("conflict")
 )
 
-// SettingError tells what is wrong with one setting of either file.
+// SettingError describes an invalid setting in either settings file.
 type SettingError struct {
-	// Field is the setting as the file spells it, with the tables or blocks that hold it,
-	// joined by dots: "facts.workers.lease_s", "cell.peer.b.addresses".
+	// Field is the setting as spelled in the file, with its enclosing tables or blocks, joined by dots:
+	// "facts.workers.lease_s", "cell.peer.b.addresses".
 	Field string
 	// Kind is ErrMissing, ErrMalformed, ErrOutOfRange or ErrConflict.
 	Kind error
-	// Detail tells what was found and what is allowed; it may be empty.
+	// Detail describes the value found and the values allowed; it may be empty.
 	Detail string
-	// Err is the fault that a parser found, if there is one.
+	// Err is the parser's error; nil if there is none.
 	Err error
 }
 
-// Error names the field, then what is wrong, then the parser's fault:
+// Error returns the field, followed by the detail and the parser's error:
 // "field facts.workers.lease_s is 0, must be between 0.1 and 86400".
 func (e *SettingError) Error() string {
 	var text strings.Builder
@@ -46,7 +46,7 @@
 	return text.String()
 }
 
-// Unwrap returns the kind and the parser's fault, so that errors.Is and errors.As find both.
+// Unwrap returns the kind and the parser's error, so that errors.Is and errors.As find both.
 func (e *SettingError) Unwrap() []error {
 	wrapped := []error{e.Kind}
 	if e.Err != nil {
@@ -55,22 +55,22 @@
 	return wrapped
 }
 
-// missing is the error of a setting that is not given.
+// missing returns the error for a required setting that is missing or empty.
 func missing(field, detail string) *SettingError {
 	return &SettingError{Field: field, Kind: ErrMissing, Detail: detail}
 }
 
-// malformed is the error of a value that a parser could not read.
+// malformed returns the error for a value that could not be parsed.
 func malformed(field string, cause error) *SettingError {
 	return &SettingError{Field: field, Kind: ErrMalformed, Err: cause}
 }
 
-// conflicting is the error of a setting that repeats a name or names its own member or cell.
+// conflicting returns the error for a name that is used twice or is that of this member or cell.
 func conflicting(field, detail string) *SettingError {
 	return &SettingError{Field: field, Kind: ErrConflict, Detail: detail}
 }
 
-// outOfRange is the error of a number outside its bounds; unit, if any, is that of the number.
+// outOfRange returns the error for a number outside its bounds, with the unit of the number if it has one.
 func outOfRange(f bound) *SettingError {
 	value := fmt.Sprint(f.value)
 	if f.unit != "" {
--- a/config/errors_test.go
+++ b/config/errors_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// A wrong setting in either file comes back as a *SettingError that names the field as the file
-// spells it, tells the kind of fault to errors.Is, and keeps the parser's fault.
+// An invalid setting in either file gives a *SettingError that names the field as spelled in the file,
+// matches the kind with errors.Is, and wraps the parser's error.
 func TestSettingErrorsNameFieldAndKind(t *testing.T) {
 	type want struct {
 		field    string
 		kind     error
-		hasCause bool // a parser's fault is wrapped
+		hasCause bool // a parser's error is wrapped
 	}
 	platform := map[string]want{
 		strings.Replace(validPlatform, "lease_s = 10.0", "lease_s = 0", 1):                     {"facts.workers.lease_s", ErrOutOfRange, false},
@@ -69,11 +69,11 @@
 		}
 	}
 	if !strings.Contains(err.Error(), "field "+field) {
-		t.Errorf("the text does not name field %s: %v", field, err)
+		t.Errorf("the error text does not name field %s: %v", field, err)
 	}
 }
 
-// A bound of a duration tells its unit; the field keeps the name of the setting alone.
+// An out-of-range duration is printed with its unit, which is not part of the field's name.
 func TestSettingErrorText(t *testing.T) {
 	_, err := LoadOperator(writeFile(t, "o.hcl", `leader_life = "0.2s"`))
 	if err == nil || !strings.HasSuffix(err.Error(), "field leader_life is 0.2 seconds, must be between 0.5 and 60") {
@@ -85,7 +85,7 @@
 	}
 }
 
-// A file that is not there is no fault of a setting, and says so to errors.Is.
+// A missing file is not a *SettingError; for the platform's file the error matches fs.ErrNotExist.
 func TestMissingFileIsNotSettingError(t *testing.T) {
 	_, err := LoadPlatform(writeFile(t, "s.toml", validPlatform) + ".gone")
 	var setting *SettingError
--- a/config/load_spreading.go
+++ b/config/load_spreading.go
@@ -7,15 +7,15 @@
 	"pumicefront/balance"
 )
 
-// LoadSpreading are the operators' settings of load spreading; docs/operations.md explains each.
+// LoadSpreading holds the operator settings of load spreading; docs/operations.md explains each of them.
 type LoadSpreading struct {
 	balance.Settings
-	StatusListen string // address of the status endpoint; empty: none
-	Trace        string // file that spans are appended to, or "stderr"; empty: none
+	StatusListen string // listen address of the status endpoint; empty: none
+	Trace        string // file to which spans are appended, or "stderr"; empty: none
 }
 
-// loadSpreadingBlock is the block as it stands in the operators' file; what it leaves out has its
-// default.
+// loadSpreadingBlock is the block as written in the operators' file; settings that it leaves out have their
+// defaults.
 type loadSpreadingBlock struct {
 	High           *float64 `hcl:"high,optional"`
 	LeastShare     *float64 `hcl:"least_share,optional"`
@@ -66,7 +66,7 @@
 	if err := checkAddress("load_spreading.status_listen", l.StatusListen); err != nil {
 		return err
 	}
-	return checkFields([]bound{
+	return checkBounds([]bound{
 		{"load_spreading.high", "", l.High, 1.02, 10},
 		{"load_spreading.least_share", "", l.LeastShare, 0, 1},
 		{"load_spreading.least_gain", "", l.LeastGain, 0.005, 1},
@@ -79,7 +79,7 @@
 	})
 }
 
-// String lists the settings as check-settings prints them.
+// String formats the settings for check-settings.
 func (l *LoadSpreading) String() string {
 	if l == nil {
 		return "off"
--- a/config/load_spreading_test.go
+++ b/config/load_spreading_test.go
@@ -9,7 +9,8 @@
 	"pumicefront/balance"
 )
 
-// The file under deploy/ states the defaults; what is left out has them; what is wrong is named.
+// The file under deploy/ contains the defaults, settings that are left out have their defaults, and an
+// invalid setting gives an error that names it.
 func TestLoadSpreading(t *testing.T) {
 	o, err := LoadOperator("../deploy/load-spreading.hcl")
 	if err != nil || o.Spreading == nil || !reflect.DeepEqual(o.Spreading.Settings, balance.DefaultSettings()) {
@@ -41,7 +42,7 @@
 		"no_such = 1":                    "load_spreading.no_such",
 	} {
 		if _, err := LoadOperator(writeFile(t, "o.hcl", "load_spreading {\n"+bad+"\n}\n")); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: want a complaint about %s, got %v", bad, field, err)
+			t.Errorf("%s: want an error about %s, got %v", bad, field, err)
 		}
 	}
 }
--- a/config/next.go
+++ b/config/next.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// The least limits of the state service that a controller can work with: the end of a job
-// takes two changes, and an election, a refusal and a user's request a few requests a second.
+// Minimum limits of the state service that a controller can work with: the end of a job takes two changes,
+// and an election, a rejection and a user's request take a few requests per second.
 const (
 	minRPS      = 10
 	minWriteRPS = 5
@@ -16,15 +16,15 @@
 	maxLimit    = 1e6
 )
 
-// NextLimits names the limits that will change.
+// NextLimits holds the upcoming values of the limits that will change.
 type NextLimits struct {
-	RPS      *float64 // nil: stays
-	WriteRPS *float64 // nil: stays
-	ValueKB  *float64 // nil: stays
-	TxnOps   *int     // nil: stays
+	RPS      *float64 // nil: unchanged
+	WriteRPS *float64 // nil: unchanged
+	ValueKB  *float64 // nil: unchanged
+	TxnOps   *int     // nil: unchanged
 }
 
-// String shows what is named.
+// String formats the limits that will change, and leaves out the others.
 func (n NextLimits) String() string {
 	var parts []string
 	add := func(name string, value *float64) {
@@ -41,45 +41,45 @@
 	return "{" + strings.Join(parts, " ") + "}"
 }
 
-// rawNextLimits is state.next as it stands in the file, whatever the types of its values.
+// rawNextLimits holds the values of state.next as decoded from the file, of any type.
 type rawNextLimits struct{ rps, writeRPS, valueKB, txnOps any }
 
-// parseNextLimits reads state.next. Unknown fields are ignored; what is no table gives no limit
-// that can be used.
+// parseNextLimits parses state.next and ignores unknown fields. If state.next is not a table, it returns the
+// minimum of every limit and a warning.
 func parseNextLimits(table any) (NextLimits, []Warning) {
 	if table == nil {
 		return NextLimits{}, nil
 	}
 	fields, ok := table.(map[string]any)
 	if !ok {
-		return minLimits(), []Warning{{Field: "facts.state.next", Value: table, Used: "the least limits"}}
+		return minLimits(), []Warning{{Field: "facts.state.next", Value: table, Used: "the minimum limits"}}
 	}
 	return rawNextLimits{
 		rps: fields["rps"], writeRPS: fields["write_rps"], valueKB: fields["value_kb"], txnOps: fields["txn_ops"],
 	}.parse()
 }
 
+// minLimits returns the minimum of every limit that a controller can work with.
 func minLimits() NextLimits {
 	rps, writeRPS, valueKB, txnOps := float64(minRPS), float64(minWriteRPS), float64(minValueKB), minTxnOps
 	return NextLimits{RPS: &rps, WriteRPS: &writeRPS, ValueKB: &valueKB, TxnOps: &txnOps}
 }
 
-// A Warning tells of a setting that can't be used, and of the safe value that is used
-// instead.
+// Warning describes an unusable setting and the safe value that replaces it.
 type Warning struct {
-	Field string // as the file spells it: "facts.state.next.value_kb"
-	Value any    // as it stands in the file
-	Used  string // the value that is used instead
+	Field string // as spelled in the file: "facts.state.next.value_kb"
+	Value any    // as decoded from the file
+	Used  string // the value used instead
 }
 
-// String tells the field, what is wrong, and what follows.
+// String returns the field, its unusable value and the value used instead.
 func (w Warning) String() string {
-	return fmt.Sprintf("field %s is %v, which can't be used: the service keeps to %v", w.Field, w.Value, w.Used)
+	return fmt.Sprintf("field %s has the unusable value %v: using %v instead", w.Field, w.Value, w.Used)
 }
 
-// parse takes what can be used of the fields. A value of another kind, or one outside
-// the bounds, gives way to the least that a controller can work with: whatever limit comes,
-// the service then exceeds it as little as it can.
+// parse returns the usable limits, and a warning for each unusable one. A value that is not a number, or
+// that is out of range, is replaced by the minimum that a controller can work with: whatever the actual
+// limit will be, the controller then exceeds it as little as possible.
 func (f rawNextLimits) parse() (NextLimits, []Warning) {
 	var next NextLimits
 	var warnings []Warning
@@ -104,6 +104,7 @@
 	return next, warnings
 }
 
+// numberOf returns a decoded TOML number as a float64, and whether the value is a number.
 func numberOf(value any) (float64, bool) {
 	switch v := value.(type) {
 	case float64:
--- a/config/zone_recovery.go
+++ b/config/zone_recovery.go
@@ -8,15 +8,15 @@
 	"pumicefront/zones"
 )
 
-// ZoneRecovery are the operators' settings of the recovery of zones; docs/operations.md explains each.
+// ZoneRecovery holds the operator settings of zone recovery; docs/operations.md explains each of them.
 type ZoneRecovery struct {
 	zones.Settings
-	StatusListen string // address of the status endpoint; empty: none
-	Trace        string // file that spans are appended to, or "stderr"; empty: none
+	StatusListen string // listen address of the status endpoint; empty: none
+	Trace        string // file to which spans are appended, or "stderr"; empty: none
 }
 
-// zoneRecoveryBlock is the block as it stands in the operators' file; what it leaves out has its
-// default.
+// zoneRecoveryBlock is the block as written in the operators' file; settings that it leaves out have their
+// defaults.
 type zoneRecoveryBlock struct {
 	LostAfter    *string `hcl:"lost_after,optional"`
 	HoldDown     *string `hcl:"hold_down,optional"`
@@ -55,7 +55,7 @@
 	return z, z.check()
 }
 
-// checkAddress checks an address to listen at, if there is one.
+// checkAddress checks an optional listen address.
 func checkAddress(name, address string) error {
 	if address == "" {
 		return nil
@@ -70,7 +70,7 @@
 	if err := checkAddress("zone_recovery.status_listen", z.StatusListen); err != nil {
 		return err
 	}
-	return checkFields([]bound{
+	return checkBounds([]bound{
 		{"zone_recovery.lost_after", seconds, z.LostAfter.Seconds(), 0.1, 600},
 		{"zone_recovery.hold_down", seconds, z.HoldDown.Seconds(), 0, 600},
 		{"zone_recovery.hold_down_most", seconds, z.HoldDownMost.Seconds(), z.HoldDown.Seconds(), 3600},
@@ -80,7 +80,7 @@
 	})
 }
 
-// String lists the settings as check-settings prints them.
+// String formats the settings for check-settings.
 func (z *ZoneRecovery) String() string {
 	if z == nil {
 		return "off"
--- a/config/zone_recovery_test.go
+++ b/config/zone_recovery_test.go
@@ -39,7 +39,7 @@
 		"lost_after = \"1s\"\n}\nzone_recovery {\n": "zone_recovery",
 	} {
 		if _, err := LoadOperator(writeFile(t, "o.hcl", "zone_recovery {\n"+bad+"\n}\n")); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: want a complaint about %s, got %v", bad, field, err)
+			t.Errorf("%s: want an error about %s, got %v", bad, field, err)
 		}
 	}
 }
