--- a/cmd/pumicefront/main.go
+++ b/cmd/pumicefront/main.go
@@ -24,10 +24,10 @@
 
 const version = "0.1.0"
 
-// settings are the two files that every command but version reads.
+// settings holds the flags for the two settings files.
 type settings struct {
-	Operators string `help:"Operators' own settings (HCL)." type:"path"`
-	Config    string `help:"Settings that the platform hands over (TOML)." required:"" type:"path"`
+	Operators string `help:"Operator settings file (HCL)." type:"path"`
+	Config    string `help:"Platform settings file (TOML)." required:"" type:"path"`
 }
 
 func (s *settings) load() (*config.Platform, config.Operator, error) {
@@ -41,14 +41,14 @@
 
 type serveCmd struct{ settings }
 
-// Run serves until the process is killed.
+// Run runs a controller until the process is killed.
 func (c *serveCmd) Run() error {
 	cfg, op, err := c.load()
 	if err != nil {
 		return err
 	}
 	for _, warning := range cfg.Warnings {
-		slog.Error("setting not used", "warning", warning)
+		slog.Error("setting unusable, using safe value instead", "warning", warning)
 	}
 	configureRuntime(cfg)
 	return server.New(cfg, op).Run(context.Background())
@@ -56,8 +56,8 @@
 
 type checkCmd struct{ settings }
 
-// Run prints what was understood of the settings, and the warnings of those that can't be used.
-// The error of a wrong setting names its field; main prints it and exits with 2.
+// Run prints the effective settings, and warnings about unusable ones. An invalid setting gives an error that
+// names its field; main prints it and exits with status 2.
 func (c *checkCmd) Run() error {
 	cfg, op, err := c.load()
 	if err != nil {
@@ -70,14 +70,15 @@
 	return nil
 }
 
-// viewFlags are those of commands that show a status.
+// viewFlags holds the flags of commands that show a status.
 type viewFlags struct {
-	Address  []string      `help:"Status endpoint of a controller (status_listen in its settings); may be given several times." required:""`
-	Interval time.Duration `help:"How often to ask again, in a terminal." default:"1s"`
-	Once     bool          `help:"Print plain lines once, in a terminal too."`
+	Address  []string      `help:"Status endpoint of a controller (status_listen in its settings); may be repeated." required:""`
+	Interval time.Duration `help:"Refresh interval in a terminal." default:"1s"`
+	Once     bool          `help:"Print the status once as plain text, even in a terminal."`
 }
 
-// show shows a status until its user ends it, or once where there is no terminal.
+// show displays a status in a terminal until the user quits, or prints it once if stdout is not a terminal
+// or --once is given.
 func show[S statusclient.Status](view statusview.View[S], f viewFlags) error {
 	if f.Once || !isatty.IsTerminal(os.Stdout.Fd()) {
 		return view.Print(context.Background(), os.Stdout, f.Address)
@@ -87,38 +88,38 @@
 
 type zonesCmd struct{ viewFlags }
 
-// Run shows the zones.
+// Run shows the state of the zones.
 func (c *zonesCmd) Run() error { return show(zoneview.View, c.viewFlags) }
 
 type spreadCmd struct{ viewFlags }
 
-// Run shows how load is spread.
+// Run shows the state of load spreading.
 func (c *spreadCmd) Run() error { return show(spreadview.View, c.viewFlags) }
 
-// minInterval keeps a view from asking the core all the time.
+// minInterval is the minimum refresh interval; it bounds the load that a view puts on the core.
 const minInterval = 200 * time.Millisecond
 
 type cellsCmd struct {
-	Show        cellsShowCmd        `cmd:"" default:"withargs" help:"Show the links to other cells, and jobs out and in by team."`
-	DeclareGone cellsDeclareGoneCmd `cmd:"" help:"Vouch for a cell's having ended all that it was granted. docs/operations.md says what you must be sure of."`
+	Show        cellsShowCmd        `cmd:"" default:"withargs" help:"Show the links to other cells, and the jobs sent and received by team."`
+	DeclareGone cellsDeclareGoneCmd `cmd:"" help:"Declare that a cell is permanently gone and has ended all jobs that it was granted. See docs/operations.md for what must be verified first."`
 }
 
 type cellsShowCmd struct {
-	Address []string `help:"Listener for cells of a controller (cell.listen in its settings); may be given several times." required:""`
+	Address []string `help:"Cell listener of a controller (cell.listen in its settings); may be repeated." required:""`
 }
 
-// Run shows the links once.
+// Run prints the links to other cells once.
 func (c *cellsShowCmd) Run() error {
 	return cellview.View.Print(context.Background(), os.Stdout, c.Address)
 }
 
 type cellsDeclareGoneCmd struct {
-	Address []string `help:"Listener for cells of a controller of the home." required:""`
-	Cell    string   `help:"The cell that is gone." required:""`
-	By      string   `help:"Who vouches for it; this is recorded." required:""`
+	Address []string `help:"Cell listener of a controller of the home cell; may be repeated." required:""`
+	Cell    string   `help:"Name of the cell that is gone." required:""`
+	By      string   `help:"Name of the operator who confirms this; it is recorded." required:""`
 }
 
-// Run declares the cell gone.
+// Run declares a cell permanently gone.
 func (c *cellsDeclareGoneCmd) Run() error {
 	return cellview.DeclareGone(context.Background(), c.Address, c.Cell, c.By)
 }
@@ -131,8 +132,8 @@
 	return nil
 }
 
-// configureRuntime fits the runtime to the machine: one thread runs at a time, the heap is
-// small against the memory limit, and collecting seldom saves processor time.
+// configureRuntime adapts the Go runtime to the machine. One thread runs Go code at a time. The heap is small
+// compared to the memory limit, so that infrequent garbage collection saves CPU time.
 func configureRuntime(cfg *config.Platform) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
@@ -153,10 +154,10 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
 	var cli struct {
 		Serve         serveCmd   `cmd:"" help:"Run a controller."`
-		CheckSettings checkCmd   `cmd:"" help:"Check both settings files and print what was understood."`
-		Zones         zonesCmd   `cmd:"" help:"Show the state of the zones (zone recovery must be on)."`
-		Cells         cellsCmd   `cmd:"" help:"Links to other cells (spilling over must be on)."`
-		Spread        spreadCmd  `cmd:"" help:"Show machines by load, hot ones and moves under way (load spreading must be on)."`
+		CheckSettings checkCmd   `cmd:"" help:"Check both settings files and print the effective settings."`
+		Zones         zonesCmd   `cmd:"" help:"Show the state of the zones (zone recovery must be enabled)."`
+		Cells         cellsCmd   `cmd:"" help:"Show the links to other cells, or declare a cell gone (spill-over must be enabled)."`
+		Spread        spreadCmd  `cmd:"" help:"Show machines by load, hot machines and moves in progress (load spreading must be enabled)."`
 		Version       versionCmd `cmd:"" help:"Print the version."`
 	}
 	ctx := kong.Parse(&cli, kong.Name("pumicefront"), kong.Description("A scheduler for a cluster of rented machines."))
--- a/config/config.go
+++ b/config/config.go
@@ -66,7 +66,7 @@
 // time that is not announced. Limits that Next does not name stay unchanged.
 type State struct {
 	Limits
-	Next NextLimits `toml:"-"` // upcoming changes of the limits; see Coming
+	Next NextLimits `toml:"-"` // upcoming changes of the limits
 }
 
 // Limits holds the limits of the state service.
--- a/deploy/cell.hcl
+++ b/deploy/cell.hcl
@@ -1,5 +1,5 @@
-# Operators' own settings of one of several cells; docs/operations.md explains each. The other cells
-# have files of their own, with their names and the others as peers.
+# Operator settings of one cell among several; docs/operations.md explains each setting. Every other cell has
+# its own file, with its own name and with the remaining cells as peers.
 leader_life   = "1.4s"
 silent_share  = 0.25
 idle_s        = 15
--- a/deploy/zone-recovery.hcl
+++ b/deploy/zone-recovery.hcl
@@ -1,4 +1,4 @@
-# Operators' own settings with zone recovery switched on; docs/operations.md explains each.
+# Operator settings with zone recovery enabled; docs/operations.md explains each setting.
 leader_life   = "1.4s"
 silent_share  = 0.25
 idle_s        = 15
--- a/movetrace/recorder.go
+++ b/movetrace/recorder.go
@@ -1,5 +1,5 @@
-// Package movetrace records moves of running tasks as OpenTelemetry spans: one for each move, with an
-// event for each step, in the order in which the leader has seen them.
+// Package movetrace records moves of running tasks as OpenTelemetry spans: one span for each move, with an
+// event for each step, in the order in which the leader observed them.
 package movetrace
 
 import (
@@ -13,7 +13,7 @@
 	"pumicefront/spanexport"
 )
 
-// Names of spans, events and attributes.
+// Names of spans and events, and keys and values of attributes.
 const (
 	spanMove                 = "move"
 	eventReservationReleased = "held room is given up"
@@ -30,19 +30,20 @@
 	outcomeLeadershipLost = "its leader leads no more"
 )
 
-// Recorder turns steps of moves into spans. A nil one records nothing. It is used by one goroutine.
+// Recorder converts steps of moves into spans. A nil Recorder records nothing. It must be used by one
+// goroutine only.
 type Recorder struct {
 	tracer trace.Tracer
 	moves  map[balance.TaskID]moveSpan
 }
 
-// move is one that is under way.
+// moveSpan is the span of a move in progress, and the leader's term in which the span was started.
 type moveSpan struct {
 	span trace.Span
 	term uint64
 }
 
-// New returns a recorder whose spans the exporter writes; without one it is nil.
+// New returns a recorder whose spans go to the exporter. Without an exporter it returns nil.
 func New(e *spanexport.Exporter) *Recorder {
 	if e == nil {
 		return nil
@@ -50,7 +51,7 @@
 	return &Recorder{tracer: e.Tracer("pumicefront/movetrace"), moves: map[balance.TaskID]moveSpan{}}
 }
 
-// Record records a step of a move.
+// Record records a step of a move. The step that has an outcome ends the span.
 func (r *Recorder) Record(c controller.MoveChanged) {
 	if r == nil {
 		return
@@ -69,8 +70,8 @@
 	delete(r.moves, c.TaskID)
 }
 
-// move returns the move that a step belongs to. What an earlier term of this controller has left open
-// ends with the first step of a later one.
+// findOrStartMove returns the span of the move that a step belongs to, and starts it if there is none. Spans
+// left open by an earlier term of this controller end at the first step in a later term.
 func (r *Recorder) findOrStartMove(c controller.MoveChanged) moveSpan {
 	for id, open := range r.moves {
 		if open.term != c.Term {
--- a/movetrace/recorder_test.go
+++ b/movetrace/recorder_test.go
@@ -12,7 +12,7 @@
 	"pumicefront/spanexport"
 )
 
-// Each move is a span with its steps; what a leader leaves open ends with the next term.
+// Each move is a span with its steps as events; spans left open by an earlier term end in the next term.
 func TestSpansOfMoves(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	r := New(spanexport.NewWithOption(sdktrace.WithSyncer(spans), "n0"))
--- a/server/cell_gate.go
+++ b/server/cell_gate.go
@@ -27,17 +27,17 @@
 }
 
 func newCellRateLimiter(settings *config.Cell) *cellRateLimiter {
-	g := &cellRateLimiter{limiters: map[cells.Cell]*rate.Limiter{}}
+	l := &cellRateLimiter{limiters: map[cells.Cell]*rate.Limiter{}}
 	for _, p := range settings.Peers {
-		g.limiters[cells.Cell(p.Name)] = rate.NewLimiter(cellCallsPerSecond, cellCallBurst)
+		l.limiters[cells.Cell(p.Name)] = rate.NewLimiter(cellCallsPerSecond, cellCallBurst)
 	}
-	return g
+	return l
 }
 
 // isPeer reports whether a cell is configured as a peer; other cells may not call.
-func (g *cellRateLimiter) isPeer(cell cells.Cell) bool { return g.limiters[cell] != nil }
+func (l *cellRateLimiter) isPeer(cell cells.Cell) bool { return l.limiters[cell] != nil }
 
 // allow reports whether a peer's call is within its rate limit, and counts the call against the limit.
-func (g *cellRateLimiter) allow(cell cells.Cell, now time.Time) bool {
-	return g.limiters[cell].AllowN(now, 1)
+func (l *cellRateLimiter) allow(cell cells.Cell, now time.Time) bool {
+	return l.limiters[cell].AllowN(now, 1)
 }
--- a/server/server.go
+++ b/server/server.go
@@ -49,7 +49,7 @@
 	mesh           *mesh.Mesh
 	inputs         chan controller.Input
 	requests       chan request
-	cellRequests   chan request // requests of other cells and of spill-over operators, in a separate queue; nil: spill-over is off
+	cellRequests   chan request // requests of other cells, and of operators about cells, in a separate queue; nil: spill-over is off
 	cellLimiter    *cellRateLimiter
 	nextID         atomic.Uint64
 	conns          atomic.Int64              // open connections of users and workers
--- a/spanexport/exporter.go
+++ b/spanexport/exporter.go
@@ -1,4 +1,4 @@
-// Package spanexport writes OpenTelemetry spans to where operators want them: a file, or standard error.
+// Package spanexport writes OpenTelemetry spans to a file or to standard error.
 package spanexport
 
 import (
@@ -16,23 +16,24 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Stderr as a target stands for standard error.
+// Stderr is the target that means standard error.
 const Stderr = "stderr"
 
-// keyMember names the controller whose spans they are.
+// keyMember is the resource attribute for the name of the controller that the spans come from.
 const keyMember = "member"
 
-// flushInterval is how long an ended span may wait to be written: a process may be killed at any time, and
-// what it has not written is lost.
+// flushInterval bounds how long an ended span waits to be written: the process may be killed at any time, and
+// spans that have not been written are lost.
 const flushInterval = time.Second
 
-// Exporter writes spans; it has a goroutine of its own, with a bounded queue.
+// Exporter writes spans. Exporters made with New or Open write in a separate goroutine with a bounded queue.
 type Exporter struct {
 	provider *sdktrace.TracerProvider
-	file     io.Closer // nil: there is none to close
+	file     io.Closer // closed by Close; nil: none
 }
 
-// Open returns an exporter that writes to a file, to which it appends, or to Stderr.
+// Open returns an exporter that appends to the file named target, or writes to standard error if target is
+// Stderr.
 func Open(target, member string) (*Exporter, error) {
 	if target == Stderr {
 		return New(os.Stderr, member)
@@ -58,15 +59,15 @@
 	return NewWithOption(sdktrace.WithBatcher(out, sdktrace.WithBatchTimeout(flushInterval)), member), nil
 }
 
-// NewWithOption returns an exporter that hands spans on as the option says; tests keep them in memory.
+// NewWithOption returns an exporter with the given span processing; tests use it to keep spans in memory.
 func NewWithOption(option sdktrace.TracerProviderOption, member string) *Exporter {
 	return &Exporter{provider: sdktrace.NewTracerProvider(option, sdktrace.WithResource(resource.NewSchemaless(attribute.String(keyMember, member))))}
 }
 
-// Tracer returns what makes the spans of a package.
+// Tracer returns the tracer with the given instrumentation name.
 func (e *Exporter) Tracer(name string) trace.Tracer { return e.provider.Tracer(name) }
 
-// Close writes what is left and closes the file. A nil exporter has nothing to write.
+// Close writes the remaining spans and closes the file. On a nil Exporter it does nothing.
 func (e *Exporter) Close(ctx context.Context) error {
 	if e == nil {
 		return nil
--- a/spanexport/exporter_test.go
+++ b/spanexport/exporter_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What was traced is in the file once the exporter is closed, after what was there before.
+// Once the exporter is closed, its spans are in the file, appended to the previous content.
 func TestSpansAreAppended(t *testing.T) {
 	target := filepath.Join(t.TempDir(), "trace")
 	for _, name := range []string{"first", "second"} {
@@ -27,7 +27,7 @@
 		t.Errorf("%v %s", err, raw)
 	}
 	if _, err := Open(filepath.Join(target, "nowhere"), "n0"); err == nil {
-		t.Error("a file that can't be opened is no error")
+		t.Error("opening a file in a path that is not a directory gave no error")
 	}
 	var none *Exporter
 	if err := none.Close(context.Background()); err != nil {
--- a/spreadview/counts.go
+++ b/spreadview/counts.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// formatCounts lists counts by name; the keys are outcomes or reasons.
+// formatCounts formats counts sorted by key; the keys are outcomes or reasons.
 func formatCounts[K ~string](all map[K]int) string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(all)) {
--- a/spreadview/render.go
+++ b/spreadview/render.go
@@ -1,5 +1,5 @@
-// Package spreadview shows operators how load is spread: machines by load, the hot ones and why their
-// tasks stay, and the moves under way.
+// Package spreadview displays the state of load spreading to operators: machines by load, the hot machines
+// and the reasons why their tasks are not moved, and the moves in progress.
 package spreadview
 
 import (
@@ -11,13 +11,13 @@
 	"pumicefront/statusview"
 )
 
-// View shows the spread of load.
+// View displays the state of load spreading.
 var View = statusview.View[balance.Status]{Path: balance.StatusPath, Render: Render}
 
-// maxListedMachines bounds the machines that are shown beside the hot ones.
+// maxListedMachines bounds how many machines are listed; hot machines beyond it are listed too.
 const maxListedMachines = 20
 
-// Render writes a status as lines of text.
+// Render formats a status as lines of text.
 func Render(s balance.Status) string {
 	var out strings.Builder
 	if !s.Leading {
@@ -64,7 +64,7 @@
 	}
 }
 
-// writeImages lists the images that only hot machines have.
+// writeImages lists the images that are present on hot machines only.
 func writeImages(table *tabwriter.Writer, images []balance.ImageStatus) {
 	if len(images) == 0 {
 		return
@@ -89,7 +89,7 @@
 	return "-"
 }
 
-// movableText tells how many tasks of a hot machine tolerate a move.
+// movableText returns how many tasks of a hot machine tolerate a move, or "-" for other machines.
 func movableText(m balance.MachineStatus) string {
 	if !m.Hot {
 		return "-"
@@ -97,7 +97,7 @@
 	return fmt.Sprint(m.Movable)
 }
 
-// stayingText tells why the others stay.
+// stayingText returns how many tasks are not movable, by reason.
 func stayingText(m balance.MachineStatus) string {
 	var parts []string
 	for _, c := range m.Staying {
--- a/spreadview/render_test.go
+++ b/spreadview/render_test.go
@@ -9,8 +9,8 @@
 	"pumicefront/balance"
 )
 
-// What is shown names the hot machines, why their tasks stay, the moves, and what prevents others; it
-// survives the way over JSON.
+// The text of a status that was encoded as JSON and decoded again contains the hot machines, the reasons why
+// their tasks are not moved, the moves, and the reason why no further moves begin.
 func TestRender(t *testing.T) {
 	s := balance.Status{Member: "n1", Leading: true, HotShare: 0.8, Block: balance.WorkWaits, Others: 5,
 		Distribution: balance.Distribution{Machines: 42, Mean: 0.7, Variation: 0.31, Maximum: 1.43},
--- a/statusclient/fetch.go
+++ b/statusclient/fetch.go
@@ -1,5 +1,5 @@
-// Package statusclient asks controllers for their status, until one that leads answers. Every wait
-// ends.
+// Package statusclient fetches a status from the leader among a list of controllers. Every request has a
+// timeout.
 package statusclient
 
 import (
@@ -13,39 +13,40 @@
 	"time"
 )
 
-// AskTimeout bounds the wait for one controller.
-const AskTimeout = 2 * time.Second
+// RequestTimeout bounds the request to one controller.
+const RequestTimeout = 2 * time.Second
 
-// maxStatusBytes bounds what is read of an answer.
+// maxStatusBytes bounds how much of a response body is read.
 const maxStatusBytes = 1 << 20
 
-// ErrNoLeader tells that controllers answered and none of them leads.
-var ErrNoLeader = errors.New("no controller that was asked leads")
+// ErrNoLeader means that at least one controller responded, but none of them is the leader.
+var ErrNoLeader = errors.New("none of the queried controllers is the leader")
 
-// NoLeaderError tells that controllers answered and none of them leads; it matches ErrNoLeader.
+// NoLeaderError reports that at least one controller responded, but none of them is the leader. It matches
+// ErrNoLeader.
 type NoLeaderError struct {
-	AnsweredBy string // the last controller that answered
-	Leader     string // the leader as far as it knows; empty: it knows none
+	AnsweredBy string // the last controller that responded
+	Leader     string // the leader that this controller reported; empty: it knows of none
 }
 
-// Error tells who answered last, and whom it takes for the leader.
+// Error names the controller that responded last and the leader that it reported.
 func (e *NoLeaderError) Error() string {
-	return fmt.Sprintf("%v: %s says that %q does", ErrNoLeader, e.AnsweredBy, e.Leader)
+	return fmt.Sprintf("%v: %s reports leader %q", ErrNoLeader, e.AnsweredBy, e.Leader)
 }
 
 // Unwrap returns ErrNoLeader.
 func (e *NoLeaderError) Unwrap() error { return ErrNoLeader }
 
-// Status is what a controller answers.
+// Status is the status that a controller returns.
 type Status interface {
-	Leads() bool         // it leads, and knows the rest
-	KnownLeader() string // who does, as far as it knows
-	AnsweredBy() string  // its own name
+	Leads() bool         // whether the controller is the leader; only a leader's status is complete
+	KnownLeader() string // the leader that the controller knows of; empty: none
+	AnsweredBy() string  // the name of the controller
 }
 
-// Fetch asks controllers for what is at a path, one after the other, until one that leads answers.
-// Where none does, the error joins the failure of each controller that did not answer, and a
-// *NoLeaderError if some did; the status returned is then the last one that answered.
+// Fetch requests the status at a path from each controller in turn, until the leader responds. If none of
+// them is the leader, the error joins the failures of the controllers that did not respond and, if at
+// least one did, a *NoLeaderError; the returned status is then that of the last one that responded.
 func Fetch[S Status](ctx context.Context, addresses []string, path string) (S, error) {
 	var failures []error
 	var last S
@@ -74,23 +75,23 @@
 		return status, err
 	}
 	if err := json.Unmarshal(body, &status); err != nil {
-		return status, fmt.Errorf("answer of %s: %w", address, err)
+		return status, fmt.Errorf("decode response of %s: %w", address, err)
 	}
 	return status, nil
 }
 
-// Ask makes one request, and returns the body of an answer with 200. An answer with another
-// status is a *StatusError; other errors wrap the transport's fault.
+// Ask sends one request and returns the body of a response with status 200. A response with another status
+// gives a *StatusError; other errors wrap the transport's error.
 func Ask(ctx context.Context, method, target string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
-		return nil, fmt.Errorf("ask %s: %w", target, err)
+		return nil, fmt.Errorf("request %s: %w", target, err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("ask %s: %w", target, err)
+		return nil, fmt.Errorf("request %s: %w", target, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -98,25 +99,25 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxStatusBytes))
 	if err != nil {
-		return nil, fmt.Errorf("answer of %s: %w", target, err)
+		return nil, fmt.Errorf("read response of %s: %w", target, err)
 	}
 	return body, nil
 }
 
-// StatusError tells of an answer with another status than 200.
+// StatusError reports a response with another status than 200.
 type StatusError struct {
-	Target string // URL that was asked
-	Status int    // HTTP status of the answer
-	// RetryAfter is the wait that the answer asked for in Retry-After, in whole seconds; 0: none.
+	Target string // URL of the request
+	Status int    // HTTP status of the response
+	// RetryAfter is the delay from the response's Retry-After header, in whole seconds; 0: none.
 	RetryAfter time.Duration
 }
 
-// Error tells the target and the status: "ask http://127.0.0.1:7071/zones: status 503".
+// Error names the target and the status: "request http://127.0.0.1:7071/zones: status 503".
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("ask %s: status %d", e.Target, e.Status)
+	return fmt.Sprintf("request %s: status %d", e.Target, e.Status)
 }
 
-// retryAfter reads a Retry-After header in seconds; a date, or none, gives 0.
+// retryAfter parses a Retry-After header in seconds. It returns 0 if the header is missing or a date.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/statusclient/fetch_test.go
+++ b/statusclient/fetch_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// testStatus is a status as a controller tells it.
+// testStatus is a status in the JSON form that controllers return.
 type testStatus struct {
 	Member  string `json:"member"`
 	Leader  string `json:"leader"`
@@ -22,7 +22,7 @@
 func (s testStatus) KnownLeader() string { return s.Leader }
 func (s testStatus) AnsweredBy() string  { return s.Member }
 
-// startEndpoint serves every request with answer, and returns its address.
+// startEndpoint starts a server that handles every request with answer, and returns its address.
 func startEndpoint(t *testing.T, answer func(http.ResponseWriter)) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { answer(w) }))
@@ -30,8 +30,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A refusal is a *StatusError with its status and the wait that it asks for; its text names both
-// the target and the status.
+// An error response is a *StatusError with its status and Retry-After delay, and its text names the target
+// and the status.
 func TestErrorResponseIsStatusError(t *testing.T) {
 	address := startEndpoint(t, func(w http.ResponseWriter) {
 		w.Header().Set("Retry-After", "1")
@@ -42,13 +42,13 @@
 	if !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable || refused.RetryAfter != time.Second {
 		t.Fatalf("%T %v", err, err)
 	}
-	if want := "ask http://" + address + "/zones: status 503"; err.Error() != want {
-		t.Errorf("text %q, want %q", err.Error(), want)
+	if want := "request http://" + address + "/zones: status 503"; err.Error() != want {
+		t.Errorf("error text %q, want %q", err.Error(), want)
 	}
 }
 
-// Where controllers answer and none leads, the error names the last that answered and its leader,
-// matches ErrNoLeader, and keeps the failures of the others.
+// If controllers respond but none is the leader, the error names the last one that responded and the leader
+// that it reports, matches ErrNoLeader, and contains the failures of the others.
 func TestNoLeaderErrorNamesResponder(t *testing.T) {
 	follower := startEndpoint(t, func(w http.ResponseWriter) { _, _ = io.WriteString(w, `{"member":"n0","leader":"n1"}`) })
 	broken := startEndpoint(t, func(w http.ResponseWriter) { w.WriteHeader(http.StatusInternalServerError) })
@@ -59,10 +59,10 @@
 		t.Errorf("%v, %+v", err, status)
 	}
 	if !errors.As(err, &refused) || refused.Status != http.StatusInternalServerError {
-		t.Errorf("the failure of the other is lost: %v", err)
+		t.Errorf("the error does not contain the failure of the other controller: %v", err)
 	}
-	if !strings.Contains(err.Error(), `n0 says that "n1" does`) {
-		t.Errorf("text %q", err.Error())
+	if !strings.Contains(err.Error(), `n0 reports leader "n1"`) {
+		t.Errorf("error text %q", err.Error())
 	}
 	leader := startEndpoint(t, func(w http.ResponseWriter) { _, _ = io.WriteString(w, `{"member":"n1","leading":true}`) })
 	if status, err := Fetch[testStatus](context.Background(), []string{broken, follower, leader}, "/zones"); err != nil || status.Member != "n1" {
--- a/statusview/view.go
+++ b/statusview/view.go
@@ -1,5 +1,5 @@
-// Package statusview shows operators what the leader tells: in a terminal, renewed while it is open,
-// elsewhere as plain lines. It only reads.
+// Package statusview displays a status of the leader to operators: refreshed periodically in a terminal, or
+// printed once as plain text. It is read-only.
 package statusview
 
 import (
@@ -13,18 +13,18 @@
 	"pumicefront/statusclient"
 )
 
-// View is a way to show one kind of status.
+// View displays one kind of status.
 type View[S statusclient.Status] struct {
-	Path   string         // where controllers tell it
-	Render func(S) string // its lines of text
+	Path   string         // URL path of the status endpoint
+	Render func(S) string // formats a status as lines of text
 }
 
-// Fetch asks controllers, one after the other, until one that leads answers.
+// Fetch requests the status from each controller in turn, until the leader responds.
 func (v View[S]) Fetch(ctx context.Context, addresses []string) (S, error) {
 	return statusclient.Fetch[S](ctx, addresses, v.Path)
 }
 
-// Print writes the status once.
+// Print fetches the status and writes it once.
 func (v View[S]) Print(ctx context.Context, out io.Writer, addresses []string) error {
 	status, err := v.Fetch(ctx, addresses)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// Watch shows the status until its user ends it, and asks again after every interval.
+// Watch displays the status until the user quits, and fetches it again an interval after each response.
 func (v View[S]) Watch(ctx context.Context, addresses []string, interval time.Duration, options ...tea.ProgramOption) error {
 	shown := model[S]{view: v, ctx: ctx, addresses: addresses, interval: interval}
 	if _, err := tea.NewProgram(shown, append(options, tea.WithContext(ctx))...).Run(); err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// model is the state of a view in a terminal, as bubbletea wants it.
+// model is the state of a view in a terminal; it implements tea.Model.
 type model[S statusclient.Status] struct {
 	view        View[S]
 	ctx         context.Context
@@ -56,16 +56,16 @@
 	fetchedOnce bool
 }
 
-// fetchResult is an answer, or why there is none.
+// fetchResult is the message for a fetched status or the error of fetching it.
 type fetchResult[S statusclient.Status] struct {
 	status S
 	err    error
 }
 
-// refreshTick tells that it is time to ask again.
+// refreshTick is the message to fetch the status again.
 type refreshTick struct{}
 
-// Init asks for the first time.
+// Init fetches the status for the first time.
 func (m model[S]) Init() tea.Cmd { return m.fetch }
 
 func (m model[S]) fetch() tea.Msg {
@@ -73,7 +73,7 @@
 	return fetchResult[S]{status, err}
 }
 
-// Update handles keys and answers.
+// Update handles key presses, fetched statuses and refresh ticks.
 func (m model[S]) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.KeyMsg:
@@ -93,17 +93,17 @@
 	return m, nil
 }
 
-// View draws what is known. After a failure that is the last answer, and why there is no newer one.
+// View renders the last fetched status, followed by the error if the latest fetch failed.
 func (m model[S]) View() string {
-	text := "asking…\n"
+	text := "loading…\n"
 	if m.fetchedOnce {
 		text = ""
 		if m.status.AnsweredBy() != "" {
 			text = m.view.Render(m.status)
 		}
 		if m.err != nil {
-			text += fmt.Sprintf("\nno newer status: %v\n", m.err)
+			text += fmt.Sprintf("\nfailed to refresh status: %v\n", m.err)
 		}
 	}
-	return text + "\nq ends\n"
+	return text + "\npress q to quit\n"
 }
--- a/zonetrace/recorder.go
+++ b/zonetrace/recorder.go
@@ -1,6 +1,6 @@
-// Package zonetrace records the recovery of zones as OpenTelemetry spans: one for each recovery,
-// from suspicion to the last restart, with one for each state of the zone and one for the restarts
-// of each class of jobs below it.
+// Package zonetrace records zone recoveries as OpenTelemetry spans: one span for each recovery, from
+// suspicion to the last restart, with child spans for each state of the zone and for the restarts of
+// each class of jobs.
 package zonetrace
 
 import (
@@ -15,42 +15,42 @@
 	"pumicefront/zones"
 )
 
-// Names of spans and attributes.
+// Names and name prefixes of spans, and keys of attributes.
 const (
 	spanRecovery = "zone recovery"
 	spanState    = "zone "
 	spanRestart  = "restart "
 
 	keyZone       = "zone"
-	keyResumed    = "resumed"     // begun under an earlier leader
-	keyHandedOver = "handed_over" // goes on under another leader
+	keyResumed    = "resumed"     // began under an earlier leader
+	keyHandedOver = "handed_over" // continues under another leader
 	keyDisplaced  = "tasks_displaced"
 	keyRestarted  = "tasks_restarted"
 )
 
-// Recorder turns outputs of the core into spans. A nil one records nothing. It is used by one
-// goroutine.
+// Recorder converts outputs of the core into spans. A nil Recorder records nothing. It must be used by one
+// goroutine only.
 type Recorder struct {
 	tracer     trace.Tracer
 	recoveries map[string]*recovery
 }
 
-// recovery is one that is under way.
+// recovery holds the spans of a zone recovery in progress.
 type recovery struct {
-	ctx     context.Context // holds the span that the others are below
+	ctx     context.Context // contains span, the parent of the other spans
 	span    trace.Span
 	state   trace.Span
 	classes map[string]*classRestarts
 }
 
-// classRestarts are the restarts of one class of jobs.
+// classRestarts counts the displaced and restarted tasks of one class of jobs.
 type classRestarts struct {
 	span                 trace.Span
 	displaced, restarted int
 	lastRestart          time.Time
 }
 
-// New returns a recorder whose spans the exporter writes; without one it is nil.
+// New returns a recorder whose spans go to the exporter. Without an exporter it returns nil.
 func New(e *spanexport.Exporter) *Recorder {
 	if e == nil {
 		return nil
@@ -58,7 +58,7 @@
 	return &Recorder{tracer: e.Tracer("pumicefront/zonetrace"), recoveries: map[string]*recovery{}}
 }
 
-// Record takes an output of the core; those that are not about zones are ignored.
+// Record records an output of the core. Outputs that are not about zones are ignored.
 func (r *Recorder) Record(o controller.Output) {
 	if r == nil {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// findOrStartRecovery returns the recovery of a zone, begun if there is none.
+// findOrStartRecovery returns the recovery of a zone, and starts its span if there is none.
 func (r *Recorder) findOrStartRecovery(zone string, at time.Time) *recovery {
 	found := r.recoveries[zone]
 	if found == nil {
@@ -93,6 +93,7 @@
 	return found
 }
 
+// recordZoneChange ends the span of the zone's previous state and starts the span of the new one.
 func (r *Recorder) recordZoneChange(c controller.ZoneChanged) {
 	recovery := r.findOrStartRecovery(c.Zone, c.At)
 	if recovery.state == nil && c.From != zones.Healthy {
@@ -104,7 +105,8 @@
 	_, recovery.state = r.tracer.Start(recovery.ctx, spanState+c.To.String(), trace.WithTimestamp(c.At))
 }
 
-// findOrStartClass returns the restarts of a class in the recovery of a zone.
+// findOrStartClass returns the restarts of a class in the recovery of a zone, and starts their span if there
+// is none.
 func (r *Recorder) findOrStartClass(zone, class string, at time.Time) *classRestarts {
 	recovery := r.findOrStartRecovery(zone, at)
 	restarts := recovery.classes[class]
@@ -116,7 +118,7 @@
 	return restarts
 }
 
-// endRecovery ends the spans of a recovery.
+// endRecovery ends all spans of a zone's recovery.
 func (r *Recorder) endRecovery(zone string, at time.Time) {
 	recovery := r.recoveries[zone]
 	if recovery == nil {
--- a/zonetrace/recorder_test.go
+++ b/zonetrace/recorder_test.go
@@ -15,7 +15,8 @@
 	"pumicefront/zones"
 )
 
-// recoveryOutputs is what the core tells of one recovery; a leader ends amid a second one.
+// recoveryOutputs returns the core's outputs for one complete recovery and for a second one during which
+// leadership ends.
 func recoveryOutputs(start time.Time) []controller.Output {
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	return []controller.Output{
@@ -52,12 +53,12 @@
 			continue
 		}
 		if !s.Parent.IsValid() || took != want[s.Name] {
-			t.Errorf("%s took %v, below %v", s.Name, took, s.Parent)
+			t.Errorf("span %s took %v, parent %v", s.Name, took, s.Parent)
 		}
 		delete(want, s.Name)
 	}
 	if recoveries != 2 || len(want) > 0 {
-		t.Errorf("%d recoveries; missing %v", recoveries, want)
+		t.Errorf("%d recoveries, want 2; missing spans %v", recoveries, want)
 	}
 }
 
@@ -82,6 +83,6 @@
 	none := New(nil)
 	none.Record(controller.ZoneRecovered{})
 	if none != nil {
-		t.Error("there is a recorder without an exporter")
+		t.Error("New without an exporter returned a recorder")
 	}
 }
--- a/zoneview/render.go
+++ b/zoneview/render.go
@@ -8,7 +8,7 @@
 	"pumicefront/zones"
 )
 
-// Render writes a status as lines of text.
+// Render formats a status as lines of text.
 func Render(s zones.Status) string {
 	var out strings.Builder
 	if !s.Leading {
@@ -34,11 +34,12 @@
 
 func leaderText(leader string) string {
 	if leader == "" {
-		return "no leader is known there"
+		return "it knows of no leader"
 	}
 	return "ask " + leader
 }
 
+// holdDownText returns how long the zone will still be held down, or "-" if it is not.
 func holdDownText(z zones.ZoneStatus) string {
 	if z.State != zones.HeldDown {
 		return "-"
@@ -46,7 +47,7 @@
 	return fmt.Sprintf("%.0f s", z.HeldForS)
 }
 
-// startsText tells how many starts are under way, of how many that may be.
+// startsText returns the number of starts in progress, and the concurrency limit for starts if there is one.
 func startsText(z zones.ZoneStatus) string {
 	if z.Window == 0 {
 		return fmt.Sprint(z.UnderWay)
--- a/zoneview/view.go
+++ b/zoneview/view.go
@@ -1,4 +1,4 @@
-// Package zoneview shows operators the state of the zones.
+// Package zoneview displays the state of the zones to operators.
 package zoneview
 
 import (
@@ -6,5 +6,5 @@
 	"pumicefront/zones"
 )
 
-// View shows the zones.
+// View displays the state of the zones.
 var View = statusview.View[zones.Status]{Path: zones.StatusPath, Render: Render}
--- a/zoneview/view_test.go
+++ b/zoneview/view_test.go
@@ -18,7 +18,7 @@
 	"pumicefront/zones"
 )
 
-// startEndpoint stands in for a controller's status endpoint, and returns its address.
+// startEndpoint starts a server that acts as a controller's status endpoint, and returns its address.
 func startEndpoint(t *testing.T, answer func(w http.ResponseWriter)) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -50,9 +50,9 @@
 func TestPrintQueriesUntilLeaderAnswers(t *testing.T) {
 	follower := serveZoneStatus(t, zones.Status{Member: "n0", Leader: "n1"})
 	broken := startEndpoint(t, func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) })
-	odd := startEndpoint(t, func(w http.ResponseWriter) { _, _ = io.WriteString(w, "<html>") })
+	invalid := startEndpoint(t, func(w http.ResponseWriter) { _, _ = io.WriteString(w, "<html>") })
 	var out bytes.Buffer
-	if err := View.Print(context.Background(), &out, []string{broken, odd, follower, serveZoneStatus(t, leaderStatus)}); err != nil {
+	if err := View.Print(context.Background(), &out, []string{broken, invalid, follower, serveZoneStatus(t, leaderStatus)}); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{"east  held down  3 s", "4 s       3 of 8", "west  healthy", "batch  9        1           5     3"} {
@@ -60,9 +60,9 @@
 			t.Errorf("no %q in\n%s", line, out.String())
 		}
 	}
-	err := View.Print(context.Background(), &out, []string{follower, broken, odd})
+	err := View.Print(context.Background(), &out, []string{follower, broken, invalid})
 	if !errors.Is(err, statusclient.ErrNoLeader) || !strings.Contains(err.Error(), `"n1"`) || !strings.Contains(err.Error(), "503") {
-		t.Errorf("without a leader: %v", err)
+		t.Errorf("without a leader: got error %v", err)
 	}
 }
 
