--- a/zoneview/render.go
+++ b/zoneview/render.go
@@ -8,7 +8,7 @@
 	"pumicefront/zones"
 )
 
-// Render writes a status as lines of text.
+// Render formats a status as lines of text.
 func Render(s zones.Status) string {
 	var out strings.Builder
 	if !s.Leading {
@@ -20,7 +20,7 @@
 	fmt.Fprintln(table, "ZONE\tSTATE\tFOR\tMACHINES\tSILENT\tLOSSES\tHELD FOR\tSTARTS\tFETCHES\tDISPLACED")
 	for _, z := range s.Zones {
 		fmt.Fprintf(table, "%s\t%s\t%.0f s\t%d\t%d\t%d\t%s\t%s\t%d\t%d\n",
-			z.Name, z.State, z.ForS, z.Responsive+z.Silent, z.Silent, z.Losses, heldText(z), startsText(z), z.Fetching, z.Displaced)
+			z.Name, z.State, z.ForS, z.Responsive+z.Silent, z.Silent, z.Losses, holdDownText(z), startsText(z), z.Fetching, z.Displaced)
 	}
 	fmt.Fprintln(table, "\nCLASS\tWAITING\tTEAM LIMIT\tZONE\tROOM")
 	for _, c := range s.Waiting {
@@ -34,19 +34,20 @@
 
 func leaderText(leader string) string {
 	if leader == "" {
-		return "no leader is known there"
+		return "it knows of no leader"
 	}
 	return "ask " + leader
 }
 
-func heldText(z zones.ZoneStatus) string {
+// holdDownText returns how long the zone will still be held down, or "-" if it is not.
+func holdDownText(z zones.ZoneStatus) string {
 	if z.State != zones.HeldDown {
 		return "-"
 	}
 	return fmt.Sprintf("%.0f s", z.HeldForS)
 }
 
-// startsText tells how many starts are under way, of how many that may be.
+// startsText returns the number of starts in progress, and the concurrency limit for starts if there is one.
 func startsText(z zones.ZoneStatus) string {
 	if z.Window == 0 {
 		return fmt.Sprint(z.UnderWay)
