--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,4 +1,4 @@
-// Package fixedseed makes drawn tests (rapid) say the same in each run.
+// Package fixedseed makes property-based tests (rapid) generate the same cases in every run.
 package fixedseed
 
 import (
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// Run runs a package's tests with a fixed seed; -rapid.seed=N draws others. It returns the exit code.
+// Run runs a package's tests with a fixed seed, unless the flag -rapid.seed=N sets another one. It returns
+// the exit code.
 func Run(m *testing.M) int {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
 		if err := flag.Set("rapid.seed", "1"); err != nil {
-			panic(fmt.Errorf("fix the seed: %w", err))
+			panic(fmt.Errorf("set rapid.seed: %w", err))
 		}
 	}
 	return m.Run()
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,5 +1,5 @@
-// Package history checks what happened in a run after the fact: that every task had one owner at
-// every moment and every job one final answer.
+// Package history checks the recorded events of a run: at every moment every task had at most one owner,
+// and every job got one final answer.
 package history
 
 import (
@@ -7,64 +7,64 @@
 	"time"
 )
 
-// Kind is what an event tells of.
+// Kind is the kind of an event.
 type Kind uint8
 
 // The kinds of events.
 const (
-	Started  Kind = iota // an attempt is on its machine from now on
-	Ended                // it is there no more
-	Answered             // a user was told of a job's state
+	Started  Kind = iota // an attempt has started to run on its machine
+	Ended                // the attempt no longer runs on the machine
+	Answered             // a user received an answer with a job's state
 )
 
 // Event is one thing that happened.
 type Event struct {
-	Kind    Kind          // what it tells of
-	At      time.Duration // when it happened, since the run began
+	Kind    Kind          // which of the fields below are set depends on it
+	At      time.Duration // time of the event, since the start of the run
 	Task    string        // Started, Ended
 	Attempt uint64        // Started, Ended: the attempt's number
-	Machine string        // Started, Ended: where the attempt is
+	Machine string        // Started, Ended: the machine on which the attempt runs
 	Job     string        // Answered
-	Asked   time.Duration // Answered: the request was sent at this time or later
-	State   string        // Answered: the job's state that the user was told
-	Final   bool          // Answered: that state is final (done or cancelled)
+	Asked   time.Duration // Answered: earliest time at which the request was sent
+	State   string        // Answered: the job's state in the answer
+	Final   bool          // Answered: State is final (done or cancelled)
 }
 
-// Violation is a rule that a history breaks.
+// Violation is one breach of a rule in a history.
 type Violation struct {
 	Rule string // one of the rules below
-	Text string // what happened, for a person to read
+	Text string // the events in conflict, in human-readable form
 }
 
-// The rules.
+// The rules that Check checks.
 const (
 	RuleOneOwner  = "one owner"        // a task runs as at most one attempt at a time
-	RuleOneAnswer = "one final answer" // once a job is called done or cancelled, no other final answer and no answer to a later request differs
+	RuleOneAnswer = "one final answer" // once a job was reported as done or cancelled, every final answer and every answer to a later request has the same state
 )
 
-// owner is the attempt that a task runs as.
+// owner is the attempt, and its machine, as which a task runs.
 type owner struct {
 	machine string
 	attempt uint64
 }
 
-// finalAnswer is the first final answer about a job.
+// finalAnswer is the first final answer given about a job.
 type finalAnswer struct {
 	state string
 	at    time.Duration
 }
 
-// Check returns what a history, in the order of time, breaks.
+// Check returns the violations in a history. Events are in order of time.
 func Check(events []Event) []Violation {
 	var found []Violation
 	owners := map[string]owner{}
-	finals := map[string]finalAnswer{}
+	finalAnswers := map[string]finalAnswer{}
 	for _, e := range events {
 		switch e.Kind {
 		case Started:
-			if o, owned := owners[e.Task]; owned {
+			if current, owned := owners[e.Task]; owned {
 				found = append(found, Violation{RuleOneOwner, fmt.Sprintf("at %v %s starts as attempt %d on %s, attempt %d is on %s",
-					e.At, e.Task, e.Attempt, e.Machine, o.attempt, o.machine)})
+					e.At, e.Task, e.Attempt, e.Machine, current.attempt, current.machine)})
 			}
 			owners[e.Task] = owner{e.Machine, e.Attempt}
 		case Ended:
@@ -72,12 +72,12 @@
 				delete(owners, e.Task)
 			}
 		case Answered:
-			first, told := finals[e.Job]
-			if told && e.State != first.state && (e.Final || e.Asked >= first.at) {
+			first, answered := finalAnswers[e.Job]
+			if answered && e.State != first.state && (e.Final || e.Asked >= first.at) {
 				found = append(found, Violation{RuleOneAnswer, fmt.Sprintf("at %v %s is called %s, it was called %s at %v", e.At, e.Job, e.State, first.state, first.at)})
 			}
-			if e.Final && !told {
-				finals[e.Job] = finalAnswer{e.State, e.At}
+			if e.Final && !answered {
+				finalAnswers[e.Job] = finalAnswer{e.State, e.At}
 			}
 		}
 	}
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// sound is a history that breaks nothing: a task moves, and an answer that was asked for before
-// the final one comes after it.
-func sound() []Event {
+// validHistory returns a history without violations: a task moves to another machine, and the answer to an
+// earlier request arrives after the final answer.
+func validHistory() []Event {
 	return []Event{
 		{Kind: Started, At: 1, Task: "j/0", Attempt: 1, Machine: "m1"},
 		{Kind: Started, At: 2, Task: "j/1", Attempt: 1, Machine: "m1"},
@@ -21,23 +21,23 @@
 	}
 }
 
-func TestCheckFindsWhatIsBroken(t *testing.T) {
-	if found := Check(sound()); len(found) > 0 {
-		t.Fatalf("%v in a sound history", found)
+func TestCheckDetectsViolations(t *testing.T) {
+	if found := Check(validHistory()); len(found) > 0 {
+		t.Fatalf("violations in a valid history: %v", found)
 	}
 	for name, c := range map[string]struct {
-		breakIt func([]Event) []Event
+		corrupt func([]Event) []Event
 		rule    string
 	}{
-		"an end goes missing":          {func(h []Event) []Event { return slices.Delete(h, 2, 3) }, RuleOneOwner},
-		"the end of another attempt":   {func(h []Event) []Event { h[2].Attempt = 7; return h }, RuleOneOwner},
-		"the end on another machine":   {func(h []Event) []Event { h[2].Machine = "m9"; return h }, RuleOneOwner},
-		"a start comes too early":      {func(h []Event) []Event { h[2], h[3] = h[3], h[2]; return h }, RuleOneOwner},
-		"another final answer":         {func(h []Event) []Event { h[7].State = "withdrawn"; return h }, RuleOneAnswer},
-		"a final answer is taken back": {func(h []Event) []Event { h[7].State, h[7].Final = "running", false; return h }, RuleOneAnswer},
-		"two final answers at once":    {func(h []Event) []Event { h[7].State, h[7].Asked = "withdrawn", time.Duration(4); return h }, RuleOneAnswer},
+		"missing end":                        {func(h []Event) []Event { return slices.Delete(h, 2, 3) }, RuleOneOwner},
+		"end of another attempt":             {func(h []Event) []Event { h[2].Attempt = 7; return h }, RuleOneOwner},
+		"end on another machine":             {func(h []Event) []Event { h[2].Machine = "m9"; return h }, RuleOneOwner},
+		"start before the end":               {func(h []Event) []Event { h[2], h[3] = h[3], h[2]; return h }, RuleOneOwner},
+		"different final answer":             {func(h []Event) []Event { h[7].State = "withdrawn"; return h }, RuleOneAnswer},
+		"final answer revoked":               {func(h []Event) []Event { h[7].State, h[7].Final = "running", false; return h }, RuleOneAnswer},
+		"concurrent different final answers": {func(h []Event) []Event { h[7].State, h[7].Asked = "withdrawn", time.Duration(4); return h }, RuleOneAnswer},
 	} {
-		found := Check(c.breakIt(sound()))
+		found := Check(c.corrupt(validHistory()))
 		if len(found) != 1 || found[0].Rule != c.rule {
 			t.Errorf("%s: found %v, want %s", name, found, c.rule)
 		}
--- a/internal/sim/cancellation_gap_test.go
+++ b/internal/sim/cancellation_gap_test.go
@@ -10,28 +10,30 @@
 	"pumicefront/wire"
 )
 
-// The array of a settled run, whose tasks run for long.
+// Jobs of the tests of the cancellation gap: the time in which a leader that is refused by the state
+// service goes on renewing leases without knowing of a cancellation that another controller confirmed.
 const (
-	array  = "req-000002"
-	second = "req-000003" // an array like it, where there is one
+	arrayJobID       = "req-000002" // the array of settledWorld; its tasks run for an hour
+	secondArrayJobID = "req-000003" // a copy of that array, in tests that submit one
 )
 
-// renewals notes when each node answered a report last, which may have renewed a lease.
-func renewals(w *World) map[*node]time.Duration {
-	last := map[*node]time.Duration{}
+// recordLastRenewals records when each node last answered a report with success, which may have renewed
+// a worker's lease.
+func recordLastRenewals(w *World) map[*node]time.Duration {
+	lastRenewal := map[*node]time.Duration{}
 	w.Tamper.Output = func(n *node, o controller.Output) controller.Output {
 		if a, ok := o.(controller.Answer); ok && a.Status == http.StatusOK {
 			if _, ok := a.Body.(wire.ReportAnswer); ok {
-				last[n] = w.now
+				lastRenewal[n] = w.now
 			}
 		}
 		return o
 	}
-	return last
+	return lastRenewal
 }
 
-// callOffAt has a job cancelled through one node and plays until its user was told.
-func callOffAt(t *testing.T, w *World, n *node, job string) {
+// cancelThrough cancels a job through one node and runs the world until its user has been told so.
+func cancelThrough(t *testing.T, w *World, n *node, job string) {
 	t.Helper()
 	j := w.users.jobs[job]
 	j.askedCancel = true
@@ -43,29 +45,29 @@
 	})
 	for until := w.now + time.Second; !j.cancelTold; {
 		if w.now >= until {
-			t.Fatalf("%s is not cancelled within a second", job)
+			t.Fatalf("%s not reported as cancelled within a second", job)
 		}
 		w.Run(w.now + time.Millisecond)
 	}
 }
 
-// refusedLeader has the state service refuse the leader alone.
-func refusedLeader(w *World) *node {
-	old := w.leading()
-	old.refused = true
+// refuseLeader makes the state service refuse calls of the leader, and of no other node, and returns the leader.
+func refuseLeader(w *World) *node {
+	leader := w.leading()
+	leader.refused = true
 	w.Run(w.now + 100*time.Millisecond)
-	return old
+	return leader
 }
 
-// another is a node that does not lead.
-func another(w *World, leader *node) *node { return w.nodes[(leader.i+1)%len(w.nodes)] }
+// otherNode returns a node that is not the leader.
+func otherNode(w *World, leader *node) *node { return w.nodes[(leader.i+1)%len(w.nodes)] }
 
-// gone checks that no task of a job is on a machine.
-func checkGone(t *testing.T, w *World, job string) {
+// checkNoTaskRuns checks that no task of a job runs on any machine, and that no rule is broken.
+func checkNoTaskRuns(t *testing.T, w *World, job string) {
 	t.Helper()
 	w.running(func(h *host, task *task) {
 		if task.job.spec.ID == job {
-			t.Errorf("%s is on %s", task.id, h.id)
+			t.Errorf("%s still runs on %s", task.id, h.id)
 		}
 	})
 	for _, r := range w.Rules {
@@ -73,30 +75,32 @@
 	}
 }
 
-// gapShapes are the deployments that the gap is tried on.
-var gapShapes = map[string]func(w *World){
+// gapDeployments are the deployments on which the cancellation gap is tested.
+var gapDeployments = map[string]func(w *World){
 	"three controllers":                        func(*World) {},
-	"five controllers":                         nil, // see gapWorld
+	"five controllers":                         nil, // newGapWorld sets the number of controllers
 	"cancel_s is a second longer than a lease": func(w *World) { w.cfg.Facts.Workers.CancelS = w.cfg.Facts.Workers.LeaseS + 1 },
 }
 
-func gapWorld(t *testing.T, name string, seed uint64) *World {
+// newGapWorld returns a settled world of one of gapDeployments in which both arrays have been submitted and
+// no message is lost or delayed by chance any more.
+func newGapWorld(t *testing.T, name string, seed uint64) *World {
 	t.Helper()
 	shape := Small
-	change := gapShapes[name]
-	if change == nil {
+	configure := gapDeployments[name]
+	if configure == nil {
 		shape.Controllers = 5
-		change = func(*World) {}
+		configure = func(*World) {}
 	}
-	w := settledOn(t, seed, shape, change)
-	w.enterLike(array, second)
+	w := settledWorldWith(t, seed, shape, configure)
+	w.submitCopy(arrayJobID, secondArrayJobID)
 	w.Run(w.now + 8*time.Second)
 	w.deterministic = true
 	return w
 }
 
-// enterLike submits a job like another one under a new id.
-func (w *World) enterLike(job, id string) *simJob {
+// submitCopy submits a copy of a job under another id.
+func (w *World) submitCopy(job, id string) *simJob {
 	spec := w.users.jobs[job].spec
 	spec.ID = id
 	j := &simJob{spec: spec, run: time.Hour, done: make([]bool, spec.Tasks)}
@@ -104,114 +108,115 @@
 	return j
 }
 
-// The state service refuses the leader alone; another controller confirms a
-// cancellation; then the state service is down for all, for longer than cancel_s,
-// while workers go on reporting to the old leader. It learns of the cancellation with
-// the first promise, so the tasks are gone and nobody else loses a lease.
-func TestGapIsBridgedByPromises(t *testing.T) {
-	for name := range gapShapes {
+// The state service refuses the leader and no other node; another controller confirms a cancellation;
+// then the state service is down for all, for longer than cancel_s, while workers still report to the
+// old leader. It learns of the cancellation with the first promise, so the job's tasks are stopped in
+// time and no worker loses its lease.
+func TestOldLeaderLearnsOfCancellationFromPromises(t *testing.T) {
+	for name := range gapDeployments {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := gapWorld(t, name, 21)
-			last := renewals(w)
+			w := newGapWorld(t, name, 21)
+			lastRenewal := recordLastRenewals(w)
 			for i := range 2 {
-				old := refusedLeader(w)
-				job := []string{array, second}[i]
-				callOffAt(t, w, another(w, old), job)
-				told := w.now
+				oldLeader := refuseLeader(w)
+				job := []string{arrayJobID, secondArrayJobID}[i]
+				cancelThrough(t, w, otherNode(w, oldLeader), job)
+				cancelledAt := w.now
 				w.store.setOutage(true)
-				w.Run(told + w.leaseTime()/2)
-				if last[old] <= told {
-					t.Fatalf("the old leader answered no report after %v", told)
+				w.Run(cancelledAt + w.leaseTime()/2)
+				if lastRenewal[oldLeader] <= cancelledAt {
+					t.Fatalf("the old leader answered no report after %v", cancelledAt)
 				}
-				w.Run(told + w.cancelTime() + 5*time.Second)
-				checkGone(t, w, job)
-				if last[old] < told+w.cancelTime() {
-					t.Errorf("the old leader answered nobody after %v, told at %v", last[old], told)
+				w.Run(cancelledAt + w.cancelTime() + 5*time.Second)
+				checkNoTaskRuns(t, w, job)
+				if lastRenewal[oldLeader] < cancelledAt+w.cancelTime() {
+					t.Errorf("last report answered by the old leader at %v, want cancel_s or more after the cancellation at %v", lastRenewal[oldLeader], cancelledAt)
 				}
 				w.store.setOutage(false)
-				old.refused = false
+				oldLeader.refused = false
 				w.store.notify()
 				w.Run(w.now + 20*time.Second)
 			}
 			for _, h := range w.hosts {
 				if !h.gone && h.session > 1 && h.born < time.Minute {
-					t.Errorf("%s has lost its lease", h.id)
+					t.Errorf("%s lost its lease", h.id)
 				}
 			}
 		})
 	}
 }
 
-// The same, but the controller that confirmed the cancellation starts anew, so nobody
-// alive knows of it: the leader has to stop answering in time.
-func TestGapThatNobodyAliveKnowsOf(t *testing.T) {
-	for name := range gapShapes {
+// As above, but the controller that confirmed the cancellation restarts, so no running process knows of
+// it. The old leader must stop renewing leases early enough for the tasks to end within cancel_s.
+func TestCancellationThatNoRunningControllerKnows(t *testing.T) {
+	for name := range gapDeployments {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := gapWorld(t, name, 22)
-			last := renewals(w)
-			old := refusedLeader(w)
-			for _, n := range w.nodes { // nor do those know that watch
-				n.refused = n != another(w, old)
+			w := newGapWorld(t, name, 22)
+			lastRenewal := recordLastRenewals(w)
+			oldLeader := refuseLeader(w)
+			for _, n := range w.nodes { // the others must not learn of the cancellation from the state service either
+				n.refused = n != otherNode(w, oldLeader)
 			}
-			callOffAt(t, w, another(w, old), array)
-			told := w.now
+			cancelThrough(t, w, otherNode(w, oldLeader), arrayJobID)
+			cancelledAt := w.now
 			w.store.setOutage(true)
 			for _, n := range w.nodes {
-				n.refused = n == old
+				n.refused = n == oldLeader
 			}
-			another(w, old).crash(30 * time.Millisecond)
-			w.Run(told + w.cancelTime() - w.leaseTime() - 700*time.Millisecond)
-			if last[old] <= told {
-				t.Fatalf("the old leader answered no report after %v", told)
+			otherNode(w, oldLeader).crash(30 * time.Millisecond)
+			w.Run(cancelledAt + w.cancelTime() - w.leaseTime() - 700*time.Millisecond)
+			if lastRenewal[oldLeader] <= cancelledAt {
+				t.Fatalf("the old leader answered no report after %v", cancelledAt)
 			}
-			w.Run(told + w.cancelTime() + 5*time.Second)
-			checkGone(t, w, array)
+			w.Run(cancelledAt + w.cancelTime() + 5*time.Second)
+			checkNoTaskRuns(t, w, arrayJobID)
 		})
 	}
 }
 
-// The state service refuses the leader alone, and is down for all just after the
-// leader's authority has run out and before anybody could claim it. All have run all the
-// time, so nobody has led meanwhile, and it goes on.
-func TestAuthorityIsResumed(t *testing.T) {
-	resumed := func(restart bool) (bool, []string) {
-		w := settledOn(t, 26, Small, func(*World) {})
+// The state service refuses the leader and no other node, and goes down for all just after the leader's
+// authority has expired and before any other controller could claim the leadership. If all processes
+// have run throughout, none can have led meanwhile, and the leader resumes its authority. If one of
+// them has restarted, the leader must not.
+func TestExpiredAuthorityIsResumed(t *testing.T) {
+	resumesAuthority := func(restart bool) (bool, []string) {
+		w := settledWorldWith(t, 26, Small, func(*World) {})
 		w.deterministic = true
-		old := w.leading()
-		old.refused = true
-		until := old.core.Authority()
-		w.Run(w.now + until.Sub(old.clock()) + 2*time.Millisecond)
-		if old.leads() || another(w, old).leads() {
-			t.Fatal("somebody leads")
+		oldLeader := w.leading()
+		oldLeader.refused = true
+		authorityEnd := oldLeader.core.Authority()
+		w.Run(w.now + authorityEnd.Sub(oldLeader.clock()) + 2*time.Millisecond)
+		if oldLeader.leads() || otherNode(w, oldLeader).leads() {
+			t.Fatal("a controller leads right after the authority has expired")
 		}
 		w.store.setOutage(true)
 		if restart {
-			another(w, old).crash(10 * time.Millisecond)
+			otherNode(w, oldLeader).crash(10 * time.Millisecond)
 		}
 		w.Run(w.now + 8*time.Second)
-		return old.leads(), w.Rules
+		return oldLeader.leads(), w.Rules
 	}
-	if again, rules := resumed(false); !again || len(rules) > 0 {
-		t.Errorf("leads again: %v, rules broken: %v", again, rules)
+	if leadsAgain, brokenRules := resumesAuthority(false); !leadsAgain || len(brokenRules) > 0 {
+		t.Errorf("all processes ran throughout: leads again %v, want true; rules broken: %v", leadsAgain, brokenRules)
 	}
-	if again, rules := resumed(true); again || len(rules) > 0 {
-		t.Errorf("with a process that has not run all the time, leads again: %v, rules broken: %v", again, rules)
+	if leadsAgain, brokenRules := resumesAuthority(true); leadsAgain || len(brokenRules) > 0 {
+		t.Errorf("one process restarted: leads again %v, want false; rules broken: %v", leadsAgain, brokenRules)
 	}
 }
 
-// A leader is refused alone for so long that another one is elected; the old one has not
-// heard of it when the state service goes down for all. It must promise all the same, or
-// every worker would lose its lease.
-func TestOldLeaderPromisesToTheNewOne(t *testing.T) {
-	w := settledOn(t, 25, Small, func(*World) {})
+// The state service refuses a leader, and no other node, for so long that another one is elected. The old
+// leader has not learned of the election when the state service goes down for all. It must promise not
+// to claim the leadership all the same, or every worker would lose its lease.
+func TestOldLeaderPromisesToNewLeader(t *testing.T) {
+	w := settledWorldWith(t, 25, Small, func(*World) {})
 	w.deterministic = true
-	old := w.leading()
-	old.refused = true
-	for until := w.now + 5*time.Second; w.leading() == old || !w.leading().leads(); {
+	oldLeader := w.leading()
+	oldLeader.refused = true
+	for until := w.now + 5*time.Second; w.leading() == oldLeader || !w.leading().leads(); {
 		if w.now > until {
-			t.Fatal("nobody has taken over")
+			t.Fatal("no other leader elected within 5 s")
 		}
 		w.Run(w.now + 10*time.Millisecond)
 	}
@@ -219,85 +224,85 @@
 	w.store.setOutage(true)
 	w.Run(w.now + 2*w.leaseTime())
 	w.store.setOutage(false)
-	old.refused = false
+	oldLeader.refused = false
 	w.Run(w.now + 10*time.Second)
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader that was elected just before the outage can't read what runs where. It
-// renews leases all the same, and the tasks of a job that was cancelled before must
-// not live on by that.
-func TestLeaderWithoutRecordsStopsWhatIsCalledOff(t *testing.T) {
-	w := settledOn(t, 23, Small, func(*World) {})
+// A leader elected just before an outage can't read the records of placed tasks. It renews leases all
+// the same; the tasks of a job that was cancelled before must not outlive cancel_s because of that.
+func TestLeaderWithoutRecordsStopsCancelledTasks(t *testing.T) {
+	w := settledWorldWith(t, 23, Small, func(*World) {})
 	w.deterministic = true
-	last := renewals(w)
-	old := w.leading()
+	lastRenewal := recordLastRenewals(w)
+	oldLeader := w.leading()
 	w.Tamper.State = func(call *controller.StateCall) (controller.StateReply, bool) {
 		return controller.StateReply{Status: http.StatusServiceUnavailable}, call.Op == controller.OpRange && call.Key == "t/"
 	}
 	for _, h := range w.hosts {
-		h.receivesNothing = true // stops don't reach them before the leader changes
+		h.receivesNothing = true // stop commands don't reach the machines before the leader changes
 	}
-	callOffAt(t, w, another(w, old), array)
-	told := w.now
-	old.refused = true
-	next := old
-	for next == old && w.now < told+5*time.Second {
+	cancelThrough(t, w, otherNode(w, oldLeader), arrayJobID)
+	cancelledAt := w.now
+	oldLeader.refused = true
+	newLeader := oldLeader
+	for newLeader == oldLeader && w.now < cancelledAt+5*time.Second {
 		w.Run(w.now + 10*time.Millisecond)
 		if n := w.leading(); n.leads() {
-			next = n
+			newLeader = n
 		}
 	}
-	if next == old {
-		t.Fatal("nobody has taken over")
+	if newLeader == oldLeader {
+		t.Fatal("no other leader elected within 5 s")
 	}
 	w.store.setOutage(true)
 	for _, h := range w.hosts {
 		h.receivesNothing = false
 	}
-	w.Run(told + w.cancelTime() + 5*time.Second)
-	if last[next] < told+w.cancelTime() {
-		t.Errorf("the new leader answered nobody after %v, told at %v", last[next], told)
+	w.Run(cancelledAt + w.cancelTime() + 5*time.Second)
+	if lastRenewal[newLeader] < cancelledAt+w.cancelTime() {
+		t.Errorf("last report answered by the new leader at %v, want cancel_s or more after the cancellation at %v", lastRenewal[newLeader], cancelledAt)
 	}
-	checkGone(t, w, array)
+	checkNoTaskRuns(t, w, arrayJobID)
 }
 
-// The run of a task is held on its way; its job is cancelled, and the state service
-// is out, so no raised token can fence the run. It must not start when it arrives.
-func TestHeldRunOfACalledOffJob(t *testing.T) {
-	w := settledOn(t, 24, Small, func(*World) {})
+// The command to run a task is delayed on its way. Its job is cancelled meanwhile, and the state service
+// is down, so the fencing token can't be raised to reject the command. The task must not start when the
+// command arrives.
+func TestDelayedRunOfCancelledJob(t *testing.T) {
+	w := settledWorldWith(t, 24, Small, func(*World) {})
 	w.deterministic = true
 	w.faults.delayedCommands, w.faults.commandDelay = 1, w.cancelTime()+4*time.Second
 	for _, h := range w.hosts {
-		h.noReports = true                              // no answer to a report carries the run before the direct command
-		h.images[w.users.jobs[array].spec.Image] = true // what is run starts at once
+		h.noReports = true                                   // otherwise an answer to a report could carry the command before the delayed direct one
+		h.images[w.users.jobs[arrayJobID].spec.Image] = true // no image fetch: a task starts as soon as its command arrives
 	}
-	j := w.enterLike(array, second)
-	sent := false
+	j := w.submitCopy(arrayJobID, secondArrayJobID)
+	runSent := false
 	w.Tamper.Output = func(n *node, o controller.Output) controller.Output {
 		if call, ok := o.(controller.WorkerCall); ok {
 			for _, c := range call.Commands.Commands {
-				sent = sent || c.Op == wire.OpRun && strings.HasPrefix(c.Task, second)
+				runSent = runSent || c.Op == wire.OpRun && strings.HasPrefix(c.Task, secondArrayJobID)
 			}
 		}
 		return o
 	}
-	for until := w.now + 2*time.Second; !sent && w.now < until; {
+	for until := w.now + 2*time.Second; !runSent && w.now < until; {
 		w.Run(w.now + time.Millisecond)
 	}
-	if !sent {
-		t.Fatal("its run was not sent")
+	if !runSent {
+		t.Fatal("the command to run the task was not sent within 2 s")
 	}
-	w.faults.delayedCommands = 0 // its stop is not held, and finds nothing to stop
-	callOffAt(t, w, another(w, w.leading()), second)
-	told := w.now
+	w.faults.delayedCommands = 0 // the stop command is not delayed: it arrives before the task does and has no effect
+	cancelThrough(t, w, otherNode(w, w.leading()), secondArrayJobID)
+	cancelledAt := w.now
 	w.store.setOutage(true)
 	for _, h := range w.hosts {
 		h.noReports = false
 	}
-	w.Run(told + w.cancelTime() + 20*time.Second)
+	w.Run(cancelledAt + w.cancelTime() + 20*time.Second)
 	if j.begun {
-		t.Error("it has started")
+		t.Error("a task of the cancelled job has started")
 	}
-	checkGone(t, w, second)
+	checkNoTaskRuns(t, w, secondArrayJobID)
 }
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -15,30 +15,32 @@
 	"pumicefront/wire"
 )
 
-// Real controllers over TCP on the loopback interface, with the same stand-ins in real time. One
-// goroutine owns the world, as in virtual time; what comes from outside is handed to it.
+// Worlds in real time: the controllers are real processes that are reached over TCP on the loopback
+// interface; the state service, the cloud, the workers and the users are the same stand-ins as in virtual
+// time. One goroutine owns the world, as in virtual time; requests that arrive on other goroutines are
+// enqueued for it.
 
-// live is a world in real time.
+// live is what a world needs to run in real time.
 type live struct {
 	ctx    context.Context
 	w      *World
 	inputs chan func()
 	client *http.Client
-	err    error // why the world can't go on
+	err    error // joined errors of listeners that could not be opened; ends the run
 }
 
-// liveNode is a real controller, seen from the stand-ins.
+// liveNode connects the stand-ins with one real controller.
 type liveNode struct {
 	*live
-	address string // where it serves users and workers
+	address string // at which it serves users and workers
 	node    *node
 }
 
-// callTimeout bounds every wait of the stand-ins for a controller.
+// callTimeout bounds how long the stand-ins wait for a controller.
 const callTimeout = 5 * time.Second
 
-// NewLive returns a world of the given shape without controllers: AddController adds real ones. All
-// its listeners and calls end with ctx.
+// NewLive returns a world of the given shape without controllers; AddController adds real ones. All its
+// listeners and calls end with ctx.
 func NewLive(ctx context.Context, seed uint64, shape Shape) *World {
 	shape.Controllers = 0
 	w := New(seed, shape)
@@ -47,8 +49,9 @@
 	return w
 }
 
-// AddController adds a controller that serves at an address, and returns where its state service
-// and its cloud are: addresses of its own, so that it can be cut off from them alone.
+// AddController adds a controller that serves users and workers at the given address. It returns the
+// addresses of the state service and of the cloud for this controller alone, so that it can be cut off
+// from them while the other controllers are not.
 func (w *World) AddController(name, address string) (state, cloud string) {
 	n := &node{w: w, i: len(w.nodes), name: name}
 	n.live = &liveNode{live: w.live, address: address, node: n}
@@ -56,13 +59,13 @@
 	return w.live.serve(n.live.serveState), w.live.serve(n.live.serveCloud)
 }
 
-// RunLive plays for so long in real time, or until the first broken rule.
+// RunLive runs the world in real time for the given duration, or until the first broken rule.
 func (w *World) RunLive(duration time.Duration) error { return runLive([]*World{w}, duration) }
 
-// runLive plays worlds that share a clock and the goroutine that owns them.
+// runLive runs worlds that share a clock, and owns them all on the calling goroutine.
 func runLive(worlds []*World, duration time.Duration) error {
 	first := worlds[0]
-	began := time.Now().Add(-first.now)
+	startTime := time.Now().Add(-first.now)
 	until := first.now + duration
 	for first.now < until {
 		pause := until - first.now
@@ -80,7 +83,7 @@
 			return first.live.ctx.Err()
 		}
 		timer.Stop()
-		now := max(first.now, time.Since(began))
+		now := max(first.now, time.Since(startTime))
 		for _, w := range worlds {
 			w.now = now
 		}
@@ -97,15 +100,15 @@
 	return nil
 }
 
-// do has the world's goroutine run fn.
-func (l *live) do(fn func()) {
+// enqueue passes fn to the goroutine that owns the world.
+func (l *live) enqueue(fn func()) {
 	select {
 	case l.inputs <- fn:
 	case <-l.ctx.Done():
 	}
 }
 
-// serve starts a server on a free port, and returns its address.
+// serve starts a server on a free port and returns its address.
 func (l *live) serve(handler http.HandlerFunc) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,12 +121,12 @@
 	return ln.Addr().String()
 }
 
-// await hands a request to the world and waits for its answer. Without one the connection hangs
-// until the caller gives up, as behind a cut.
-func await[R any](l *live, r *http.Request, ask func(reply func(R))) (answer R, ok bool) {
+// awaitReply passes a request to the world and waits for its reply. While there is none the connection
+// stays open until the caller times out, as in a network partition.
+func awaitReply[R any](l *live, r *http.Request, submit func(reply func(R))) (answer R, ok bool) {
 	replies := make(chan R, 1)
-	l.do(func() {
-		ask(func(a R) {
+	l.enqueue(func() {
+		submit(func(a R) {
 			select {
 			case replies <- a:
 			default:
@@ -139,27 +142,27 @@
 	return answer, false
 }
 
-// respondLive writes an answer of a stand-in.
-func respondLive(w http.ResponseWriter, status int, body any) {
+// writeReply writes a stand-in's reply to a controller.
+func writeReply(w http.ResponseWriter, status int, body any) {
 	raw := wire.Marshal(body)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(status)
 	_, _ = w.Write(raw)
 }
 
-// decodeBody reads the body of a request.
-func decodeBody[T any](r *http.Request) T {
+// decodeRequestBody decodes the body of a request to a stand-in.
+func decodeRequestBody[T any](r *http.Request) T {
 	var v T
 	if raw, err := io.ReadAll(io.LimitReader(r.Body, 1<<20)); err == nil {
-		_ = wire.Unmarshal(raw, &v) // a malformed body is an empty one here
+		_ = wire.Unmarshal(raw, &v) // a malformed body is treated as an empty one
 	}
 	return v
 }
 
-// serveState is the state service, as one controller sees it.
+// serveState handles requests of one controller to the state service.
 func (n *liveNode) serveState(w http.ResponseWriter, r *http.Request) {
-	call := stateCall(r)
-	reply, ok := await(n.live, r, func(reply func(controller.StateReply)) {
+	call := decodeStateCall(r)
+	reply, ok := awaitReply(n.live, r, func(reply func(controller.StateReply)) {
 		if !n.node.isolated {
 			n.w.store.handle(n.node, call, reply)
 		}
@@ -167,11 +170,11 @@
 	if !ok {
 		return
 	}
-	respondLive(w, reply.Status, stateBody(call.Op, reply))
+	writeReply(w, reply.Status, stateReplyBody(call.Op, reply))
 }
 
-// stateCall reads a request to the state service.
-func stateCall(r *http.Request) controller.StateCall {
+// decodeStateCall decodes a request to the state service.
+func decodeStateCall(r *http.Request) controller.StateCall {
 	query := r.URL.Query()
 	number := func(name string) uint64 {
 		n, _ := strconv.ParseUint(query.Get(name), 10, 64)
@@ -182,9 +185,9 @@
 	id, _ := strconv.ParseUint(lease, 10, 64)
 	switch {
 	case path == wire.PathTxn:
-		return controller.StateCall{Op: controller.OpTxn, Txn: decodeBody[wire.Txn](r)}
+		return controller.StateCall{Op: controller.OpTxn, Txn: decodeRequestBody[wire.Txn](r)}
 	case path == wire.PathLeases:
-		return controller.StateCall{Op: controller.OpGrant, Life: time.Duration(decodeBody[wire.LeaseAsk](r).TTLms) * time.Millisecond}
+		return controller.StateCall{Op: controller.OpGrant, Life: time.Duration(decodeRequestBody[wire.LeaseAsk](r).TTLms) * time.Millisecond}
 	case r.Method == http.MethodDelete:
 		return controller.StateCall{Op: controller.OpEnd, Lease: id}
 	case strings.HasPrefix(path, wire.PathLeases):
@@ -197,8 +200,8 @@
 	return controller.StateCall{Op: controller.OpGet, Key: strings.TrimPrefix(path, wire.PathKV+"/")}
 }
 
-// stateBody is what of a reply goes over the wire.
-func stateBody(op controller.StateOp, r controller.StateReply) any {
+// stateReplyBody returns the part of a reply that is sent as the body.
+func stateReplyBody(op controller.StateOp, r controller.StateReply) any {
 	switch op {
 	case controller.OpTxn:
 		return r.Txn
@@ -214,18 +217,18 @@
 	return struct{}{}
 }
 
-// serveCloud is the cloud.
+// serveCloud handles requests of one controller to the cloud.
 func (n *liveNode) serveCloud(w http.ResponseWriter, r *http.Request) {
 	call := controller.CloudCall{Op: controller.CloudTypes}
 	switch {
 	case r.URL.Path == wire.PathRelease:
-		call = controller.CloudCall{Op: controller.CloudRelease, Names: decodeBody[wire.Names](r).Machines}
+		call = controller.CloudCall{Op: controller.CloudRelease, Names: decodeRequestBody[wire.Names](r).Machines}
 	case r.URL.Path == wire.PathMachines && r.Method == http.MethodPost:
-		call = controller.CloudCall{Op: controller.CloudRent, Rent: decodeBody[wire.Rent](r)}
+		call = controller.CloudCall{Op: controller.CloudRent, Rent: decodeRequestBody[wire.Rent](r)}
 	case r.URL.Path == wire.PathMachines:
 		call = controller.CloudCall{Op: controller.CloudList, After: r.URL.Query().Get("after")}
 	}
-	reply, ok := await(n.live, r, func(reply func(controller.CloudReply)) {
+	reply, ok := awaitReply(n.live, r, func(reply func(controller.CloudReply)) {
 		if !n.node.isolated {
 			reply(n.w.cloud.handle(call))
 		}
@@ -234,45 +237,47 @@
 		return
 	}
 	bodies := map[controller.CloudOp]any{controller.CloudTypes: reply.Types, controller.CloudRent: reply.Names, controller.CloudList: reply.Page}
-	respondLive(w, reply.Status, bodies[call.Op])
+	writeReply(w, reply.Status, bodies[call.Op])
 }
 
-// holdsBack reports whether direct commands can't reach a machine because a zone is cut off. Their
-// token tells which side they come from: whoever leads outside was elected later.
-func (i isolatedZone) holdsBack(token uint64, h *host) bool {
+// blocksCommands reports whether direct commands with the given token can't reach a machine because a
+// zone is cut off. The token identifies the sender's side of the partition: a leader outside of the zone
+// was elected after the cut, so its token is higher than any that a machine had seen before.
+func (i isolatedZone) blocksCommands(token uint64, h *host) bool {
 	return i.node != nil && (token <= i.token) != (i.zone == h.zone)
 }
 
-// workerAnswer is a worker's answer to direct commands.
-type workerAnswer struct {
+// commandsAnswer is a worker's answer to direct commands: an HTTP status and the worker's report.
+type commandsAnswer struct {
 	status int
 	report wire.Report
 }
 
-// listen gives a machine its own address for direct commands.
+// listen starts a listener for direct commands to a machine.
 func (l *live) listen(h *host) {
 	h.listens = l.serve(func(w http.ResponseWriter, r *http.Request) {
-		commands := decodeBody[wire.Commands](r)
-		answer, ok := await(l, r, func(reply func(workerAnswer)) {
-			if l.w.faults.isolated.holdsBack(commands.Token, h) {
+		commands := decodeRequestBody[wire.Commands](r)
+		answer, ok := awaitReply(l, r, func(reply func(commandsAnswer)) {
+			if l.w.faults.isolated.blocksCommands(commands.Token, h) {
 				return
 			}
 			h.reach(func() {
 				status, report := h.commands(commands)
 				if !h.cut {
-					reply(workerAnswer{status, report})
+					reply(commandsAnswer{status, report})
 				}
 			})
 		})
 		if ok {
-			respondLive(w, answer.status, answer.report)
+			writeReply(w, answer.status, answer.report)
 		}
 	})
 }
 
-// ask sends a request of a user or a worker to the controller.
-func (n *liveNode) ask(in controller.Input, fn func(controller.Answer)) {
-	method, path, body := request(in)
+// ask sends a request of a user or a worker to the controller and calls onAnswer with the answer. It never
+// calls onAnswer if the request fails.
+func (n *liveNode) ask(in controller.Input, onAnswer func(controller.Answer)) {
+	method, path, body := encodeRequest(in)
 	go func() {
 		req, err := http.NewRequestWithContext(n.ctx, method, "http://"+n.address+path, bytes.NewReader(body))
 		if err != nil {
@@ -280,20 +285,20 @@
 		}
 		resp, err := n.client.Do(req)
 		if err != nil {
-			return // whoever asked has a timeout of its own
+			return // users and workers time out by themselves
 		}
 		defer resp.Body.Close()
 		raw, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return
 		}
-		answer := controller.Answer{Status: resp.StatusCode, Body: answerBody(in, resp.StatusCode, raw)}
-		n.do(func() { fn(answer) })
+		answer := controller.Answer{Status: resp.StatusCode, Body: decodeAnswerBody(in, resp.StatusCode, raw)}
+		n.enqueue(func() { onAnswer(answer) })
 	}()
 }
 
-// request spells a request as the protocol does.
-func request(in controller.Input) (method, path string, body []byte) {
+// encodeRequest returns a request of a user or a worker as the HTTP API expects it.
+func encodeRequest(in controller.Input) (method, path string, body []byte) {
 	switch in := in.(type) {
 	case controller.ReportRequest:
 		return http.MethodPost, wire.PathReport, wire.Marshal(in.Report)
@@ -310,22 +315,23 @@
 	return http.MethodGet, wire.PathReady, nil
 }
 
-// answerBody reads an answer as the stand-ins want it.
-func answerBody(in controller.Input, status int, raw []byte) any {
+// decodeAnswerBody decodes the body of an answer into the type that the stand-ins expect for the request.
+func decodeAnswerBody(in controller.Input, status int, raw []byte) any {
 	_, report := in.(controller.ReportRequest)
 	switch {
 	case report && status == http.StatusOK:
-		return decoded[wire.ReportAnswer](raw)
+		return decodeOrZero[wire.ReportAnswer](raw)
 	case report:
-		return decoded[wire.Redirect](raw)
+		return decodeOrZero[wire.Redirect](raw)
 	case status == http.StatusOK || status == http.StatusCreated:
-		return decoded[wire.JobState](raw)
+		return decodeOrZero[wire.JobState](raw)
 	}
-	return decoded[wire.Error](raw)
+	return decodeOrZero[wire.Error](raw)
 }
 
-func decoded[T any](raw []byte) T {
+// decodeOrZero decodes raw. What can't be decoded stays at its zero value.
+func decodeOrZero[T any](raw []byte) T {
 	var v T
-	_ = wire.Unmarshal(raw, &v) // what can't be read is empty
+	_ = wire.Unmarshal(raw, &v) // errors are ignored
 	return v
 }
--- a/internal/sim/live_cells_test.go
+++ b/internal/sim/live_cells_test.go
@@ -13,7 +13,7 @@
 	"pumicefront/wire"
 )
 
-const liveCellOperators = `
+const liveCellSettings = `
 leader_life  = "2s"
 silent_share = 0.4
 cell {
@@ -25,78 +25,79 @@
 %s}
 `
 
-// TestLiveCells plays four cells with two controllers each as real processes over TCP. The first has
-// far more work than room. Cells that hold its work are killed and come back, and so is the home; every
-// job comes to one end, and every task has one owner in all cells together.
+// TestLiveCells runs four cells with two controllers each as real processes over TCP. Users submit far more
+// work to the first cell, the home, than it has room for, so jobs spill over into the others. The
+// controllers of each of these cells are killed and restarted while they hold work of the home, then those
+// of the home. Every job must end with one final answer, and every task must have one owner across all cells.
 func TestLiveCells(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 110*time.Second)
 	defer cancel()
-	const count, each = 4, 2
-	c := NewLiveCluster(ctx, 2, count)
-	binary := program(t, ctx)
-	listens := make([][]string, count)
+	const cellCount, controllersPerCell = 4, 2
+	cluster := NewLiveCluster(ctx, 2, cellCount)
+	binary := buildTestProgram(t, ctx)
+	listens := make([][]string, cellCount)
 	for i := range listens {
-		addresses, err := freeAddresses(each)
+		addresses, err := freeAddresses(controllersPerCell)
 		if err != nil {
 			t.Fatal(err)
 		}
 		listens[i] = addresses
 	}
-	controllers := make([][]*liveController, count)
-	for i, w := range c.Worlds {
+	controllers := make([][]*controllerProcess, cellCount)
+	for i, w := range cluster.Worlds {
 		w.cfg.Facts.Workers.ReportS, w.cfg.Facts.Workers.LeaseS, w.cfg.Facts.Workers.CancelS = 0.5, 4, 10
 		w.cfg.Facts.Cloud.ListLagS, w.faults.fastBoots = 1, true
 		peers := ""
-		for j := range count {
+		for j := range cellCount {
 			if j != i {
 				peers += fmt.Sprintf("  peer %q {\n    addresses = [\"%s\"]\n  }\n", cellName(j), strings.Join(listens[j], `", "`))
 			}
 		}
-		lend := 24
+		lendCores := 24
 		if i == 0 {
-			lend = 0
+			lendCores = 0
 		}
-		controllers[i] = processes(t, ctx, w, binary, each, func(_ *liveController, k int) string {
-			return fmt.Sprintf(liveCellOperators, cellName(i), listens[i][k], lend, peers)
+		controllers[i] = startTestControllers(t, ctx, w, binary, controllersPerCell, func(_ *controllerProcess, k int) string {
+			return fmt.Sprintf(liveCellSettings, cellName(i), listens[i][k], lendCores, peers)
 		})
 	}
-	play := func(d time.Duration) {
-		if err := c.RunLive(d); err != nil || len(c.Rules()) > 0 {
-			t.Fatalf("%v, rules broken: %v", err, c.Rules())
+	run := func(d time.Duration) {
+		if err := cluster.RunLive(d); err != nil || len(cluster.Rules()) > 0 {
+			t.Fatalf("%v, rules broken: %v", err, cluster.Rules())
 		}
 	}
-	c.Worlds[0].after(3*time.Second, func() { liveCellJobs(c.Worlds[0], 40) })
-	play(5 * time.Second)
-	told := false // the status has told of jobs elsewhere
+	cluster.Worlds[0].after(3*time.Second, func() { submitLiveCellJobs(cluster.Worlds[0], 40) })
+	run(5 * time.Second)
+	sawTransferredJobs := false // whether the home's status has listed jobs granted to other cells
 	for range 11 {
-		play(time.Second)
+		run(time.Second)
 		status, err := statusclient.Fetch[cells.Status](ctx, listens[0], cells.StatusPath)
-		told = told || err == nil && status.Ready && len(status.Out) > 0
+		sawTransferredJobs = sawTransferredJobs || err == nil && status.Ready && len(status.Out) > 0
 	}
-	if !told {
-		t.Error("the status has told of no job elsewhere")
+	if !sawTransferredJobs {
+		t.Error("the home's status never listed a job granted to another cell")
 	}
-	for i := 1; i <= 3; i++ { // one after the other, while they hold work
+	for i := 1; i <= 3; i++ { // one cell after the other, while they hold work
 		for _, p := range controllers[i] {
 			p.kill()
 		}
-		play(3 * time.Second)
+		run(3 * time.Second)
 		for _, p := range controllers[i] {
-			restart(t, ctx, p)
+			restartController(t, ctx, p)
 		}
-		play(2 * time.Second)
+		run(2 * time.Second)
 	}
 	for _, p := range controllers[0] {
 		p.kill()
-		play(time.Second)
-		restart(t, ctx, p)
+		run(time.Second)
+		restartController(t, ctx, p)
 	}
-	play(24 * time.Second)
-	checkLiveCells(t, c)
+	run(24 * time.Second)
+	checkLiveCells(t, cluster)
 }
 
-// liveCellJobs submits more arrays at once than the cell has room for, of which some are cancelled.
-func liveCellJobs(w *World, jobs int) {
+// submitLiveCellJobs submits more arrays at once than the cell has room for, and cancels every fourth.
+func submitLiveCellJobs(w *World, jobs int) {
 	for id := range jobs {
 		j := &simJob{spec: wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "batch", Team: "blue", Kind: wire.KindArray, Priority: "standard",
 			Tasks: 4, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", id%3), ImageGB: 1}, run: w.between(2*time.Second, 5*time.Second), done: make([]bool, 4)}
@@ -108,26 +109,27 @@
 	}
 }
 
-// checkLiveCells checks the rules in all cells, one history of all of them, and that work was elsewhere.
-func checkLiveCells(t *testing.T, c *Cluster) {
+// checkLiveCells checks the rules of all cells and their common history, and that jobs ran in other cells
+// and jobs were cancelled.
+func checkLiveCells(t *testing.T, cluster *Cluster) {
 	t.Helper()
-	if len(c.Rules()) == 0 {
-		c.Worlds[0].checkEnds()
+	if len(cluster.Rules()) == 0 {
+		cluster.Worlds[0].checkEnds()
 	}
-	for _, r := range c.Rules() {
+	for _, r := range cluster.Rules() {
 		t.Error(r)
 	}
-	if found := history.Check(c.history); len(found) > 0 {
-		t.Errorf("%d violations, the first: %+v", len(found), found[0])
+	if found := history.Check(cluster.history); len(found) > 0 {
+		t.Errorf("%d violations in the history, the first: %+v", len(found), found[0])
 	}
 	cancelled := 0
-	for _, j := range c.Worlds[0].users.list {
+	for _, j := range cluster.Worlds[0].users.list {
 		if j.cancelTold {
 			cancelled++
 		}
 	}
-	if len(c.ran) < 5 || cancelled == 0 {
-		t.Errorf("%d jobs have run in another cell, %d were cancelled", len(c.ran), cancelled)
+	if len(cluster.ran) < 5 || cancelled == 0 {
+		t.Errorf("%d jobs ran in another cell, want at least 5; %d jobs cancelled, want at least 1", len(cluster.ran), cancelled)
 	}
-	t.Logf("%d events, %d jobs have run in another cell, %d cancelled", len(c.history), len(c.ran), cancelled)
+	t.Logf("%d events, %d jobs ran in another cell, %d jobs cancelled", len(cluster.history), len(cluster.ran), cancelled)
 }
--- a/internal/sim/processes.go
+++ b/internal/sim/processes.go
@@ -13,51 +13,51 @@
 	"time"
 )
 
-// Controllers as processes of the program, and the links between them.
+// Controllers as processes of the pumicefront program, and the network links between them.
 
-// liveController is a process of the program.
-type liveController struct {
-	binary   string
-	settings string // file
-	hcl      string // file
-	status   string // address
-	trace    string // file
-	node     *node
-	process  *exec.Cmd
-	links    []*meshLink // to and from the other controllers
+// controllerProcess is a controller that runs as a process of the program.
+type controllerProcess struct {
+	binary               string
+	settingsPath         string // platform settings, TOML
+	operatorSettingsPath string // operators' settings, HCL
+	statusAddr           string // address of the status endpoint
+	tracePath            string // file for traces, if the operators' settings name it
+	node                 *node
+	cmd                  *exec.Cmd
+	links                []*meshLink // to and from the other controllers
 }
 
-// start starts the process; every process is killed at the test's end at the latest.
-func (c *liveController) start(ctx context.Context) error {
-	c.process = exec.CommandContext(ctx, c.binary, "serve", "--operators", c.hcl, "--config", c.settings)
-	if log, err := os.OpenFile(c.settings+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err == nil {
-		c.process.Stderr = log
-	}
-	c.process.Env = append(os.Environ(), "LOG_LEVEL=info")
-	if err := c.process.Start(); err != nil {
+// start starts the process, or starts it again after kill. It is killed when ctx ends.
+func (c *controllerProcess) start(ctx context.Context) error {
+	c.cmd = exec.CommandContext(ctx, c.binary, "serve", "--operators", c.operatorSettingsPath, "--config", c.settingsPath)
+	if log, err := os.OpenFile(c.settingsPath+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err == nil {
+		c.cmd.Stderr = log
+	}
+	c.cmd.Env = append(os.Environ(), "LOG_LEVEL=info")
+	if err := c.cmd.Start(); err != nil {
 		return fmt.Errorf("start controller: %w", err)
 	}
 	return nil
 }
 
-func (c *liveController) kill() {
-	if c.process != nil && c.process.Process != nil {
-		_ = c.process.Process.Kill()
-		_ = c.process.Wait()
+func (c *controllerProcess) kill() {
+	if c.cmd != nil && c.cmd.Process != nil {
+		_ = c.cmd.Process.Kill()
+		_ = c.cmd.Wait()
 	}
 }
 
-// meshLink carries what one controller sends to another one, and holds it back while it is cut.
+// meshLink forwards what one controller sends to another one, and holds it back while the link is cut.
 type meshLink struct {
 	cut    atomic.Bool
 	target string
 }
 
-// listen returns the address that stands for the target behind the link.
+// listen returns the address at which the sender reaches the target through the link.
 func (l *meshLink) listen(ctx context.Context) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("link between controllers: %w", err)
+		return "", fmt.Errorf("listen for link between controllers: %w", err)
 	}
 	context.AfterFunc(ctx, func() { _ = ln.Close() })
 	go func() {
@@ -66,13 +66,13 @@
 			if err != nil {
 				return
 			}
-			go l.carry(ctx, from)
+			go l.forward(ctx, from)
 		}
 	}()
 	return ln.Addr().String(), nil
 }
 
-func (l *meshLink) carry(ctx context.Context, from net.Conn) {
+func (l *meshLink) forward(ctx context.Context, from net.Conn) {
 	defer from.Close()
 	to, err := net.DialTimeout("tcp", l.target, time.Second)
 	if err != nil {
@@ -86,95 +86,96 @@
 		for l.cut.Load() && ctx.Err() == nil {
 			time.Sleep(20 * time.Millisecond)
 		}
-		if _, failed := to.Write(buffer[:n]); err != nil || failed != nil {
+		if _, writeErr := to.Write(buffer[:n]); err != nil || writeErr != nil {
 			return
 		}
 	}
 }
 
-// hostsUsed counts the loopback hosts that addresses were taken from.
-var hostsUsed atomic.Uint32
+// loopbackHostsUsed counts the loopback addresses for which freeAddresses has been called.
+var loopbackHostsUsed atomic.Uint32
 
-// freeAddresses returns so many addresses that nobody listens on, of a loopback host of their own: the
-// stand-ins, which listen on another one, can't be given a port that was free a moment ago, and then
-// answer a controller's users in its place.
+// freeAddresses returns the given number of unused addresses, all on a loopback host of their own. The
+// stand-ins listen on another loopback host: on the same one they could be given a port that was found
+// free a moment ago, and would then answer a controller's users in its place.
 func freeAddresses(count int) ([]string, error) {
-	host := fmt.Sprintf("127.1.%d.1", hostsUsed.Add(1)%250)
-	var all []string
+	host := fmt.Sprintf("127.1.%d.1", loopbackHostsUsed.Add(1)%250)
+	var addresses []string
 	for range count {
 		ln, err := net.Listen("tcp", host+":0")
 		if err != nil {
-			return nil, fmt.Errorf("find a free address: %w", err)
+			return nil, fmt.Errorf("find free address: %w", err)
 		}
-		defer ln.Close() // after all are taken, so that they differ
-		all = append(all, ln.Addr().String())
+		defer ln.Close() // only once all ports are taken, so that they differ
+		addresses = append(addresses, ln.Addr().String())
 	}
-	return all, nil
+	return addresses, nil
 }
 
-// buildProgram builds the program into a directory, and returns its path.
+// buildProgram builds the program into a directory and returns its path.
 func buildProgram(ctx context.Context, dir string) (string, error) {
 	binary := filepath.Join(dir, "pumicefront")
 	if out, err := exec.CommandContext(ctx, "go", "build", "-o", binary, "pumicefront/cmd/pumicefront").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("build: %w\n%s", err, out)
+		return "", fmt.Errorf("build pumicefront: %w\n%s", err, out)
 	}
 	return binary, nil
 }
 
-// startControllers starts controllers against the stand-ins of a world, with their files in a
-// directory; operators tells the operators' settings of each.
-func startControllers(ctx context.Context, w *World, binary, dir string, count int, operators func(c *liveController, i int) string) ([]*liveController, error) {
+// startControllers starts controllers that use the stand-ins of a world, with their files in a directory.
+// operatorSettings returns the operators' settings (HCL) of each controller.
+func startControllers(ctx context.Context, w *World, binary, dir string, count int, operatorSettings func(c *controllerProcess, i int) string) ([]*controllerProcess, error) {
 	addresses, err := freeAddresses(3 * count)
 	if err != nil {
 		return nil, err
 	}
-	serves, meshes, statuses := addresses[:count], addresses[count:2*count], addresses[2*count:]
-	var cs []*liveController
+	clientAddrs, meshAddrs, statusAddrs := addresses[:count], addresses[count:2*count], addresses[2*count:]
+	var controllers []*controllerProcess
 	for i := range count {
-		name := filepath.Join(dir, fmt.Sprintf("n%d", i))
-		c := &liveController{binary: binary, settings: name + ".toml", hcl: name + ".hcl", status: statuses[i], trace: name + ".trace"}
-		if err := os.WriteFile(c.hcl, []byte(operators(c, i)), 0o600); err != nil {
+		basePath := filepath.Join(dir, fmt.Sprintf("n%d", i))
+		c := &controllerProcess{binary: binary, settingsPath: basePath + ".toml", operatorSettingsPath: basePath + ".hcl", statusAddr: statusAddrs[i], tracePath: basePath + ".trace"}
+		if err := os.WriteFile(c.operatorSettingsPath, []byte(operatorSettings(c, i)), 0o600); err != nil {
 			return nil, fmt.Errorf("write settings: %w", err)
 		}
-		cs = append(cs, c)
+		controllers = append(controllers, c)
 	}
-	for i, c := range cs {
-		if err := c.configure(ctx, w, cs, i, serves[i], meshes); err != nil {
+	for i, c := range controllers {
+		if err := c.writeSettings(ctx, w, controllers, i, clientAddrs[i], meshAddrs); err != nil {
 			return nil, err
 		}
 		if err := c.start(ctx); err != nil {
 			return nil, err
 		}
 	}
-	return cs, nil
+	return controllers, nil
 }
 
-// configure writes the platform's settings of a controller, with links to the others.
-func (c *liveController) configure(ctx context.Context, w *World, all []*liveController, i int, serve string, meshes []string) error {
-	state, cloud := w.AddController(fmt.Sprintf("n%d", i), serve)
+// writeSettings adds a controller to the world and writes its platform settings, with a link to each of
+// the other controllers.
+func (c *controllerProcess) writeSettings(ctx context.Context, w *World, controllers []*controllerProcess, i int, clientAddr string, meshAddrs []string) error {
+	state, cloud := w.AddController(fmt.Sprintf("n%d", i), clientAddr)
 	c.node = w.nodes[i]
 	var text bytes.Buffer
-	fmt.Fprintf(&text, "member = \"n%d\"\nclient_listen = %q\nmesh_addr = %q\n[external]\nstate = %q\ncloud = %q\n", i, serve, meshes[i], state, cloud)
-	for j, o := range all {
+	fmt.Fprintf(&text, "member = \"n%d\"\nclient_listen = %q\nmesh_addr = %q\n[external]\nstate = %q\ncloud = %q\n", i, clientAddr, meshAddrs[i], state, cloud)
+	for j, other := range controllers {
 		if j == i {
 			continue
 		}
-		link := &meshLink{target: meshes[j]}
+		link := &meshLink{target: meshAddrs[j]}
 		address, err := link.listen(ctx)
 		if err != nil {
 			return err
 		}
-		c.links, o.links = append(c.links, link), append(o.links, link)
+		c.links, other.links = append(c.links, link), append(other.links, link)
 		fmt.Fprintf(&text, "[[others]]\nmember = \"n%d\"\nendpoint = %q\n", j, address)
 	}
 	writeFacts(&text, w)
-	if err := os.WriteFile(c.settings, text.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(c.settingsPath, text.Bytes(), 0o600); err != nil {
 		return fmt.Errorf("write settings: %w", err)
 	}
 	return nil
 }
 
-// writeFacts spells the deployment as the platform does.
+// writeFacts writes the facts of the deployment as they stand in the platform's settings (TOML).
 func writeFacts(out io.Writer, w *World) {
 	f := w.cfg.Facts
 	for _, team := range f.Teams {
@@ -189,8 +190,8 @@
 	fmt.Fprintf(out, "[facts.resources]\nmemory_mb = %f\nmax_connections = %d\n", f.Resources.MemoryMB, f.Resources.MaxConnections)
 }
 
-// cut cuts a controller off from the others, or joins it again.
-func (c *liveController) cut(on bool) {
+// setCut cuts the controller's links to and from the other controllers, or restores them.
+func (c *controllerProcess) setCut(on bool) {
 	for _, link := range c.links {
 		link.cut.Store(on)
 	}
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -11,18 +11,20 @@
 	"pumicefront/wire"
 )
 
-// settled is a run in which a service and an array run and nothing has failed.
-func settled(t *testing.T, seed uint64) *World {
+// settledWorld returns a run in which a service and an array with four tasks each are running and no
+// fault has occurred.
+func settledWorld(t *testing.T, seed uint64) *World {
 	t.Helper()
-	return settledOn(t, seed, Small, func(*World) {})
+	return settledWorldWith(t, seed, Small, func(*World) {})
 }
 
-// settledOn is the same on another shape, and with other settings.
-func settledOn(t *testing.T, seed uint64, shape Shape, change func(w *World)) *World {
+// settledWorldWith is settledWorld for the given shape, with the world configured before the
+// controllers boot.
+func settledWorldWith(t *testing.T, seed uint64, shape Shape, configure func(w *World)) *World {
 	t.Helper()
 	w := New(seed, shape)
-	change(w)
-	for _, n := range w.nodes { // with what has changed
+	configure(w)
+	for _, n := range w.nodes { // restarts the cores that New booted, with the new configuration
 		n.boot()
 	}
 	w.after(time.Second, func() {
@@ -36,20 +38,20 @@
 		}
 	})
 	w.Run(60 * time.Second)
-	if n := onMachines(w); n != 8 {
-		t.Fatalf("%d tasks run before anything has failed, want 8", n)
+	if n := countRunningTasks(w); n != 8 {
+		t.Fatalf("%d tasks running before the first fault, want 8", n)
 	}
 	return w
 }
 
-func onMachines(w *World) int {
+func countRunningTasks(w *World) int {
 	n := 0
 	w.running(func(*host, *task) { n++ })
 	return n
 }
 
-// leader is the node that the most workers report to.
-func leader(w *World) *node {
+// nodeWithMostWorkers returns the node that most workers report to.
+func nodeWithMostWorkers(w *World) *node {
 	count := make([]int, len(w.nodes))
 	for _, h := range w.hosts {
 		if !h.gone {
@@ -65,76 +67,78 @@
 	return w.nodes[best]
 }
 
-func checkKept(t *testing.T, w *World) {
+// checkLeasesAndTasksKept checks that no rule is broken, that no machine rented in the first minute
+// has lost its lease since, and that all tasks of settledWorld run.
+func checkLeasesAndTasksKept(t *testing.T, w *World) {
 	t.Helper()
 	for _, r := range w.Rules {
 		t.Error(r)
 	}
 	for _, h := range w.hosts {
 		if !h.gone && h.session > 1 && h.born < time.Minute {
-			t.Errorf("%s has lost its lease", h.id)
+			t.Errorf("%s lost its lease", h.id)
 		}
 	}
-	if n := onMachines(w); n != 8 {
-		t.Errorf("%d tasks run, want 8", n)
+	if n := countRunningTasks(w); n != 8 {
+		t.Errorf("%d tasks running, want 8", n)
 	}
 }
 
-// An outage of the state service that is longer than the workers' lease must
-// not cost them their leases.
+// Guards against workers losing their leases in an outage of the state service that is longer than
+// the lease.
 func TestOutageKeepsLeases(t *testing.T) {
-	w := settled(t, 1)
+	w := settledWorld(t, 1)
 	w.store.setOutage(true)
 	w.Run(w.now + 16*time.Second)
 	w.store.setOutage(false)
 	w.Run(w.now + 20*time.Second)
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader that alone is refused by the state service must be replaced: its
-// peers do not promise.
+// A leader must be replaced if the state service refuses its calls and no one else's: its peers can reach
+// the state service, so they refuse to promise that they won't claim the leadership.
 func TestRefusedLeaderIsReplaced(t *testing.T) {
-	w := settled(t, 2)
-	old := leader(w)
-	old.refused = true
+	w := settledWorld(t, 2)
+	oldLeader := nodeWithMostWorkers(w)
+	oldLeader.refused = true
 	w.Run(w.now + 12*time.Second)
-	if now := leader(w); now == old {
-		t.Error("the refused leader still has the workers")
+	if current := nodeWithMostWorkers(w); current == oldLeader {
+		t.Error("workers still report to the refused leader")
 	}
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader cut off from the workers alone must not let every lease run out.
-func TestLeaderCutFromWorkersKeepsLeases(t *testing.T) {
-	w := settled(t, 3)
-	n := leader(w)
+// A leader that is cut off from the workers, and from nothing else, must not let all their leases run out.
+func TestLeaderCutOffFromWorkersKeepsLeases(t *testing.T) {
+	w := settledWorld(t, 3)
+	n := nodeWithMostWorkers(w)
 	n.workersCut = true
 	w.Run(w.now + 40*time.Second)
 	n.workersCut = false
 	w.Run(w.now + 10*time.Second)
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 }
 
-// A crash of the leader, and of all, must not cost a running task.
+// Neither a crash of the leader nor a crash of all controllers may cost a running task.
 func TestCrashesKeepTasks(t *testing.T) {
-	w := settled(t, 4)
-	leader(w).crash(3 * time.Second)
+	w := settledWorld(t, 4)
+	nodeWithMostWorkers(w).crash(3 * time.Second)
 	w.Run(w.now + 15*time.Second)
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 	for _, n := range w.nodes {
 		n.crash(time.Second)
 	}
 	w.Run(w.now + 15*time.Second)
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 }
 
-// In an outage nothing is held back: every request gets its answer at once, with
-// the time to come back.
-func TestOutageAnswersAtOnce(t *testing.T) {
-	w := settled(t, 5)
+// Controllers must not hold requests back in an outage of the state service: every request is answered
+// within a second, with status 503 and the time after which to retry.
+func TestRequestsAreAnsweredAtOnceInOutage(t *testing.T) {
+	w := settledWorld(t, 5)
 	w.store.setOutage(true)
 	w.Run(w.now + 2*time.Second)
-	asked, answered := w.now, 0
+	sentAt, answered := w.now, 0
 	for _, op := range []controller.UserOp{controller.UserSubmit, controller.UserPoll, controller.UserAbort, controller.UserReady} {
 		r := controller.UserRequest{Op: op, Job: "req-000001"}
 		if op == controller.UserSubmit {
@@ -144,8 +148,8 @@
 		for _, n := range w.nodes {
 			n.ask(func(req uint64) controller.Input { r.Req = req; return r }, func(a controller.Answer) {
 				answered++
-				if a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 || w.now-asked > time.Second {
-					t.Errorf("request %d: status %d, retry after %v, after %v", op, a.Status, a.RetryAfter, w.now-asked)
+				if a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 || w.now-sentAt > time.Second {
+					t.Errorf("operation %d: status %d, retry after %v, answered after %v", op, a.Status, a.RetryAfter, w.now-sentAt)
 				}
 			})
 		}
@@ -156,9 +160,9 @@
 	}
 }
 
-// The state service allows few changes a second: a job must not cost one for every
-// task that finishes.
-func TestChangesPerJob(t *testing.T) {
+// The state service allows few changes per second, so the changes written for a job must not grow to
+// one for every task that finishes.
+func TestChangesWrittenPerJob(t *testing.T) {
 	w := New(20, Grown)
 	w.users.stop = 60 * time.Second
 	w.after(time.Second, func() { w.users.arrive(w.shape.ArrivalInterval) })
@@ -170,22 +174,23 @@
 		}
 	}
 	if changes := len(w.store.history); jobs < 10 || tasks < 20*jobs || changes > tasks {
-		t.Errorf("%d changes for %d jobs of %d tasks", changes, jobs, tasks)
+		t.Errorf("%d changes written for %d jobs with %d tasks in all", changes, jobs, tasks)
 	}
 }
 
-// A controller that is back at once may have promised not to claim, and must wait
-// that out though it does not know of it. The tampered one believes that it has run
-// for long; the checker must see two leaders then, and none otherwise.
-func TestQuickRestartHonoursPromises(t *testing.T) {
-	broken := func(seed uint64, boot func(time.Time) time.Time) bool {
-		w := settled(t, seed)
+// A controller that restarts quickly may have promised not to claim the leadership in its earlier life.
+// It doesn't know of the promise and must wait until it would have expired. The tampered controller
+// believes that it started an hour ago and skips the wait: the checks must detect two leaders then,
+// and must report nothing for an untampered one.
+func TestRestartedControllerHonoursPromises(t *testing.T) {
+	breaksRule := func(seed uint64, boot func(time.Time) time.Time) bool {
+		w := settledWorld(t, seed)
 		w.Tamper.Boot = boot
-		old := leader(w)
+		oldLeader := nodeWithMostWorkers(w)
 		var other *node
 		for _, n := range w.nodes {
-			n.refused = true // while leases run out: not an outage
-			if n != old {
+			n.refused = true // unlike in an outage, leases in the state service still run out
+			if n != oldLeader {
 				other = n
 			}
 		}
@@ -198,67 +203,68 @@
 	}
 	caught := 0
 	for seed := range uint64(8) {
-		if broken(seed, nil) {
-			t.Errorf("seed %d: a rule is broken", seed)
+		if breaksRule(seed, nil) {
+			t.Errorf("seed %d: untampered controllers broke a rule", seed)
 		}
-		if broken(seed, func(now time.Time) time.Time { return now.Add(-time.Hour) }) {
+		if breaksRule(seed, func(now time.Time) time.Time { return now.Add(-time.Hour) }) {
 			caught++
 		}
 	}
 	if caught == 0 {
-		t.Error("the checker does not see a claim against a promise")
+		t.Error("a leadership claim against a promise was not detected")
 	}
 }
 
-// A leader that stands still must be replaced, its tasks go on, and it joins again
-// by itself: it answers as the others do within seconds.
-func TestLeaderThatStandsStill(t *testing.T) {
-	w := settled(t, 7)
-	old := leader(w)
-	old.pause(30 * time.Second)
+// A leader whose process is paused must be replaced without ending its tasks. Once resumed it must
+// rejoin by itself and answer readiness requests within seconds, as the other controllers do.
+func TestPausedLeaderIsReplaced(t *testing.T) {
+	w := settledWorld(t, 7)
+	oldLeader := nodeWithMostWorkers(w)
+	oldLeader.pause(30 * time.Second)
 	w.Run(w.now + 12*time.Second)
-	if leader(w) == old {
-		t.Error("a leader that stands still has the workers")
+	if nodeWithMostWorkers(w) == oldLeader {
+		t.Error("workers still report to the paused leader")
 	}
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 	w.Run(w.now + 20*time.Second)
-	if old.paused {
-		t.Fatal("it still stands")
+	if oldLeader.paused {
+		t.Fatal("the old leader is still paused")
 	}
-	ready := 0
-	old.ask(func(req uint64) controller.Input {
+	readyStatus := 0
+	oldLeader.ask(func(req uint64) controller.Input {
 		return controller.UserRequest{Req: req, Op: controller.UserReady}
-	}, func(a controller.Answer) { ready = a.Status })
+	}, func(a controller.Answer) { readyStatus = a.Status })
 	w.Run(w.now + 2*time.Second)
-	if ready != http.StatusOK {
-		t.Errorf("it answers %d seconds after it went on", ready)
+	if readyStatus != http.StatusOK {
+		t.Errorf("readiness status %d after the old leader resumed, want 200", readyStatus)
 	}
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 }
 
-// All controllers stand still at once: nobody hears the machines, and none of them
-// may be given up for that.
-func TestAllStandStill(t *testing.T) {
-	w := settled(t, 8)
+// While all controllers are paused no reports are received. No machine may be declared lost for that.
+func TestAllControllersPaused(t *testing.T) {
+	w := settledWorld(t, 8)
 	for _, n := range w.nodes {
 		n.pause(6 * time.Second)
 	}
 	w.Run(w.now + 25*time.Second)
-	checkKept(t, w)
+	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader of many machines that loses the way to all of them must not take the first
-// ones that are overdue for dead, nor, when the way is back, those that it hears last.
-func TestLeaderCutFromWorkersReleasesNobody(t *testing.T) {
+// A leader of many machines that is cut off from all of them must not declare lost those whose reports
+// are overdue first nor, once the connection is back, those whose reports arrive last.
+func TestLeaderCutOffFromWorkersReleasesNoMachine(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			checkLeaderCutFromWorkers(t, New(9+seed, Grown))
+			checkLeaderCutOffFromWorkers(t, New(9+seed, Grown))
 		})
 	}
 }
 
-func checkLeaderCutFromWorkers(t *testing.T, w *World) {
+// checkLeaderCutOffFromWorkers cuts the leader off from all workers for 40 s and checks that no machine is
+// released while it runs tasks.
+func checkLeaderCutOffFromWorkers(t *testing.T, w *World) {
 	t.Helper()
 	w.after(time.Second, func() {
 		for i := range 40 {
@@ -273,9 +279,9 @@
 	busy := map[*host]bool{}
 	w.running(func(h *host, _ *task) { busy[h] = true })
 	if len(busy) < 20 {
-		t.Fatalf("%d machines are at work, want many", len(busy))
+		t.Fatalf("%d machines run tasks, want at least 20", len(busy))
 	}
-	n := leader(w)
+	n := nodeWithMostWorkers(w)
 	n.workersCut = true
 	w.Run(w.now + 40*time.Second)
 	n.workersCut = false
@@ -287,56 +293,56 @@
 		}
 	}
 	if released > 0 {
-		t.Errorf("%d of %d machines are released with what they run", released, len(busy))
+		t.Errorf("%d of %d machines released while running tasks", released, len(busy))
 	}
 	for _, r := range w.Rules {
 		t.Error(r)
 	}
 }
 
-// A submission finds the job that it needs unfinished; that one is cancelled and its end is
-// written before the submission's own record. No header tells of the cancellation then, and
-// all controllers must call the job cancelled all the same.
-func TestAcceptanceAfterTheEndOfACancelledJob(t *testing.T) {
+// A submission is checked while the job that it needs is unfinished; that job is cancelled, and its end
+// is written before the submission's own record. No header mentions the cancellation then, and all
+// controllers must report the submitted job as cancelled nevertheless.
+func TestJobAcceptedAfterNeededJobEndedCancelled(t *testing.T) {
 	for seed := range uint64(4) {
-		w := settled(t, 30+seed)
-		needed, later := w.users.jobs[array], &simJob{done: make([]bool, 4)}
-		later.spec, later.needs = needed.spec, []*simJob{needed}
-		later.spec.ID, later.spec.Needs = second, []string{array}
-		held := false
+		w := settledWorld(t, 30+seed)
+		needed, dependent := w.users.jobs[arrayJobID], &simJob{done: make([]bool, 4)}
+		dependent.spec, dependent.needs = needed.spec, []*simJob{needed}
+		dependent.spec.ID, dependent.spec.Needs = secondArrayJobID, []string{arrayJobID}
+		delayed := false
 		w.Tamper.State = func(call *controller.StateCall) (controller.StateReply, bool) {
 			if call.Op != controller.OpTxn || len(call.Txn.Then) == 0 {
 				return controller.StateReply{}, false
 			}
-			refuse := controller.StateReply{Status: http.StatusServiceUnavailable}
-			if call.Txn.Then[0].Put == "f/"+second { // its end is never written, so all have to find out
-				return refuse, true
+			unavailable := controller.StateReply{Status: http.StatusServiceUnavailable}
+			if call.Txn.Then[0].Put == "f/"+secondArrayJobID { // the dependent's end is never written, so every controller has to derive it
+				return unavailable, true
 			}
-			if call.Txn.Then[0].Put != "c/j/"+second {
+			if call.Txn.Then[0].Put != "c/j/"+secondArrayJobID {
 				return controller.StateReply{}, false
 			}
-			if !held { // answered as if it had not run, and carried out late
-				held = true
-				late := call.Txn
-				w.after(3*time.Second, func() { w.store.txn(late) })
+			if !delayed { // reported as failed, yet applied three seconds later
+				delayed = true
+				delayedTxn := call.Txn
+				w.after(3*time.Second, func() { w.store.txn(delayedTxn) })
 			}
-			return refuse, true
+			return unavailable, true
 		}
-		w.users.enter(later)
+		w.users.enter(dependent)
 		w.Run(w.now + 500*time.Millisecond)
-		if !held {
-			t.Fatal("the submission has not come to its write")
+		if !delayed {
+			t.Fatal("the submission's record was not written within 500 ms")
 		}
 		w.faults.askAllNodes = true
-		callOffAt(t, w, w.nodes[0], array)
+		cancelThrough(t, w, w.nodes[0], arrayJobID)
 		for range 400 {
 			for _, n := range w.nodes {
-				w.users.askNode(n, later, controller.UserRequest{Op: controller.UserPoll, Job: second})
+				w.users.askNode(n, dependent, controller.UserRequest{Op: controller.UserPoll, Job: secondArrayJobID})
 			}
 			w.Run(w.now + 20*time.Millisecond)
 		}
-		if !later.cancelTold {
-			t.Errorf("seed %d: the job that needs a cancelled one is not called cancelled", seed)
+		if !dependent.cancelTold {
+			t.Errorf("seed %d: the job that needs a cancelled job is not reported as cancelled", seed)
 		}
 		for _, r := range w.Rules {
 			t.Errorf("seed %d: %s", seed, r)
--- a/internal/spreadseries/plot.go
+++ b/internal/spreadseries/plot.go
@@ -9,41 +9,41 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// The colours of runs with and without load spreading.
+// Line colours of runs with and without load spreading.
 var (
 	colourSpread = color.RGBA{R: 20, G: 110, B: 60, A: 255}
 	colourOff    = color.RGBA{R: 180, G: 60, B: 40, A: 255}
 )
 
-// Plot draws the coefficient of variation of all courses over time into a file, whose name tells its
-// format.
-func Plot(path, title string, courses []Course) error {
+// Plot draws the coefficient of variation of the machines' shares over time, with one line for each run,
+// into a file. The extension of its name selects the format.
+func Plot(path, title string, all []Series) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "seconds"
 	p.Y.Label.Text = "coefficient of variation of shares"
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
-	named := map[bool]bool{}
-	for _, c := range courses {
-		line, err := plotter.NewLine(points(c))
+	inLegend := map[bool]bool{}
+	for _, series := range all {
+		line, err := plotter.NewLine(points(series))
 		if err != nil {
-			return fmt.Errorf("plot %s: %w", c.Run, err)
+			return fmt.Errorf("plot %s: %w", series.Run, err)
 		}
 		name := "off"
 		line.Color = colourOff
-		if c.Spread {
+		if series.Spread {
 			name, line.Color = "on", colourSpread
 		}
 		p.Add(line)
-		if !named[c.Spread] {
-			named[c.Spread] = true
+		if !inLegend[series.Spread] {
+			inLegend[series.Spread] = true
 			p.Legend.Add(name, line)
 		}
 	}
@@ -54,10 +54,10 @@
 	return nil
 }
 
-func points(c Course) plotter.XYs {
-	xys := make(plotter.XYs, 0, len(c.Moments))
-	for _, m := range c.Moments {
-		xys = append(xys, plotter.XY{X: m.AtS, Y: m.Variation})
+func points(series Series) plotter.XYs {
+	xys := make(plotter.XYs, 0, len(series.Samples))
+	for _, sample := range series.Samples {
+		xys = append(xys, plotter.XY{X: sample.AtS, Y: sample.Variation})
 	}
 	return xys
 }
--- a/internal/spreadseries/series.go
+++ b/internal/spreadseries/series.go
@@ -1,5 +1,5 @@
-// Package spreadseries keeps what a measurement of load spreading finds, machine by machine over time, in
-// Parquet files, and makes tables and plots of what it reads back from them.
+// Package spreadseries stores the results of load spreading measurements, as time series of each machine's
+// share, in Parquet files, and renders tables and plots from them.
 package spreadseries
 
 import (
@@ -13,24 +13,24 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Row is the share of a machine at a moment of a run.
+// Row is the dominant share of one machine at one time in a run.
 type Row struct {
-	Run     string  `parquet:"run,dict"`     // which run it is of
-	Spread  bool    `parquet:"spread"`       // load was spread
-	AtS     float64 `parquet:"at_s"`         // seconds since the run began
+	Run     string  `parquet:"run,dict"`     // name of the run
+	Spread  bool    `parquet:"spread"`       // whether load spreading was on
+	AtS     float64 `parquet:"at_s"`         // seconds since the start of the run
 	Machine string  `parquet:"machine,dict"` // the machine's name
 	Share   float64 `parquet:"share"`        // dominant share, 0 to 1
 }
 
-// Write writes rows to a file, compressed.
+// Write writes rows to a file, compressed with Zstandard.
 func Write(path string, rows []Row) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("write series: %w", err)
 	}
 	defer func() {
-		if closed := file.Close(); err == nil && closed != nil {
-			err = fmt.Errorf("write series: %w", closed)
+		if closeErr := file.Close(); err == nil && closeErr != nil {
+			err = fmt.Errorf("write series: %w", closeErr)
 		}
 	}()
 	writer := parquet.NewGenericWriter[Row](file, parquet.Compression(&parquet.Zstd))
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Read reads the rows of a file.
+// Read reads all rows of a file.
 func Read(path string) ([]Row, error) {
 	rows, err := parquet.ReadFile[Row](path)
 	if err != nil {
@@ -52,72 +52,72 @@
 	return rows, nil
 }
 
-// Moment sums up the machines at a moment of a run.
-type Moment struct {
-	AtS       float64 // seconds since the run began
-	Machines  int     // machines with a row at this moment
+// Sample summarizes the shares of all machines at one time in a run.
+type Sample struct {
+	AtS       float64 // seconds since the start of the run
+	Machines  int     // machines with a row at this time
 	Variation float64 // coefficient of variation of the shares
-	Maximum   float64 // the largest share over the mean
+	Maximum   float64 // the largest share divided by the mean
 }
 
-// Course is a run over time.
-type Course struct {
-	Run     string   // which run it is
-	Spread  bool     // load was spread
-	Moments []Moment // one for each moment, in the order of time
+// Series is one run over time.
+type Series struct {
+	Run     string   // name of the run
+	Spread  bool     // whether load spreading was on
+	Samples []Sample // one for each time in the rows, in ascending order
 }
 
-// Courses sums up rows by run, in the order of their names, and by moment.
-func Courses(rows []Row) []Course {
+// Courses groups rows by run, in the order of the runs' names, and summarizes each time in a run.
+func Courses(rows []Row) []Series {
 	sorted := slices.Clone(rows)
 	slices.SortStableFunc(sorted, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(a.AtS, b.AtS)) })
-	var courses []Course
+	var all []Series
 	for len(sorted) > 0 {
 		first := sorted[0]
 		n := slices.IndexFunc(sorted, func(r Row) bool { return r.Run != first.Run || r.AtS != first.AtS })
 		if n < 0 {
 			n = len(sorted)
 		}
-		if last := len(courses) - 1; last < 0 || courses[last].Run != first.Run {
-			courses = append(courses, Course{Run: first.Run, Spread: first.Spread})
+		if last := len(all) - 1; last < 0 || all[last].Run != first.Run {
+			all = append(all, Series{Run: first.Run, Spread: first.Spread})
 		}
-		course := &courses[len(courses)-1]
-		course.Moments = append(course.Moments, sumUp(sorted[:n]))
+		series := &all[len(all)-1]
+		series.Samples = append(series.Samples, summarize(sorted[:n]))
 		sorted = sorted[n:]
 	}
-	return courses
+	return all
 }
 
-// sumUp sums up the machines at one moment.
-func sumUp(rows []Row) Moment {
-	m := Moment{AtS: rows[0].AtS, Machines: len(rows)}
-	sum, squares, most := 0.0, 0.0, 0.0
+// summarize returns the sample of rows with the same run and time.
+func summarize(rows []Row) Sample {
+	sample := Sample{AtS: rows[0].AtS, Machines: len(rows)}
+	sum, squares, largest := 0.0, 0.0, 0.0
 	for _, r := range rows {
 		sum += r.Share
 		squares += r.Share * r.Share
-		most = math.Max(most, r.Share)
+		largest = math.Max(largest, r.Share)
 	}
 	if sum == 0 {
-		return m
+		return sample
 	}
 	mean := sum / float64(len(rows))
-	m.Variation = math.Sqrt(math.Max(0, squares/float64(len(rows))-mean*mean)) / mean
-	m.Maximum = most / mean
-	return m
+	sample.Variation = math.Sqrt(math.Max(0, squares/float64(len(rows))-mean*mean)) / mean
+	sample.Maximum = largest / mean
+	return sample
 }
 
-// WriteTable writes the courses as a table of the given moments, in Markdown.
-func WriteTable(out io.Writer, courses []Course, atS ...float64) error {
+// WriteTable writes a table in Markdown, with a row for each run and a column for each of the given times.
+func WriteTable(out io.Writer, all []Series, atS ...float64) error {
 	header, rule := "| run | spread |", "| --- | --- |"
 	for _, at := range atS {
 		header += fmt.Sprintf(" %.0f s |", at)
 		rule += " --- |"
 	}
 	text := header + "\n" + rule + "\n"
-	for _, c := range courses {
-		text += fmt.Sprintf("| %s | %v |", c.Run, c.Spread)
+	for _, series := range all {
+		text += fmt.Sprintf("| %s | %v |", series.Run, series.Spread)
 		for _, at := range atS {
-			text += cell(c, at)
+			text += tableCell(series, at)
 		}
 		text += "\n"
 	}
@@ -127,15 +127,16 @@
 	return nil
 }
 
-// cell is a course's variation and maximum at a moment, or the last one before it.
-func cell(c Course, atS float64) string {
-	i := slices.IndexFunc(c.Moments, func(m Moment) bool { return m.AtS > atS })
+// tableCell returns the variation and the maximum at the given time or, without a sample at that time, of
+// the last sample before it.
+func tableCell(series Series, atS float64) string {
+	i := slices.IndexFunc(series.Samples, func(m Sample) bool { return m.AtS > atS })
 	if i < 0 {
-		i = len(c.Moments)
+		i = len(series.Samples)
 	}
 	if i == 0 {
 		return " - |"
 	}
-	m := c.Moments[i-1]
-	return fmt.Sprintf(" %.2f, %.2f |", m.Variation, m.Maximum)
+	sample := series.Samples[i-1]
+	return fmt.Sprintf(" %.2f, %.2f |", sample.Variation, sample.Maximum)
 }
--- a/internal/spreadseries/series_test.go
+++ b/internal/spreadseries/series_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Rows are read back as they were written, and the table and the plot are made of them.
-func TestSeriesIsReadBack(t *testing.T) {
+// Rows are read back as they were written, and a table and a plot can be rendered from them.
+func TestRowsAreReadBackAsWritten(t *testing.T) {
 	var rows []Row
 	for _, run := range []struct {
 		name   string
@@ -31,29 +31,29 @@
 	}
 	read, err := Read(path)
 	if err != nil || !reflect.DeepEqual(read, rows) {
-		t.Fatalf("%d rows are read, %d were written: %v", len(read), len(rows), err)
+		t.Fatalf("read rows differ from written ones: %d read, %d written, error %v", len(read), len(rows), err)
 	}
-	courses := Courses(read)
-	if len(courses) != 2 || len(courses[1].Moments) != 300 || courses[1].Moments[7].Machines != 2 || !courses[1].Spread {
-		t.Fatalf("%d courses: %+v", len(courses), courses[1].Moments[7])
+	all := Courses(read)
+	if len(all) != 2 || len(all[1].Samples) != 300 || all[1].Samples[7].Machines != 2 || !all[1].Spread {
+		t.Fatalf("%d series, want 2; sample 7 of the second: %+v", len(all), all[1].Samples[7])
 	}
 	var table bytes.Buffer
-	if err := WriteTable(&table, courses, -1, 10.5, 299); err != nil {
+	if err := WriteTable(&table, all, -1, 10.5, 299); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{"| off 0 | false | - | 1.00, 2.00 | 1.00, 2.00 |", "| on 0 | true | - | 0.20, 1.20 | 0.20, 1.20 |"} {
 		if !strings.Contains(table.String(), line) {
-			t.Errorf("no %q in\n%s", line, table.String())
+			t.Errorf("no line %q in the table:\n%s", line, table.String())
 		}
 	}
-	picture := filepath.Join(dir, "plot.png")
-	if err := Plot(picture, "a test", courses); err != nil {
+	plotPath := filepath.Join(dir, "plot.png")
+	if err := Plot(plotPath, "a test", all); err != nil {
 		t.Fatal(err)
 	}
-	if raw, err := os.ReadFile(picture); err != nil || !bytes.HasPrefix(raw, []byte("\x89PNG")) {
-		t.Errorf("no picture: %v", err)
+	if raw, err := os.ReadFile(plotPath); err != nil || !bytes.HasPrefix(raw, []byte("\x89PNG")) {
+		t.Errorf("plot is no PNG file: %v", err)
 	}
-	if _, err := Read(picture); err == nil {
-		t.Error("a picture is read as a series")
+	if _, err := Read(plotPath); err == nil {
+		t.Error("reading a PNG file as a series gave no error")
 	}
 }
