--- a/balance/ledger.go
+++ b/balance/ledger.go
@@ -47,30 +47,30 @@
 	Cancelled Outcome = "cancelled" // the task's job was cancelled
 )
 
-// Loss is the reason why reserved room was released.
-type Loss string
+// ReleaseReason is the reason why reserved room was released.
+type ReleaseReason string
 
 // The reasons for releasing reserved room.
 const (
-	LossDestination Loss = "destination" // the destination can't run the task any more
-	LossTimeOut     Loss = "time-out"    // the room was reserved for longer than Settings.Hold
-	LossUrgent      Loss = "urgent"      // an urgent task took the room
-	LossOver        Loss = "over"        // the move has ended, or its new attempt occupies its own room
+	ReleasedDestinationLost ReleaseReason = "destination" // the destination can't run the task any more
+	ReleasedTimeOut         ReleaseReason = "time-out"    // the room was reserved for longer than Settings.Hold
+	ReleasedForUrgent       ReleaseReason = "urgent"      // an urgent task took the room
+	ReleasedMoveEnded       ReleaseReason = "over"        // the move has ended, or its new attempt occupies its own room
 )
 
-// Entry is a move under way.
-type Entry struct {
+// ActiveMove is a move under way.
+type ActiveMove struct {
 	Move
-	Attempt uint64    // number of the attempt that is moved away
-	Phase   Phase     // progress of the move
-	Held    bool      // room is reserved for the task at its destination
-	Began   time.Time // when the move started
+	Attempt   uint64    // number of the attempt that is moved away
+	Phase     Phase     // progress of the move
+	Reserved  bool      // room is reserved for the task at its destination
+	StartedAt time.Time // when the move started
 }
 
-// Seen is the observed state of a task that is being moved.
-type Seen struct {
+// Observation is the observed state of a task that is being moved.
+type Observation struct {
 	Cancelled, Completed bool   // the task's job is cancelled; the task is completed
-	InForce              bool   // an attempt of the task is active
+	Active               bool   // an attempt of the task is active
 	Attempt              uint64 // number of the active attempt
 	Machine              string // machine of the active attempt
 	Running              bool   // the active attempt is known to run
@@ -79,17 +79,17 @@
 
 // Change is a change of a move under way. It embeds the state after the change.
 type Change struct {
-	Entry
-	Was     Phase   // the phase before the change
-	Outcome Outcome // empty if the move is still under way
-	Loss    Loss    // empty if no room was released
+	ActiveMove
+	PreviousPhase Phase         // the phase before the change
+	Outcome       Outcome       // empty if the move is still under way
+	ReleaseReason ReleaseReason // empty if no room was released
 }
 
-// Ledger tracks the moves under way, reserves room for them and limits their rate. It starts with an empty
+// MoveTracker tracks the moves under way, reserves room for them and limits their rate. It starts with an empty
 // budget, so that several leaders in quick succession start no more moves than a single one would.
-type Ledger struct {
+type MoveTracker struct {
 	settings   Settings
-	entries    map[TaskID]*Entry
+	moves      map[TaskID]*ActiveMove
 	movedAt    map[TaskID]time.Time // when the last move of each task started
 	budget     float64              // moves that the rate limit permits now; a token bucket
 	refilledAt time.Time
@@ -98,139 +98,139 @@
 
 // Counts are the numbers of moves since the leader took office.
 type Counts struct {
-	Begun    int             `json:"begun"`              // moves started
-	Outcomes map[Outcome]int `json:"outcomes,omitempty"` // moves that have ended, by outcome
-	Losses   map[Loss]int    `json:"losses,omitempty"`   // reservations that were released while their move was under way, by reason
+	Started  int                   `json:"begun"`              // moves started
+	Outcomes map[Outcome]int       `json:"outcomes,omitempty"` // moves that have ended, by outcome
+	Releases map[ReleaseReason]int `json:"losses,omitempty"`   // reservations that were released while their move was under way, by reason
 }
 
-// NewLedger returns a ledger without moves and with an empty budget.
-func NewLedger(s Settings, now time.Time) *Ledger {
-	return &Ledger{settings: s, entries: map[TaskID]*Entry{}, movedAt: map[TaskID]time.Time{}, refilledAt: now,
-		counts: Counts{Outcomes: map[Outcome]int{}, Losses: map[Loss]int{}}}
+// NewMoveTracker returns a tracker without moves and with an empty budget.
+func NewMoveTracker(s Settings, now time.Time) *MoveTracker {
+	return &MoveTracker{settings: s, moves: map[TaskID]*ActiveMove{}, movedAt: map[TaskID]time.Time{}, refilledAt: now,
+		counts: Counts{Outcomes: map[Outcome]int{}, Releases: map[ReleaseReason]int{}}}
 }
 
 // burstSeconds is the time for which unused budget accumulates, in seconds.
 const burstSeconds = 5
 
 // Allowance returns the limits on the moves to start now in a fleet of the given number of machines. others
-// is the number of moves under way that the ledger does not track because an earlier leader started them.
-func (l *Ledger) Allowance(now time.Time, machines, others int) *Allowance {
-	rate := l.settings.movesPerSecond(machines)
-	l.budget = math.Min(l.budget+rate*now.Sub(l.refilledAt).Seconds(), math.Max(1, rate*burstSeconds))
-	l.refilledAt = now
-	a := &Allowance{MaxPerTeam: l.settings.maxMovesPerTeam(machines), Teams: map[string]int{}, Jobs: map[string]bool{}}
-	for _, e := range l.entries {
+// is the number of moves under way that the tracker does not know because an earlier leader started them.
+func (t *MoveTracker) Allowance(now time.Time, machines, others int) *Allowance {
+	rate := t.settings.movesPerSecond(machines)
+	t.budget = math.Min(t.budget+rate*now.Sub(t.refilledAt).Seconds(), math.Max(1, rate*burstSeconds))
+	t.refilledAt = now
+	a := &Allowance{MaxPerTeam: t.settings.maxMovesPerTeam(machines), Teams: map[string]int{}, Jobs: map[string]bool{}}
+	for _, e := range t.moves {
 		a.Teams[e.Team]++
 		a.Jobs[e.Job] = true
 	}
-	a.Moves = max(0, min(int(l.budget), l.settings.maxMovesInFlight(machines)-len(l.entries)-others))
+	a.Moves = max(0, min(int(t.budget), t.settings.maxMovesInFlight(machines)-len(t.moves)-others))
 	return a
 }
 
 // Begin adds a move of the given attempt and reserves room at its destination.
-func (l *Ledger) Begin(now time.Time, m Move, attempt uint64) {
-	l.budget--
-	l.counts.Begun++
-	l.movedAt[m.TaskID] = now
-	l.entries[m.TaskID] = &Entry{Move: m, Attempt: attempt, Held: true, Began: now}
+func (t *MoveTracker) Begin(now time.Time, m Move, attempt uint64) {
+	t.budget--
+	t.counts.Started++
+	t.movedAt[m.TaskID] = now
+	t.moves[m.TaskID] = &ActiveMove{Move: m, Attempt: attempt, Reserved: true, StartedAt: now}
 }
 
-// MovedLately reports whether the last move of a task started less than Settings.Stay ago.
-func (l *Ledger) MovedLately(now time.Time, id TaskID) bool {
-	at, moved := l.movedAt[id]
-	return moved && now.Sub(at) < l.settings.Stay
+// MovedRecently reports whether the last move of a task started less than Settings.Stay ago.
+func (t *MoveTracker) MovedRecently(now time.Time, id TaskID) bool {
+	at, moved := t.movedAt[id]
+	return moved && now.Sub(at) < t.settings.Stay
 }
 
-// Entry returns the move of a task, and false if the task is not being moved.
-func (l *Ledger) Entry(id TaskID) (Entry, bool) {
-	e := l.entries[id]
+// ActiveMove returns the move of a task, and false if the task is not being moved.
+func (t *MoveTracker) ActiveMove(id TaskID) (ActiveMove, bool) {
+	e := t.moves[id]
 	if e == nil {
-		return Entry{}, false
+		return ActiveMove{}, false
 	}
 	return *e, true
 }
 
-// Entries returns the moves under way, sorted by task.
-func (l *Ledger) Entries() []Entry {
-	all := make([]Entry, 0, len(l.entries))
-	for _, e := range l.entries {
+// ActiveMoves returns the moves under way, sorted by task.
+func (t *MoveTracker) ActiveMoves() []ActiveMove {
+	all := make([]ActiveMove, 0, len(t.moves))
+	for _, e := range t.moves {
 		all = append(all, *e)
 	}
-	slices.SortFunc(all, func(a, b Entry) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index)) })
+	slices.SortFunc(all, func(a, b ActiveMove) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index)) })
 	return all
 }
 
 // Len returns the number of moves under way.
-func (l *Ledger) Len() int { return len(l.entries) }
+func (t *MoveTracker) Len() int { return len(t.moves) }
 
 // Counts returns a copy of the counts so far.
-func (l *Ledger) Counts() Counts {
-	return Counts{Begun: l.counts.Begun, Outcomes: maps.Clone(l.counts.Outcomes), Losses: maps.Clone(l.counts.Losses)}
+func (t *MoveTracker) Counts() Counts {
+	return Counts{Started: t.counts.Started, Outcomes: maps.Clone(t.counts.Outcomes), Releases: maps.Clone(t.counts.Releases)}
 }
 
-// HeldOn returns the resources that are reserved on a machine.
-func (l *Ledger) HeldOn(machine string) scheduler.Resources {
-	held := scheduler.Resources{}
-	for _, e := range l.entries {
-		if e.Held && e.To == machine {
-			held = held.Add(e.Each, 1)
+// ReservedOn returns the resources that are reserved on a machine.
+func (t *MoveTracker) ReservedOn(machine string) scheduler.Resources {
+	reserved := scheduler.Resources{}
+	for _, e := range t.moves {
+		if e.Reserved && e.To == machine {
+			reserved = reserved.Add(e.Resources, 1)
 		}
 	}
-	return held
+	return reserved
 }
 
-// GiveUp releases the room that is reserved for a task. It reports false if there is none.
-func (l *Ledger) GiveUp(id TaskID, why Loss) (Change, bool) {
-	e := l.entries[id]
-	if e == nil || !e.Held {
+// ReleaseReservation releases the room that is reserved for a task. It reports false if there is none.
+func (t *MoveTracker) ReleaseReservation(id TaskID, why ReleaseReason) (Change, bool) {
+	e := t.moves[id]
+	if e == nil || !e.Reserved {
 		return Change{}, false
 	}
-	e.Held = false
-	l.counts.Losses[why]++
-	return Change{Entry: *e, Was: e.Phase, Loss: why}, true
+	e.Reserved = false
+	t.counts.Releases[why]++
+	return Change{ActiveMove: *e, PreviousPhase: e.Phase, ReleaseReason: why}, true
 }
 
 // Observe updates the move of a task from the observed state of the task, and reports whether the move
 // changed. It releases reserved room that is no longer needed or was reserved for too long.
-func (l *Ledger) Observe(now time.Time, id TaskID, seen Seen) (Change, bool) {
-	e := l.entries[id]
+func (t *MoveTracker) Observe(now time.Time, id TaskID, seen Observation) (Change, bool) {
+	e := t.moves[id]
 	if e == nil {
 		return Change{}, false
 	}
 	was := *e
 	outcome := e.advance(seen)
-	c := Change{Entry: *e, Was: was.Phase, Outcome: outcome}
+	c := Change{ActiveMove: *e, PreviousPhase: was.Phase, Outcome: outcome}
 	switch {
 	case outcome != "":
-		l.counts.Outcomes[outcome]++
-		delete(l.entries, id)
-		e.Held = false
+		t.counts.Outcomes[outcome]++
+		delete(t.moves, id)
+		e.Reserved = false
 	case e.Phase == Starting:
-		e.Held = false // the new attempt occupies its own room, on whichever machine it is
-	case !e.Held:
+		e.Reserved = false // the new attempt occupies its own room, on whichever machine it is
+	case !e.Reserved:
 	case seen.DestinationLost:
-		c.Loss = LossDestination
-	case now.Sub(e.Began) > l.settings.Hold:
-		c.Loss = LossTimeOut
+		c.ReleaseReason = ReleasedDestinationLost
+	case now.Sub(e.StartedAt) > t.settings.Hold:
+		c.ReleaseReason = ReleasedTimeOut
 	}
-	if c.Loss != "" {
-		l.GiveUp(id, c.Loss)
+	if c.ReleaseReason != "" {
+		t.ReleaseReservation(id, c.ReleaseReason)
 	}
-	if was.Held && !e.Held && c.Loss == "" {
-		c.Loss = LossOver
+	if was.Reserved && !e.Reserved && c.ReleaseReason == "" {
+		c.ReleaseReason = ReleasedMoveEnded
 	}
-	c.Held = e.Held
+	c.Reserved = e.Reserved
 	return c, *e != was || outcome != ""
 }
 
 // advance sets the phase of a move to the observed one, and returns the outcome if the move has ended.
-func (e *Entry) advance(seen Seen) Outcome {
+func (e *ActiveMove) advance(seen Observation) Outcome {
 	switch {
 	case seen.Cancelled:
 		return Cancelled
 	case seen.Completed:
 		return Completed
-	case !seen.InForce:
+	case !seen.Active:
 		e.Phase = Waiting
 	case seen.Attempt == e.Attempt:
 		e.Phase = Stopping
@@ -246,10 +246,10 @@
 
 // Sweep removes the records of moves that have ended and started Settings.Stay ago or earlier: they no
 // longer keep their tasks from being moved.
-func (l *Ledger) Sweep(now time.Time) {
-	for id, at := range l.movedAt {
-		if now.Sub(at) >= l.settings.Stay && l.entries[id] == nil {
-			delete(l.movedAt, id)
+func (t *MoveTracker) Sweep(now time.Time) {
+	for id, at := range t.movedAt {
+		if now.Sub(at) >= t.settings.Stay && t.moves[id] == nil {
+			delete(t.movedAt, id)
 		}
 	}
 }
--- a/balance/plan.go
+++ b/balance/plan.go
@@ -30,15 +30,15 @@
 // Task is a running task that may be moved.
 type Task struct {
 	TaskID
-	Team string              // the team that owns the task's job
-	Each scheduler.Resources // resources of the task
-	Cost float64             // time that the task loses by a move, in seconds
+	Team      string              // the team that owns the task's job
+	Resources scheduler.Resources // resources of the task
+	Cost      float64             // time that the task loses by a move, in seconds
 
 	OnlyImage string // image that a destination must already have; empty if it may be fetched
 }
 
-// Picture is a snapshot of the fleet.
-type Picture struct {
+// FleetSnapshot is a snapshot of the fleet.
+type FleetSnapshot struct {
 	Machines []Machine // all machines that take part in load spreading
 	// Fits reports whether a machine has room for a task and meets all its constraints.
 	Fits func(t *Task, m *Machine) bool
@@ -61,7 +61,7 @@
 
 // planner is the state of a plan while it is made.
 type planner struct {
-	Picture
+	FleetSnapshot
 	settings               Settings
 	allowance              *Allowance
 	hotShare               float64 // share above which a machine is hot
@@ -74,7 +74,7 @@
 // Plan returns the moves to make now, the best first. Each is the move off a hot machine that lowers the
 // imbalance most for its cost. The imbalance is the sum over all machines of size times the square of the
 // share. Plan stays within the allowance and changes the machines of p as if the moves were made.
-func Plan(p Picture, s Settings, allowance *Allowance) []Move {
+func Plan(p FleetSnapshot, s Settings, allowance *Allowance) []Move {
 	if allowance.Moves <= 0 {
 		return nil
 	}
@@ -90,8 +90,8 @@
 }
 
 // newPlanner returns a planner without moves.
-func newPlanner(p Picture, s Settings, allowance *Allowance) *planner {
-	plan := &planner{Picture: p, settings: s, allowance: allowance, hotShare: s.HotShare(Distribute(p.Machines).Mean),
+func newPlanner(p FleetSnapshot, s Settings, allowance *Allowance) *planner {
+	plan := &planner{FleetSnapshot: p, settings: s, allowance: allowance, hotShare: s.HotShare(NewDistribution(p.Machines).Mean),
 		byImage: map[string][]*Machine{}, jobsWithoutDestination: map[string]bool{}}
 	for i := range p.Machines {
 		m := &p.Machines[i]
@@ -104,7 +104,7 @@
 
 // WithoutDestination counts, by hot machine, the movable tasks for which no other machine would be an
 // improvement now. It explains why a task that tolerates a move stays.
-func WithoutDestination(p Picture, s Settings) map[string]int {
+func WithoutDestination(p FleetSnapshot, s Settings) map[string]int {
 	plan := newPlanner(p, s, nil)
 	count := map[string]int{}
 	for i := range p.Machines {
@@ -219,15 +219,15 @@
 // out hot destinations altogether would pin tasks whose image only hot machines have; the destination can
 // move other tasks away instead.
 func (p *planner) isWorthwhile(from, to *Machine, t *Task) bool {
-	sourceShare := Share(from.Used.Add(t.Each, -1), from.Cap)
-	destinationShare := Share(to.Used.Add(t.Each, 1), to.Cap)
+	sourceShare := Share(from.Used.Add(t.Resources, -1), from.Cap)
+	destinationShare := Share(to.Used.Add(t.Resources, 1), to.Cap)
 	return destinationShare <= max(p.hotShare, sourceShare) && from.share-max(sourceShare, destinationShare) >= p.settings.LeastGain
 }
 
 // gain returns by how much a move lowers the imbalance.
 func gain(from, to *Machine, t *Task) float64 {
 	square := func(m *Machine, change float64) float64 {
-		share := Share(m.Used.Add(t.Each, change), m.Cap)
+		share := Share(m.Used.Add(t.Resources, change), m.Cap)
 		return m.Size * share * share
 	}
 	return square(from, 0) + square(to, 0) - square(from, -1) - square(to, 1)
@@ -239,8 +239,8 @@
 	p.moves = append(p.moves, Move{Task: t, From: from.ID, To: c.to.ID, Gain: c.gain})
 	p.allowance.record(&t)
 	from.Tasks = slices.DeleteFunc(slices.Clone(from.Tasks), func(o Task) bool { return o.TaskID == t.TaskID })
-	p.setUsed(from, from.Used.Add(t.Each, -1))
-	p.setUsed(c.to, c.to.Used.Add(t.Each, 1))
+	p.setUsed(from, from.Used.Add(t.Resources, -1))
+	p.setUsed(c.to, c.to.Used.Add(t.Resources, 1))
 }
 
 // setUsed sets the used resources of a machine and keeps every list sorted.
--- a/balance/plan_test.go
+++ b/balance/plan_test.go
@@ -11,8 +11,8 @@
 
 // randomFleet draws machines of 16 cores with tasks of the given sizes, up to the given load. Every task may
 // run on every machine where it fits.
-func randomFleet(rng *rand.Rand, machines int, load float64, sizes ...float64) Picture {
-	p := Picture{Fits: fitsByRoom, HasImage: func(*Machine, string) bool { return true }}
+func randomFleet(rng *rand.Rand, machines int, load float64, sizes ...float64) FleetSnapshot {
+	p := FleetSnapshot{Fits: fitsByRoom, HasImage: func(*Machine, string) bool { return true }}
 	capacity := scheduler.Resources{CPUs: 16, MemoryGB: 64}
 	for i := range machines {
 		m := Machine{ID: fmt.Sprintf("m%04d", i), Size: 16, Cap: capacity}
@@ -22,14 +22,14 @@
 				break
 			}
 			m.Used = m.Used.Add(each, 1)
-			m.Tasks = append(m.Tasks, Task{TaskID: TaskID{fmt.Sprintf("job-%d-%d", i, task), 0}, Team: fmt.Sprint("team", task%2), Each: each})
+			m.Tasks = append(m.Tasks, Task{TaskID: TaskID{fmt.Sprintf("job-%d-%d", i, task), 0}, Team: fmt.Sprint("team", task%2), Resources: each})
 		}
 		p.Machines = append(p.Machines, m)
 	}
 	return p
 }
 
-func fitsByRoom(t *Task, m *Machine) bool { return m.Cap.Add(m.Used, -1).Fits(t.Each) > 0 }
+func fitsByRoom(t *Task, m *Machine) bool { return m.Cap.Add(m.Used, -1).Fits(t.Resources) > 0 }
 
 func allowanceOf(moves int) *Allowance {
 	return &Allowance{Moves: moves, MaxPerTeam: moves, Teams: map[string]int{}, Jobs: map[string]bool{}}
@@ -64,7 +64,7 @@
 					continue
 				}
 				fromUsed, toUsed := from.Used, to.Used
-				from.Used, to.Used, from.Tasks[k].Job = from.Used.Add(t.Each, -1), to.Used.Add(t.Each, 1), ""
+				from.Used, to.Used, from.Tasks[k].Job = from.Used.Add(t.Resources, -1), to.Used.Add(t.Resources, 1), ""
 				least = math.Min(least, leastImbalance(p, moves-1))
 				from.Used, to.Used, from.Tasks[k].Job = fromUsed, toUsed, t.Job
 				from.share = from.Share()
@@ -83,7 +83,7 @@
 		p := randomFleet(rng, 4, 0.6, 2, 4, 6)
 		s := DefaultSettings()
 		before := imbalance(p.Machines)
-		all := planner{Picture: p, settings: s, hotShare: s.HotShare(Distribute(p.Machines).Mean)}
+		all := planner{FleetSnapshot: p, settings: s, hotShare: s.HotShare(NewDistribution(p.Machines).Mean)}
 		least := leastImbalance(&all, 3)
 		if before-least < 1e-9 {
 			continue
@@ -144,7 +144,7 @@
 }
 
 // addToDestination lists a moved task at its destination.
-func addToDestination(p *Picture, m Move) {
+func addToDestination(p *FleetSnapshot, m Move) {
 	for i := range p.Machines {
 		if p.Machines[i].ID == m.To {
 			p.Machines[i].Tasks = append(p.Machines[i].Tasks, m.Task)
@@ -162,26 +162,26 @@
 			m := Machine{ID: fmt.Sprint(i), Size: 16, Cap: capacity}
 			for n := 0; i < 2 && float64(n)*each < 16; n++ {
 				m.Used = m.Used.Add(scheduler.Resources{CPUs: each}, 1)
-				m.Tasks = append(m.Tasks, Task{TaskID: TaskID{fmt.Sprint(i, n), 0}, Each: scheduler.Resources{CPUs: each}, OnlyImage: image})
+				m.Tasks = append(m.Tasks, Task{TaskID: TaskID{fmt.Sprint(i, n), 0}, Resources: scheduler.Resources{CPUs: each}, OnlyImage: image})
 			}
 			machines = append(machines, m)
 		}
 		return machines
 	}
 	onHot := func(m *Machine, _ string) bool { return m.ID < "2" }
-	for name, picture := range map[string]Picture{
+	for name, fleet := range map[string]FleetSnapshot{
 		"tasks that fill their machine": {Machines: full(16, ""), Fits: fitsByRoom},
 		"image only on hot machines":    {Machines: full(4, "image"), Fits: fitsByRoom, HasImage: onHot},
 		"no other machine fits":         {Machines: full(4, ""), Fits: func(*Task, *Machine) bool { return false }},
 	} {
-		if moves := Plan(picture, DefaultSettings(), allowanceOf(9)); len(moves) > 0 {
+		if moves := Plan(fleet, DefaultSettings(), allowanceOf(9)); len(moves) > 0 {
 			t.Errorf("%s: planned %+v", name, moves)
 		}
-		if stay := WithoutDestination(picture, DefaultSettings()); stay["0"] != len(picture.Machines[0].Tasks) || len(stay) != 2 {
+		if stay := WithoutDestination(fleet, DefaultSettings()); stay["0"] != len(fleet.Machines[0].Tasks) || len(stay) != 2 {
 			t.Errorf("%s: tasks without a destination by machine: %v", name, stay)
 		}
 	}
-	mendable := Picture{Machines: full(4, ""), Fits: fitsByRoom}
+	mendable := FleetSnapshot{Machines: full(4, ""), Fits: fitsByRoom}
 	if stay := WithoutDestination(mendable, DefaultSettings()); len(stay) > 0 {
 		t.Errorf("tasks that can move are counted as without a destination: %v", stay)
 	}
@@ -194,10 +194,10 @@
 func TestOneTaskOfAJobAtATime(t *testing.T) {
 	m := Machine{ID: "a", Size: 16, Cap: scheduler.Resources{CPUs: 16}, Used: scheduler.Resources{CPUs: 16}}
 	for i := range 8 {
-		m.Tasks = append(m.Tasks, Task{TaskID: TaskID{"job", i}, Each: scheduler.Resources{CPUs: 2}})
+		m.Tasks = append(m.Tasks, Task{TaskID: TaskID{"job", i}, Resources: scheduler.Resources{CPUs: 2}})
 	}
 	empty := Machine{ID: "b", Size: 16, Cap: m.Cap}
-	if moves := Plan(Picture{Machines: []Machine{m, empty}, Fits: fitsByRoom}, DefaultSettings(), allowanceOf(9)); len(moves) != 1 {
+	if moves := Plan(FleetSnapshot{Machines: []Machine{m, empty}, Fits: fitsByRoom}, DefaultSettings(), allowanceOf(9)); len(moves) != 1 {
 		t.Errorf("planned %+v, want one move", moves)
 	}
 }
@@ -206,14 +206,14 @@
 // would only make the other machine the hot one.
 func TestNoMoveThatOnlyShiftsTheHotSpot(t *testing.T) {
 	capacity := scheduler.Resources{CPUs: 16}
-	large := Task{TaskID: TaskID{"job", 0}, Each: scheduler.Resources{CPUs: 8}}
+	large := Task{TaskID: TaskID{"job", 0}, Resources: scheduler.Resources{CPUs: 8}}
 	from := Machine{ID: "a", Size: 16, Cap: capacity, Used: capacity, Tasks: []Task{large}}
 	to := Machine{ID: "b", Size: 16, Cap: capacity, Used: scheduler.Resources{CPUs: 6}}
-	if moves := Plan(Picture{Machines: []Machine{from, to}, Fits: fitsByRoom}, DefaultSettings(), allowanceOf(9)); len(moves) > 0 {
+	if moves := Plan(FleetSnapshot{Machines: []Machine{from, to}, Fits: fitsByRoom}, DefaultSettings(), allowanceOf(9)); len(moves) > 0 {
 		t.Errorf("planned %+v, want no move", moves)
 	}
 	to.Used.CPUs = 2
-	if moves := Plan(Picture{Machines: []Machine{from, to}, Fits: fitsByRoom}, DefaultSettings(), allowanceOf(9)); len(moves) != 1 {
+	if moves := Plan(FleetSnapshot{Machines: []Machine{from, to}, Fits: fitsByRoom}, DefaultSettings(), allowanceOf(9)); len(moves) != 1 {
 		t.Errorf("planned %+v where the destination stays below the hot share, want one move", moves)
 	}
 }
--- a/balance/share.go
+++ b/balance/share.go
@@ -28,8 +28,8 @@
 	Maximum   float64 `json:"maximum"`   // the largest share over the mean
 }
 
-// Distribute returns the distribution of the machines' shares.
-func Distribute(machines []Machine) Distribution {
+// NewDistribution returns the distribution of the machines' shares.
+func NewDistribution(machines []Machine) Distribution {
 	size, used, squares, largest := 0.0, 0.0, 0.0, 0.0
 	for i := range machines {
 		m := &machines[i]
--- a/balance/status.go
+++ b/balance/status.go
@@ -11,7 +11,7 @@
 
 	Distribution Distribution    `json:"distribution"`       // of the shares of all machines that take part in load spreading
 	HotShare     float64         `json:"hot_share"`          // the share above which a machine is hot
-	Block        Block           `json:"block,omitempty"`    // why no moves are started at all
+	Block        BlockReason     `json:"block,omitempty"`    // why no moves are started at all
 	Machines     []MachineStatus `json:"machines,omitempty"` // the hottest first, up to a limit; Others counts the rest
 	Others       int             `json:"others"`             // machines that are not listed: neither hot nor among the first
 	Teams        []TeamStatus    `json:"teams,omitempty"`    // how each team's load is distributed over the machines
@@ -39,13 +39,13 @@
 
 // MoveStatus is a move under way.
 type MoveStatus struct {
-	Job   string  `json:"job"`   // the job's id
-	Task  int     `json:"task"`  // the task's index in its job
-	From  string  `json:"from"`  // the machine that the task leaves
-	To    string  `json:"to"`    // the machine that the task moves to
-	Phase Phase   `json:"phase"` // progress of the move
-	Held  bool    `json:"held"`  // room is reserved at the destination
-	ForS  float64 `json:"for_s"` // seconds since the move started
+	Job      string  `json:"job"`   // the job's id
+	Task     int     `json:"task"`  // the task's index in its job
+	From     string  `json:"from"`  // the machine that the task leaves
+	To       string  `json:"to"`    // the machine that the task moves to
+	Phase    Phase   `json:"phase"` // progress of the move
+	Reserved bool    `json:"held"`  // room is reserved at the destination
+	ForS     float64 `json:"for_s"` // seconds since the move started
 }
 
 // Leads reports whether the controller that answered is the leader.
--- a/cells/holder.go
+++ b/cells/holder.go
@@ -24,11 +24,11 @@
 	Result Result      // result of the epoch, once it has ended
 }
 
-// Facts are the conditions at a cell when an offer arrives.
-type Facts struct {
+// OfferContext are the conditions at a cell when an offer arrives.
+type OfferContext struct {
 	KnowsJob  bool  // the cell has a job with that id, its own or another cell's
 	KnowsTeam bool  // the team that owns the job is one of this cell's teams
-	Willing   bool  // the cell has room within the share that it lends
+	HasRoom   bool  // the cell has room within the share that it lends
 	Floor     Epoch // the home's floor, as recorded at this cell
 }
 
@@ -37,14 +37,14 @@
 
 // Receive returns the record after a message from the home, and whether it changed. A changed record must
 // be written before the message is answered or any task is placed.
-func (r HolderRecord) Receive(m Message, facts Facts) (HolderRecord, bool) {
+func (r HolderRecord) Receive(m Message, offer OfferContext) (HolderRecord, bool) {
 	switch {
-	case m.Epoch <= facts.Floor && r.State == HolderNone:
+	case m.Epoch <= offer.Floor && r.State == HolderNone:
 		// A delayed copy of a message, or a grant whose write was applied late. It is refused without a
 		// record, since no epoch at or below the floor is ever accepted.
 		return HolderRecord{Home: m.From, Job: m.Job, Team: m.Team, Epoch: m.Epoch, State: HolderEnded, Result: ResultRefused}, false
 	case m.Epoch > r.Epoch && (r.State == HolderNone || r.State == HolderEnded):
-		return r.startEpoch(m, facts), true
+		return r.startEpoch(m, offer), true
 	case m.Epoch == r.Epoch && m.Kind == KindRecall:
 		return r.recall(m)
 	}
@@ -56,12 +56,12 @@
 
 // startEpoch returns the record of a new epoch: accepted, refused, or, if the recall arrived before the
 // offer, ended.
-func (r HolderRecord) startEpoch(m Message, facts Facts) HolderRecord {
+func (r HolderRecord) startEpoch(m Message, offer OfferContext) HolderRecord {
 	next := HolderRecord{Home: m.From, Job: m.Job, Team: m.Team, Epoch: m.Epoch, State: HolderEnded, Result: ResultRefused}
 	switch {
 	case m.Kind == KindRecall && m.Cancel:
 		next.Cancel, next.Result = true, ResultCancelled
-	case m.Kind == KindOffer && !facts.KnowsJob && facts.KnowsTeam && facts.Willing:
+	case m.Kind == KindOffer && !offer.KnowsJob && offer.KnowsTeam && offer.HasRoom:
 		next.State, next.Result = HolderHolding, ResultNone
 	}
 	return next
@@ -79,8 +79,8 @@
 	return r, r != before
 }
 
-// GiveBack returns the record after the holder's own decision to return the job, and whether it changed.
-func (r HolderRecord) GiveBack() (HolderRecord, bool) {
+// ReturnJob returns the record after the holder's own decision to return the job, and whether it changed.
+func (r HolderRecord) ReturnJob() (HolderRecord, bool) {
 	if r.State != HolderHolding {
 		return r, false
 	}
@@ -110,8 +110,8 @@
 	return Message{Kind: KindStatus, From: holder, To: r.Home, Job: r.Job, Epoch: r.Epoch, State: r.State, Result: r.Result}
 }
 
-// Droppable reports whether the record may be removed, given the home's floor as recorded at the holder.
+// Removable reports whether the record may be removed, given the home's floor as recorded at the holder.
 // At or below the floor, no message about the record's epoch can have any effect.
-func (r HolderRecord) Droppable(floor Epoch) bool {
+func (r HolderRecord) Removable(floor Epoch) bool {
 	return r.State == HolderEnded && r.Epoch <= floor
 }
--- a/cells/home.go
+++ b/cells/home.go
@@ -11,7 +11,7 @@
 	HomeOffered                    // the holder may run the job if it accepts the offer
 	HomeHeld                       // the holder may run the job
 	HomeRecalling                  // the holder may run the job until it has recorded the end of the grant
-	HomeOver                       // no cell may run the job any more
+	HomeEnded                      // no cell may run the job any more
 )
 
 // HomeRecord is a home's record of a job that has been granted at least once. Its writes are conditional
@@ -73,7 +73,7 @@
 // holder has recorded the end of the grant.
 func (r HomeRecord) Recall() (HomeRecord, error) {
 	switch r.State {
-	case HomeOver:
+	case HomeEnded:
 		return r, ErrJobEnded
 	case HomeOffered, HomeHeld:
 		r.State = HomeRecalling
@@ -81,25 +81,25 @@
 	return r, nil
 }
 
-// AskCancel returns the record after a request to cancel the job. The job must not be reported as cancelled
+// RequestCancel returns the record after a request to cancel the job. The job must not be reported as cancelled
 // to the user before Cancelled returns true.
-func (r HomeRecord) AskCancel() (HomeRecord, error) {
+func (r HomeRecord) RequestCancel() (HomeRecord, error) {
 	r, err := r.Recall()
 	if err != nil {
 		return r, err
 	}
 	r.Cancel = true
 	if r.State == HomeLocal {
-		r.State, r.Result = HomeOver, ResultCancelled
+		r.State, r.Result = HomeEnded, ResultCancelled
 	}
 	return r, nil
 }
 
 // Cancelled reports whether the job may be reported to the user as cancelled.
-func (r HomeRecord) Cancelled() bool { return r.State == HomeOver && r.Result == ResultCancelled }
+func (r HomeRecord) Cancelled() bool { return r.State == HomeEnded && r.Result == ResultCancelled }
 
 // Done reports whether the job may be reported to the user as done.
-func (r HomeRecord) Done() bool { return r.State == HomeOver && r.Result == ResultDone }
+func (r HomeRecord) Done() bool { return r.State == HomeEnded && r.Result == ResultDone }
 
 // Apply returns the record after a message from the holder, and whether it changed. A message about another
 // epoch, or from another cell than the record's holder, is old and has no effect.
@@ -117,9 +117,9 @@
 	}
 	switch {
 	case m.Result == ResultDone:
-		r.State, r.Result = HomeOver, ResultDone
+		r.State, r.Result = HomeEnded, ResultDone
 	case r.Cancel:
-		r.State, r.Result = HomeOver, ResultCancelled
+		r.State, r.Result = HomeEnded, ResultCancelled
 	default:
 		r.State, r.Holder = HomeLocal, ""
 	}
--- a/cells/planner_test.go
+++ b/cells/planner_test.go
@@ -11,12 +11,12 @@
 
 // coresMoved returns the total size of the jobs that Plan moves. It fails the test if a cell gets more than it
 // has room for.
-func coresMoved(t *testing.T, waiting []Waiting, room map[Cell]float64) float64 {
+func coresMoved(t *testing.T, pending []PendingJob, room map[Cell]float64) float64 {
 	sizes, used, all := map[string]float64{}, map[Cell]float64{}, 0.0
-	for _, w := range waiting {
+	for _, w := range pending {
 		sizes[w.Job] = w.Size
 	}
-	for _, m := range Plan(waiting, room) {
+	for _, m := range Plan(pending, room) {
 		size, known := sizes[m.Job]
 		if !known {
 			t.Fatalf("%s is moved twice", m.Job)
@@ -36,12 +36,12 @@
 // fractionalBound returns the largest total size that any plan could move if jobs were divisible. It solves a
 // linear program over the share x[i][j] of job i that goes to cell j, with a slack variable for each job and
 // each cell.
-func fractionalBound(t *testing.T, waiting []Waiting, rooms []float64) float64 {
-	jobs, cells := len(waiting), len(rooms)
+func fractionalBound(t *testing.T, pending []PendingJob, rooms []float64) float64 {
+	jobs, cells := len(pending), len(rooms)
 	variables := jobs*cells + jobs + cells
 	a := mat.NewDense(jobs+cells, variables, nil)
 	b, c := make([]float64, jobs+cells), make([]float64, variables)
-	for i, job := range waiting {
+	for i, job := range pending {
 		for j := range rooms {
 			a.Set(i, i*cells+j, 1)
 			a.Set(jobs+j, i*cells+j, job.Size)
@@ -68,16 +68,16 @@
 	greedy, optimal, worst := 0.0, 0.0, 1.0
 	const draws = 300
 	for range draws {
-		var waiting []Waiting
+		var pending []PendingJob
 		for i := range 4 + rng.IntN(16) {
-			waiting = append(waiting, Waiting{fmt.Sprint(i), float64(1+rng.IntN(8)) * float64(1+rng.IntN(50))})
+			pending = append(pending, PendingJob{fmt.Sprint(i), float64(1+rng.IntN(8)) * float64(1+rng.IntN(50))})
 		}
 		room, rooms := map[Cell]float64{}, []float64{}
 		for j := range 1 + rng.IntN(4) {
 			cores := float64(rng.IntN(1200))
 			room[Cell('b'+rune(j))], rooms = cores, append(rooms, cores)
 		}
-		got, most := coresMoved(t, waiting, room), fractionalBound(t, waiting, rooms)
+		got, most := coresMoved(t, pending, room), fractionalBound(t, pending, rooms)
 		greedy, optimal = greedy+got, optimal+most
 		if most > 0 {
 			worst = min(worst, got/most)
--- a/cells/transfer_test.go
+++ b/cells/transfer_test.go
@@ -172,7 +172,7 @@
 	}
 	if r.MayRun() && m.chance(0.01) {
 		m.recordRun(r.Job)
-		r.State, r.Result, r.version = HomeOver, ResultDone, r.version+1 // as for a job that was never granted
+		r.State, r.Result, r.version = HomeEnded, ResultDone, r.version+1 // as for a job that was never granted
 		m.checkAnswer(r.Job, ResultDone)
 	}
 }
@@ -184,7 +184,7 @@
 	var err error
 	switch {
 	case m.chance(0.02):
-		next, err = r.AskCancel()
+		next, err = r.RequestCancel()
 	case m.chance(0.3):
 		next, err = r.Recall()
 	default:
@@ -225,12 +225,12 @@
 	}
 	h.floor = max(h.floor, msg.Floor)
 	for job, r := range h.records {
-		if r.Droppable(h.floor) {
+		if r.Removable(h.floor) {
 			m.events["ended record is removed"]++
 			delete(h.records, job)
 		}
 	}
-	next, changed := h.records[msg.Job].Receive(msg, Facts{KnowsJob: h.ownJob == msg.Job, KnowsTeam: true, Willing: m.chance(0.8), Floor: h.floor})
+	next, changed := h.records[msg.Job].Receive(msg, OfferContext{KnowsJob: h.ownJob == msg.Job, KnowsTeam: true, HasRoom: m.chance(0.8), Floor: h.floor})
 	if changed && m.chance(0.1) {
 		return // the process stops before the write
 	}
@@ -262,7 +262,7 @@
 		h.running[id] = false
 		next, changed = r.Finish(true)
 	case r.State == HolderHolding && m.chance(0.05):
-		next, changed = r.GiveBack()
+		next, changed = r.ReturnJob()
 	case r.State == HolderHolding:
 		h.running[id] = true
 	}
@@ -317,7 +317,7 @@
 			m.step(true)
 		}
 		for id, r := range m.jobs {
-			if r.State != HomeOver {
+			if r.State != HomeEnded {
 				t.Fatalf("seed %d: %s has not ended: %+v, %+v", seed, id, r.HomeRecord, m.holders)
 			}
 		}
@@ -338,7 +338,7 @@
 // allEnded reports whether every job has ended.
 func (m *model) allEnded() bool {
 	for _, r := range m.jobs {
-		if r.State != HomeOver {
+		if r.State != HomeEnded {
 			return false
 		}
 	}
@@ -358,11 +358,11 @@
 	if _, err := back.Grant("c", 3); err != ErrOldEpoch || !back.MayRun() {
 		t.Errorf("grant with a used epoch: %v, %+v", err, back)
 	}
-	over, _ := back.AskCancel()
+	over, _ := back.RequestCancel()
 	if _, err := over.Recall(); err != ErrJobEnded || !over.Cancelled() {
 		t.Errorf("recall of a cancelled job: %v", err)
 	}
-	if _, changed := (HolderRecord{State: HolderEnded}).GiveBack(); changed {
+	if _, changed := (HolderRecord{State: HolderEnded}).ReturnJob(); changed {
 		t.Error("a grant that has ended is returned")
 	}
 }
--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -26,7 +26,7 @@
 	cloudRateShare         = 0.9              // share of the cloud's rate limit that calls use: above the limit the cloud answers 429
 )
 
-// autoscaler is the part of the leader that scales the fleet out and in. It keeps the ledger of instance requests,
+// autoscaler is the part of the leader that scales the fleet out and in. It keeps the record of instance requests,
 // requests instances for pending work and for headroom, and releases idle machines.
 type autoscaler struct {
 	*leader
@@ -107,7 +107,7 @@
 	machines := s.view(true)
 	demands := append(s.backlog(), s.headroom()...)
 	s.zones.closeZones(demands)
-	wants := scheduler.Fleet(machines, demands, s.offers(), maxRequestsPerRound)
+	wants := scheduler.PlanRentals(machines, demands, s.offers(), maxRequestsPerRound)
 	for _, w := range wants {
 		for left := s.zones.rentable(w.Offer.Zone, w.Count); left > 0; left -= maxInstancesPerRequest {
 			s.requestInstances(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, maxInstancesPerRequest)})
@@ -119,18 +119,18 @@
 // requested now would be up, and free more room than newly arriving batch work will take in that time.
 func (s *autoscaler) backlog() []*scheduler.Demand {
 	used := s.teamUse()
-	ds := append(append(s.spreading.withoutHeld(s.demands()), s.hintedDemands()...), s.soonReady()...)
+	ds := append(append(s.spreading.withoutReserved(s.demands()), s.hintedDemands()...), s.soonReady()...)
 	scheduler.Order(ds)
 	freed := s.expectedFreedSize() - s.expectedArrivalSize()
 	for _, d := range ds {
-		if size := d.Measure.Of(d.Each); d.Rank > 0 && !d.Service && size > 0 && freed > 0 {
+		if size := d.Measure.Of(d.TaskResources); d.Rank > 0 && !d.Service && size > 0 && freed > 0 {
 			n := min(int(freed/size), len(d.Tasks))
 			freed -= float64(n) * size
 			d.Tasks = d.Tasks[n:]
 		}
 		d.RoomInTeam = s.roomInTeam(d, used)
 		d.Gang = false // request machines only for the missing tasks
-		used[d.Team] = used[d.Team].Add(d.Each, float64(min(len(d.Tasks), d.RoomInTeam)))
+		used[d.Team] = used[d.Team].Add(d.TaskResources, float64(min(len(d.Tasks), d.RoomInTeam)))
 	}
 	return append(ds, s.failures.replacements()...)
 }
--- a/controller/broken_jobs.go
+++ b/controller/broken_jobs.go
@@ -20,7 +20,7 @@
 		ran = l.c.now.Sub(a.since)
 	}
 	if j.failures.Failed(m.id, ran) {
-		attempts, lost := j.failures.Lost()
+		attempts, lost := j.failures.FailureCost()
 		l.c.log(slog.LevelInfo, "job fails on every machine", "job", j.id, "machines", len(j.failures.Machines()),
 			"failed_attempts", attempts, "machine_time_lost", lost)
 	}
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -60,9 +60,9 @@
 		}
 		record = fence.record
 	}
-	next, changed := record.Receive(m.Message, cells.Facts{
+	next, changed := record.Receive(m.Message, cells.OfferContext{
 		KnowsJob: h != nil && !held || s.finished(m.Job), KnowsTeam: m.Spec != nil && s.knowsTeam(m.Spec),
-		Willing: m.Spec != nil && s.canAccept(m.Spec), Floor: s.floor(m.From).epoch,
+		HasRoom: m.Spec != nil && s.canAccept(m.Spec), Floor: s.floor(m.From).epoch,
 	})
 	if !changed {
 		return next.Status(s.self()), next.State != cells.HolderNone
@@ -297,14 +297,14 @@
 			continue
 		}
 		recall := cells.Message{Kind: cells.KindRecall, From: home, To: s.self(), Job: id, Epoch: h.Origin.Epoch}
-		if next, changed := holderRecord(id, h).Receive(recall, cells.Facts{}); changed {
+		if next, changed := holderRecord(id, h).Receive(recall, cells.OfferContext{}); changed {
 			s.rewriteHeader(id, withHolder(*h, next), nil, nil)
 		}
 	}
 	var droppableFences []string
 	for _, key := range slices.Sorted(maps.Keys(s.fences)) {
 		f := s.fences[key]
-		if !f.versionUnknown && f.record.Home == home && f.record.Droppable(epoch) && len(droppableFences) < s.c.cfg.Facts.State.Tightest().TxnOps-1 {
+		if !f.versionUnknown && f.record.Home == home && f.record.Removable(epoch) && len(droppableFences) < s.c.cfg.Facts.State.Tightest().TxnOps-1 {
 			droppableFences = append(droppableFences, key)
 		}
 	}
@@ -410,7 +410,7 @@
 		if s.c.now.Sub(s.idleSince[j.id]) < s.c.op.Cell.ReturnAfter {
 			continue
 		}
-		if next, changed := holderRecord(j.id, h).GiveBack(); changed {
+		if next, changed := holderRecord(j.id, h).ReturnJob(); changed {
 			s.c.log(slog.LevelInfo, "giving back", "job", j.id, "home", h.Origin.Home, "epoch", h.Origin.Epoch)
 			s.rewriteHeader(j.id, withHolder(*h, next), nil, nil)
 		}
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -41,7 +41,7 @@
 }
 
 // spillCandidates lists the jobs that may be granted to another cell now, the longest waiting first.
-func (s *cellSide) spillCandidates() []cells.Waiting {
+func (s *cellSide) spillCandidates() []cells.PendingJob {
 	var jobs []*job
 	teamUsage := s.teamUse()
 	for _, j := range s.order {
@@ -53,9 +53,9 @@
 		}
 	}
 	slices.SortStableFunc(jobs, func(a, b *job) int { return a.ready.Compare(b.ready) })
-	waiting := make([]cells.Waiting, 0, len(jobs))
+	waiting := make([]cells.PendingJob, 0, len(jobs))
 	for _, j := range jobs {
-		waiting = append(waiting, cells.Waiting{Job: j.id, Size: j.sizeLeft(s.c.measure)})
+		waiting = append(waiting, cells.PendingJob{Job: j.id, Size: j.sizeLeft(s.c.measure)})
 	}
 	return waiting
 }
@@ -126,7 +126,7 @@
 		c.retryLater(r.Req, "another cell has the job")
 		return
 	}
-	next, err := homeRecord(r.Job, &h).AskCancel()
+	next, err := homeRecord(r.Job, &h).RequestCancel()
 	if err != nil || !c.writes.AllowN(c.now, 1) {
 		c.retryLater(r.Req, "too many changes")
 		return
--- a/controller/cell_records.go
+++ b/controller/cell_records.go
@@ -68,7 +68,7 @@
 	switch r.State {
 	case cells.HomeOffered, cells.HomeHeld, cells.HomeRecalling:
 		h.Grant = &grantRecord{Holder: r.Holder, Epoch: r.Epoch, Recalled: r.State == cells.HomeRecalling, Cancel: r.Cancel}
-	case cells.HomeOver:
+	case cells.HomeEnded:
 		h.Cancelled = h.Cancelled || r.Cancelled()
 	}
 	return h
--- a/controller/chains_test.go
+++ b/controller/chains_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("rank %d, due in %v, blocked %v", first.terms.Rank, first.due, l.blocked(second))
 	}
 	first.spec.Spot = true
-	if ds := l.demands(); len(ds) != 2 || ds[1].Job != "req-000010" || ds[1].Rank != 1 || !ds[1].KeepOffSpot || ds[0].KeepOffSpot {
+	if ds := l.demands(); len(ds) != 2 || ds[1].Job != "req-000010" || ds[1].Rank != 1 || !ds[1].PreferNonSpot || ds[0].PreferNonSpot {
 		t.Fatalf("demands %+v", ds)
 	}
 	c.now = c.now.Add(30 * time.Second)
--- a/controller/demands.go
+++ b/controller/demands.go
@@ -38,9 +38,9 @@
 		}
 		d.WaitForBooting = d.Service && !j.begun && l.c.now.Sub(j.ready).Seconds() > l.startObjectiveS(&j.spec)
 		d.WithinGuarantee, d.AgeS, d.Avoid = !j.terms.Borrowed, l.c.now.Sub(j.ready).Seconds(), j.avoid
-		d.Late, d.WorkS = j.missedObjectives(l.c.cfg.Facts.Objectives, l.c.now), j.workLeft(l.c.measure)
-		d.KeepOffSpot = d.Spot && j.delaysChain(l.c.chains)
-		d.Begun, d.Aged = j.begun, j.hasAged(l.c.now) && j.origin == nil
+		d.MissedObjectives, d.WorkS = j.missedObjectives(l.c.cfg.Facts.Objectives, l.c.now), j.workLeft(l.c.measure)
+		d.PreferNonSpot = d.Spot && j.delaysChain(l.c.chains)
+		d.Started, d.Aged = j.begun, j.hasAged(l.c.now) && j.origin == nil
 		for _, a := range j.attempts {
 			d.InZone[a.machine.zone]++
 		}
--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -113,7 +113,7 @@
 	for _, m := range machines {
 		for _, task := range m.Tasks {
 			if task.Rank > 0 {
-				m.Free = m.Free.Add(task.Each, 1)
+				m.Free = m.Free.Add(task.TaskResources, 1)
 			}
 		}
 	}
--- a/controller/job.go
+++ b/controller/job.go
@@ -44,7 +44,7 @@
 	write          *write
 	holdUntil      time.Time
 	ended          bool // the final record is written
-	terms          *scheduler.Terms
+	terms          *scheduler.PreemptionTerms
 	begun          bool          // a task has run at some time
 	disrupted      bool          // lost a reported attempt to a failure or a preemption; has precedence in placement
 	grant          *grantRecord  // the job is granted to another cell and must not run in this one
@@ -69,7 +69,7 @@
 // demandOf returns a demand with the fields that follow from the job's specification.
 func (c *Core) demandOf(j *wire.Job) *scheduler.Demand {
 	return &scheduler.Demand{
-		Job: j.ID, Class: j.Class, Team: j.Team, Total: j.Tasks, Each: jobEach(j), Measure: c.measure, Types: j.Types, Zone: j.Zone,
+		Job: j.ID, Class: j.Class, Team: j.Team, Total: j.Tasks, TaskResources: jobEach(j), Measure: c.measure, Types: j.Types, Zone: j.Zone,
 		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: j.Image,
 		Rank: slices.Index(wire.Priorities, j.Priority), Service: j.Kind == wire.KindService, Gang: j.Kind == wire.KindGang,
 		InZone: map[string]int{},
@@ -86,8 +86,8 @@
 		chunks:  make([]chunk, (h.Job.Tasks+per-1)/per),
 		retryAt: map[int]time.Time{}, fails: map[int]int{}, avoid: map[string]bool{},
 	}
-	j.terms = &scheduler.Terms{Job: id, Team: h.Job.Team, Rank: slices.Index(wire.Priorities, h.Job.Priority),
-		Each: jobEach(&h.Job), CheckpointS: h.Job.CheckpointS}
+	j.terms = &scheduler.PreemptionTerms{Job: id, Team: h.Job.Team, Rank: slices.Index(wire.Priorities, h.Job.Priority),
+		TaskResources: jobEach(&h.Job), CheckpointS: h.Job.CheckpointS}
 	j.grant, j.origin = h.Grant, h.Origin
 	if j.origin != nil { // below all of this cell's own jobs
 		j.terms.Rank, j.terms.Borrowed = len(wire.Priorities)-1, true
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -78,7 +78,7 @@
 	m := l.machines[id]
 	if m == nil {
 		m = &machine{
-			id: id, part: scheduler.PartOf(id, l.c.members()), since: l.c.now, idle: l.c.now, answered: l.elected,
+			id: id, part: scheduler.ShardOf(id, l.c.members()), since: l.c.now, idle: l.c.now, answered: l.elected,
 			attempts: map[taskKey]*attempt{}, runToken: map[taskKey]uint64{}, endedAttempts: map[taskKey]time.Time{},
 			unknownAttempts: map[taskKey]bool{}, images: map[string]bool{}, faults: map[string]bool{},
 		}
--- a/controller/placement.go
+++ b/controller/placement.go
@@ -53,7 +53,7 @@
 			l.autoscaler.reserveForHintedServices(machines)
 			hintedReserved = true
 		}
-		l.spreading.placeHeld(machines, d, used)
+		l.spreading.placeReserved(machines, d, used)
 		d.RoomInTeam = l.roomInTeam(d, used)
 		key := demandKeyOf(d)
 		if d.RoomInTeam == 0 || unplaceable[key] {
@@ -68,10 +68,10 @@
 			placed += l.placeCached(machines, d, want-placed, excess)
 		}
 		placed += l.placeTasks(machines, d)
-		if placed < want && l.spreading.preemptHeld(machines, d, want-placed) {
+		if placed < want && l.spreading.preemptReserved(machines, d, want-placed) {
 			placed += l.placeTasks(machines, d)
 		}
-		used[d.Team] = used[d.Team].Add(d.Each, float64(placed))
+		used[d.Team] = used[d.Team].Add(d.TaskResources, float64(placed))
 		if placed < want {
 			// No machine has room for one more of these tasks, so demands with the same key need not be tried.
 			unplaceable[key] = len(d.Avoid) == 0 && !d.OneZone && !d.Spread
@@ -100,7 +100,7 @@
 func (l *leader) placeCached(machines []*scheduler.Machine, d *scheduler.Demand, want int, excess scheduler.Excess) int {
 	d.CachedOnly = true
 	placed := l.placeTasks(machines, d)
-	if placed < want && l.spreading.preemptHeld(machines, d, want-placed) {
+	if placed < want && l.spreading.preemptReserved(machines, d, want-placed) {
 		placed += l.placeTasks(machines, d)
 	}
 	freeing := 0
@@ -130,7 +130,7 @@
 	for _, t := range d.Types {
 		types += t + " "
 	}
-	return demandKey{d.Class, d.Team, d.Zone, types, d.Each, d.Spot, d.Rank, d.WithinGuarantee}
+	return demandKey{d.Class, d.Team, d.Zone, types, d.TaskResources, d.Spot, d.Rank, d.WithinGuarantee}
 }
 
 // assign creates the attempts of placed tasks. All tasks of a gang get the same attempt number: workers accept only
@@ -165,7 +165,7 @@
 	j.touch(p.Task, l.c.now)
 	j.urgent = true
 	l.c.log(slog.LevelDebug, "placed", "job", j.id, "task", p.Task, "attempt", a.number, "machine", m.id,
-		"cached", m.images[j.spec.Image], "part", p.Machine.Part)
+		"cached", m.images[j.spec.Image], "part", p.Machine.Shard)
 	return a
 }
 
@@ -195,7 +195,7 @@
 	switch {
 	case d.Rank > 0:
 		return l.guaranteeObjectiveS() / 2
-	case d.Begun:
+	case d.Started:
 		return 0
 	}
 	spec := &l.jobs[d.Job].spec
--- a/controller/placement_test.go
+++ b/controller/placement_test.go
@@ -75,7 +75,7 @@
 	if w := l.preemptionDelayS(d); w != 10 {
 		t.Errorf("waits %v s with an objective of 60 s and a fetch of 20 s, want 10 s", w)
 	}
-	if d.Begun = true; l.preemptionDelayS(d) > 0 {
+	if d.Started = true; l.preemptionDelayS(d) > 0 {
 		t.Error("a replica that ran before waits before it preempts")
 	}
 }
--- a/controller/quota.go
+++ b/controller/quota.go
@@ -72,7 +72,7 @@
 	for _, j := range l.order {
 		for _, a := range j.attempts {
 			if !a.stopping {
-				e.Use(j.terms)
+				e.Add(j.terms)
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 }
 
 func (l *leader) roomInTeam(d *scheduler.Demand, used map[string]scheduler.Resources) int {
-	return l.c.quotas[d.Team].limit.Add(used[d.Team], -1).Fits(d.Each)
+	return l.c.quotas[d.Team].limit.Add(used[d.Team], -1).Fits(d.TaskResources)
 }
 
 // fitsGuarantee reports whether a job fits into its team's guarantee together with the team's jobs that come before it,
--- a/controller/snapshots.go
+++ b/controller/snapshots.go
@@ -46,7 +46,7 @@
 // takeSnapshot returns the scheduler's view of one machine.
 func (l *leader) takeSnapshot(m *machine, t wire.MachineType) *scheduler.Machine {
 	s := &scheduler.Machine{
-		ID: m.id, Type: m.typ, Zone: m.zone, Spot: m.spot, Part: m.part,
+		ID: m.id, Type: m.typ, Zone: m.zone, Spot: m.spot, Shard: m.part,
 		Cap: capOf(t), Free: capOf(t), Images: m.images, Virtual: !m.up,
 	}
 	s.Fetching = l.spreading.fetching(m)
@@ -76,10 +76,10 @@
 
 // accountAttempt accounts for an attempt in a machine's snapshot.
 func (l *leader) accountAttempt(s *scheduler.Machine, a *attempt) {
-	each := a.job.terms.Each
+	each := a.job.terms.TaskResources
 	s.Free = s.Free.Add(each, -1)
 	if a.stopping {
-		s.Soon = s.Soon.Add(each, 1)
+		s.Releasing = s.Releasing.Add(each, 1)
 		return
 	}
 	if a.phase < attemptSeen {
@@ -89,5 +89,5 @@
 	if a.phase == attemptRunning {
 		since = a.since
 	}
-	s.Tasks = append(s.Tasks, scheduler.Victim{Terms: a.job.terms, Task: a.task, Since: since, PlacedByAge: a.placedByAge})
+	s.Tasks = append(s.Tasks, scheduler.Victim{PreemptionTerms: a.job.terms, Task: a.task, Since: since, PlacedByAge: a.placedByAge})
 }
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -12,17 +12,17 @@
 )
 
 // Load spreading: the leader's part of package balance. A move is an ordinary stop followed by an ordinary placement:
-// nothing here proves that an attempt has ended, and held room is only room that other tasks don't get.
+// nothing here proves that an attempt has ended, and reserved room is only room that other tasks don't get.
 
 // spreading is the leader's part of load spreading; nil unless operators have enabled it.
 type spreading struct {
 	*leader
-	ledger      *balance.Ledger
+	tracker     *balance.MoveTracker
 	record      movesRecordState
 	plannedAt   time.Time
 	sweptAt     time.Time
 	pausedUntil time.Time // no plan before then: the last one would have taken headroom
-	block       balance.Block
+	block       balance.BlockReason
 }
 
 // MoveChanged reports a step of a move.
@@ -36,7 +36,7 @@
 	if l.c.op.Spreading == nil {
 		return nil
 	}
-	return &spreading{leader: l, ledger: balance.NewLedger(l.c.op.Spreading.Settings, l.c.now)}
+	return &spreading{leader: l, tracker: balance.NewMoveTracker(l.c.op.Spreading.Settings, l.c.now)}
 }
 
 func (s *spreading) settings() *balance.Settings { return &s.c.op.Spreading.Settings }
@@ -55,29 +55,29 @@
 
 // observeMoves updates the moves in progress from what is known of their tasks.
 func (s *spreading) observeMoves() {
-	if s.ledger.Len() == 0 {
+	if s.tracker.Len() == 0 {
 		return
 	}
-	for _, e := range s.ledger.Entries() {
-		if change, changed := s.ledger.Observe(s.c.now, e.TaskID, s.taskState(e)); changed {
+	for _, e := range s.tracker.ActiveMoves() {
+		if change, changed := s.tracker.Observe(s.c.now, e.TaskID, s.taskState(e)); changed {
 			s.handleChange(change)
 		}
 	}
 }
 
 // taskState is what this leader knows of a task that is being moved.
-func (s *spreading) taskState(e balance.Entry) balance.Seen {
+func (s *spreading) taskState(e balance.ActiveMove) balance.Observation {
 	j := s.jobs[e.Job]
 	if j == nil {
-		return balance.Seen{Completed: true}
+		return balance.Observation{Completed: true}
 	}
 	to := s.machines[e.To]
-	seen := balance.Seen{
+	seen := balance.Observation{
 		Cancelled: j.cancelled, Completed: j.state.Status(e.Index) == reduction.Completed,
 		DestinationLost: to == nil || !s.usable(to),
 	}
 	if a := j.attempts[e.Index]; a != nil {
-		seen.InForce, seen.Attempt, seen.Machine, seen.Running = true, a.number, a.machine.id, a.phase >= attemptRunning
+		seen.Active, seen.Attempt, seen.Machine, seen.Running = true, a.number, a.machine.id, a.phase >= attemptRunning
 	}
 	return seen
 }
@@ -85,36 +85,36 @@
 // handleChange logs and emits a step of a move, and schedules a placement round.
 func (s *spreading) handleChange(change balance.Change) {
 	if to := s.machines[change.To]; to != nil {
-		to.snapshot = nil // the room held there may have changed
+		to.snapshot = nil // the room reserved there may have changed
 	}
 	level := slog.LevelDebug
-	if change.Outcome != "" || change.Loss != "" && change.Loss != balance.LossOver {
+	if change.Outcome != "" || change.ReleaseReason != "" && change.ReleaseReason != balance.ReleasedMoveEnded {
 		level = slog.LevelInfo
 	}
 	s.c.log(level, "move", "job", change.Job, "task", change.Index, "from", change.From, "to", change.To,
-		"phase", change.Phase, "outcome", string(change.Outcome), "room_given_up", string(change.Loss), "after", s.c.now.Sub(change.Began))
+		"phase", change.Phase, "outcome", string(change.Outcome), "room_given_up", string(change.ReleaseReason), "after", s.c.now.Sub(change.StartedAt))
 	s.c.emit(MoveChanged{change, s.electedToken, s.c.now})
 	s.wantPlacement()
 }
 
-// beginMove holds room for a task at its destination, and stops the attempt that is moved.
+// beginMove reserves room for a task at its destination, and stops the attempt that is moved.
 func (s *spreading) beginMove(m balance.Move) {
 	a := s.jobs[m.Job].attempts[m.Index]
-	s.ledger.Begin(s.c.now, m, a.number)
-	entry, _ := s.ledger.Entry(m.TaskID)
-	s.handleChange(balance.Change{Entry: entry})
+	s.tracker.Begin(s.c.now, m, a.number)
+	entry, _ := s.tracker.ActiveMove(m.TaskID)
+	s.handleChange(balance.Change{ActiveMove: entry})
 	s.stop(a, saveGraceS(&a.job.spec))
 }
 
-// heldOn is the room that is held on a machine.
+// heldOn is the room that is reserved on a machine.
 func (s *spreading) heldOn(machine string) scheduler.Resources {
-	if s == nil || s.ledger.Len() == 0 {
+	if s == nil || s.tracker.Len() == 0 {
 		return scheduler.Resources{}
 	}
-	return s.ledger.HeldOn(machine)
+	return s.tracker.ReservedOn(machine)
 }
 
-// fetching lists the images that a machine is fetching for attempts in force.
+// fetching lists the images that a machine is fetching for active attempts.
 func (s *spreading) fetching(m *machine) map[string]bool {
 	if s == nil {
 		return nil
@@ -159,71 +159,72 @@
 		return 0
 	}
 	for _, d := range demands {
-		used += s.c.measure.Of(d.Each) * float64(len(d.Tasks))
+		used += s.c.measure.Of(d.TaskResources) * float64(len(d.Tasks))
 	}
 	return min(used/all, 1)
 }
 
-// reserveTeamQuota adds to their teams' use the tasks that have held room, whose old attempt has ended, and that are not
+// reserveTeamQuota adds to their teams' use the tasks that have reserved room, whose old attempt has ended, and that are not
 // placed yet: other tasks of their team must not take their place within its limit.
 func (s *spreading) reserveTeamQuota(used map[string]scheduler.Resources) {
 	if s == nil {
 		return
 	}
-	for _, e := range s.ledger.Entries() {
-		if e.Phase == balance.Waiting && e.Held {
-			used[e.Team] = used[e.Team].Add(e.Each, 1)
+	for _, e := range s.tracker.ActiveMoves() {
+		if e.Phase == balance.Waiting && e.Reserved {
+			used[e.Team] = used[e.Team].Add(e.Resources, 1)
 		}
 	}
 }
 
-// placeHeld places the tasks of a demand for which room is held.
-func (s *spreading) placeHeld(machines []*scheduler.Machine, d *scheduler.Demand, used map[string]scheduler.Resources) {
-	if s == nil || s.ledger.Len() == 0 {
+// placeReserved places the tasks of a demand for which room is reserved.
+func (s *spreading) placeReserved(machines []*scheduler.Machine, d *scheduler.Demand, used map[string]scheduler.Resources) {
+	if s == nil || s.tracker.Len() == 0 {
 		return
 	}
 	for _, task := range slices.Clone(d.Tasks) {
-		e, moving := s.ledger.Entry(balance.TaskID{Job: d.Job, Index: task})
-		if !moving || !e.Held {
+		e, moving := s.tracker.ActiveMove(balance.TaskID{Job: d.Job, Index: task})
+		if !moving || !e.Reserved {
 			continue
 		}
-		used[e.Team] = used[e.Team].Add(e.Each, -1)
-		p, placed := s.placeInHeld(machines, d, e, s.roomInTeam(d, used))
+		used[e.Team] = used[e.Team].Add(e.Resources, -1)
+		p, placed := s.placeInReservation(machines, d, e, s.roomInTeam(d, used))
 		if !placed {
-			s.releaseHeld(e.TaskID, balance.LossDestination)
+			s.releaseReservation(e.TaskID, balance.ReleasedDestinationLost)
 			continue
 		}
 		s.assign(d, []scheduler.Assignment{p})
-		used[e.Team] = used[e.Team].Add(e.Each, 1)
+		used[e.Team] = used[e.Team].Add(e.Resources, 1)
 		d.Tasks = slices.DeleteFunc(slices.Clone(d.Tasks), func(t int) bool { return t == task })
 	}
 	s.observeMoves()
 }
 
-// placeInHeld places a task in the room held for it. In either case that room counts as free again on its machine.
-func (s *spreading) placeInHeld(machines []*scheduler.Machine, d *scheduler.Demand, e balance.Entry, roomInTeam int) (scheduler.Assignment, bool) {
+// placeInReservation places a task in the room reserved for it. In either case that room counts as free again on its
+// machine.
+func (s *spreading) placeInReservation(machines []*scheduler.Machine, d *scheduler.Demand, e balance.ActiveMove, roomInTeam int) (scheduler.Assignment, bool) {
 	i := slices.IndexFunc(machines, func(m *scheduler.Machine) bool { return m.ID == e.To })
 	if i < 0 {
 		return scheduler.Assignment{}, false
 	}
-	machines[i].Free = machines[i].Free.Add(e.Each, 1)
+	machines[i].Free = machines[i].Free.Add(e.Resources, 1)
 	if roomInTeam == 0 {
 		return scheduler.Assignment{}, false
 	}
 	return scheduler.PlaceOn(machines[i], d, e.Index)
 }
 
-// releaseHeld releases the room that is held for a task.
-func (s *spreading) releaseHeld(id balance.TaskID, reason balance.Loss) {
-	if change, changed := s.ledger.GiveUp(id, reason); changed {
+// releaseReservation releases the room that is reserved for a task.
+func (s *spreading) releaseReservation(id balance.TaskID, reason balance.ReleaseReason) {
+	if change, changed := s.tracker.ReleaseReservation(id, reason); changed {
 		s.handleChange(change)
 	}
 }
 
-// preemptHeld releases held room where that lets tasks of an urgent demand fit, until the missing tasks have room, and
-// reports whether any got room.
-func (s *spreading) preemptHeld(machines []*scheduler.Machine, d *scheduler.Demand, missing int) bool {
-	if s == nil || s.ledger.Len() == 0 || !d.Service && d.Rank > 0 && !d.WithinGuarantee {
+// preemptReserved releases reserved room where that lets tasks of an urgent demand fit, until the missing tasks have
+// room, and reports whether any got room.
+func (s *spreading) preemptReserved(machines []*scheduler.Machine, d *scheduler.Demand, missing int) bool {
+	if s == nil || s.tracker.Len() == 0 || !d.Service && d.Rank > 0 && !d.WithinGuarantee {
 		return false
 	}
 	room := 0
@@ -232,43 +233,43 @@
 			break
 		}
 		free := m.Free
-		m.Free = free.Add(s.ledger.HeldOn(m.ID), 1)
+		m.Free = free.Add(s.tracker.ReservedOn(m.ID), 1)
 		if m.Free == free || !d.Fits(m) {
 			m.Free = free
 			continue
 		}
-		for _, e := range s.ledger.Entries() {
-			if e.Held && e.To == m.ID {
-				s.releaseHeld(e.TaskID, balance.LossUrgent)
+		for _, e := range s.tracker.ActiveMoves() {
+			if e.Reserved && e.To == m.ID {
+				s.releaseReservation(e.TaskID, balance.ReleasedForUrgent)
 			}
 		}
-		room += m.Free.Fits(d.Each)
+		room += m.Free.Fits(d.TaskResources)
 	}
 	return room > 0
 }
 
-// withoutHeld removes the tasks for which room is held: no machines need to be requested for them.
-func (s *spreading) withoutHeld(demands []*scheduler.Demand) []*scheduler.Demand {
-	if s == nil || s.ledger.Len() == 0 {
+// withoutReserved removes the tasks for which room is reserved: no machines need to be requested for them.
+func (s *spreading) withoutReserved(demands []*scheduler.Demand) []*scheduler.Demand {
+	if s == nil || s.tracker.Len() == 0 {
 		return demands
 	}
 	for _, d := range demands {
 		d.Tasks = slices.DeleteFunc(d.Tasks, func(task int) bool {
-			e, moving := s.ledger.Entry(balance.TaskID{Job: d.Job, Index: task})
-			return moving && e.Held
+			e, moving := s.tracker.ActiveMove(balance.TaskID{Job: d.Job, Index: task})
+			return moving && e.Reserved
 		})
 	}
 	return demands
 }
 
 // moving reports whether any move is in progress.
-func (s *spreading) moving() bool { return s != nil && s.ledger.Len() > 0 }
+func (s *spreading) moving() bool { return s != nil && s.tracker.Len() > 0 }
 
-// sweep removes outdated entries from the ledger, at most once a minute.
+// sweep removes outdated entries from the tracker, at most once a minute.
 func (s *spreading) sweep() {
 	if s.c.now.Sub(s.sweptAt) >= time.Minute {
 		s.sweptAt = s.c.now
-		s.ledger.Sweep(s.c.now)
+		s.tracker.Sweep(s.c.now)
 	}
 }
 
--- a/controller/spreading_bench_test.go
+++ b/controller/spreading_bench_test.go
@@ -34,7 +34,7 @@
 	l := loadedFleet(b)
 	for b.Loop() {
 		advance(l, time.Second)
-		l.spreading.ledger = balance.NewLedger(*l.spreading.settings(), l.c.now.Add(-time.Second)) // the allowance of one second has accrued
+		l.spreading.tracker = balance.NewMoveTracker(*l.spreading.settings(), l.c.now.Add(-time.Second)) // the allowance of one second has accrued
 		l.spreading.plannedAt = time.Time{}
 		machines := l.view(false)
 		fleet := l.spreading.fleetState(machines)
@@ -75,7 +75,7 @@
 }
 
 // planOnly plans moves without beginning them, and returns their number.
-func planOnly(l *leader, fleet balance.Picture) int {
-	allowance := l.spreading.ledger.Allowance(l.c.now, benchMachines, 0)
+func planOnly(l *leader, fleet balance.FleetSnapshot) int {
+	allowance := l.spreading.tracker.Allowance(l.c.now, benchMachines, 0)
 	return len(balance.Plan(fleet, *l.spreading.settings(), allowance))
 }
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -33,7 +33,7 @@
 	machines := s.view(false)
 	fleet := s.fleetState(machines)
 	others, listed := s.stoppedByEarlierLeaders(), len(fleet.Machines)
-	allowance := s.ledger.Allowance(s.c.now, listed, others)
+	allowance := s.tracker.Allowance(s.c.now, listed, others)
 	if allowance.Moves == 0 || !s.anyHot(&fleet) {
 		return
 	}
@@ -53,22 +53,22 @@
 }
 
 // moveBlock is why no move may begin now.
-func (s *spreading) moveBlock() balance.Block {
+func (s *spreading) moveBlock() balance.BlockReason {
 	switch {
 	case !s.c.now.Before(s.authority) || s.c.now.Sub(s.renewed) > s.c.op.LeaderLifetime()/lateRenewalDivisor:
 		return balance.NoLease
 	case !s.allReported():
-		return balance.Unheard
+		return balance.MachinesNotReported
 	case s.partitions.any():
 		return balance.NetworkFault
 	case s.zones.recovering():
-		return balance.Recovering
+		return balance.ZoneRecovering
 	case s.c.now.Before(s.pausedUntil):
 		return balance.HeadroomShort
 	case s.workWaiting():
-		return balance.WorkWaits
+		return balance.WorkPending
 	case s.budget.left(s.c.now)*freeBackgroundDivisor < s.budget.burst():
-		return balance.WritesShort
+		return balance.WriteBudgetShort
 	}
 	return balance.NotBlocked
 }
@@ -89,7 +89,7 @@
 	used := s.teamUse()
 	return slices.ContainsFunc(s.demands(), func(d *scheduler.Demand) bool {
 		waits := slices.ContainsFunc(d.Tasks, func(task int) bool {
-			_, moving := s.ledger.Entry(balance.TaskID{Job: d.Job, Index: task})
+			_, moving := s.tracker.ActiveMove(balance.TaskID{Job: d.Job, Index: task})
 			return !moving
 		})
 		return waits && s.roomInTeam(d, used) > 0
@@ -115,17 +115,17 @@
 	used scheduler.Resources
 }
 
-// fleetState is the machines that count, without their tasks. Tasks that are being stopped do not count as load; held
-// room does.
-func (s *spreading) fleetState(machines []*scheduler.Machine) balance.Picture {
+// fleetState is the machines that count, without their tasks. Tasks that are being stopped do not count as load;
+// reserved room does.
+func (s *spreading) fleetState(machines []*scheduler.Machine) balance.FleetSnapshot {
 	byID := make(map[string]fleetMachine, len(machines))
-	p := balance.Picture{Machines: make([]balance.Machine, 0, len(machines))}
+	p := balance.FleetSnapshot{Machines: make([]balance.Machine, 0, len(machines))}
 	for _, m := range machines {
 		empty := m.Free == m.Cap
 		if m.Penalty > 0 || empty && !s.settings().KeepIdle {
 			continue
 		}
-		used := m.Cap.Add(m.Free, -1).Add(m.Soon, -1)
+		used := m.Cap.Add(m.Free, -1).Add(m.Releasing, -1)
 		byID[m.ID] = fleetMachine{m, used}
 		p.Machines = append(p.Machines, balance.Machine{ID: m.ID, Size: s.c.measure.Of(m.Cap), Cap: m.Cap, Used: used})
 	}
@@ -158,14 +158,14 @@
 }
 
 // anyHot reports whether any machine is hot.
-func (s *spreading) anyHot(p *balance.Picture) bool {
-	hot := s.settings().HotShare(balance.Distribute(p.Machines).Mean)
+func (s *spreading) anyHot(p *balance.FleetSnapshot) bool {
+	hot := s.settings().HotShare(balance.NewDistribution(p.Machines).Mean)
 	return slices.ContainsFunc(p.Machines, func(m balance.Machine) bool { return m.Share() > hot })
 }
 
 // listMovableTasks lists the tasks of hot machines that may be moved.
-func (s *spreading) listMovableTasks(p *balance.Picture) {
-	hot := s.settings().HotShare(balance.Distribute(p.Machines).Mean)
+func (s *spreading) listMovableTasks(p *balance.FleetSnapshot) {
+	hot := s.settings().HotShare(balance.NewDistribution(p.Machines).Mean)
 	tolerances := newMoveTolerances(s)
 	for i := range p.Machines {
 		m := &p.Machines[i]
@@ -182,7 +182,7 @@
 
 // movableTask describes an attempt's task, whose move costs the given seconds of its time.
 func (a *attempt) movableTask(cost float64) balance.Task {
-	t := balance.Task{TaskID: a.moveID(), Team: a.job.spec.Team, Each: a.job.terms.Each, Cost: cost}
+	t := balance.Task{TaskID: a.moveID(), Team: a.job.spec.Team, Resources: a.job.terms.TaskResources, Cost: cost}
 	if a.job.spec.Kind == wire.KindService {
 		t.OnlyImage = a.job.spec.Image
 	}
@@ -209,7 +209,7 @@
 func (s *spreading) headroomPlaced(machines []*scheduler.Machine, moves []balance.Move) int {
 	taken := map[string]scheduler.Resources{}
 	for _, m := range moves {
-		taken[m.To] = taken[m.To].Add(m.Each, 1)
+		taken[m.To] = taken[m.To].Add(m.Resources, 1)
 	}
 	copies := make([]*scheduler.Machine, len(machines))
 	for i, m := range machines {
--- a/controller/spreading_record.go
+++ b/controller/spreading_record.go
@@ -57,7 +57,7 @@
 		s.writeMovesRecord()
 	}
 	if left <= 0 {
-		s.block = balance.RecordUnwritten
+		s.block = balance.RecordNotWritten
 	}
 	return left > 0
 }
--- a/controller/spreading_status.go
+++ b/controller/spreading_status.go
@@ -35,9 +35,9 @@
 // describe fills in what the leader knows.
 func (s *spreading) describe(status *balance.Status) {
 	fleet := s.fleetState(s.view(false))
-	status.Distribution = balance.Distribute(fleet.Machines)
+	status.Distribution = balance.NewDistribution(fleet.Machines)
 	status.HotShare = s.settings().HotShare(status.Distribution.Mean)
-	status.Block, status.Counts = s.block, s.ledger.Counts()
+	status.Block, status.Counts = s.block, s.tracker.Counts()
 	slices.SortStableFunc(fleet.Machines, func(a, b balance.Machine) int { return cmp.Compare(b.Share(), a.Share()) })
 	listed := min(len(fleet.Machines), maxStatusMachines)
 	status.Others = len(fleet.Machines) - listed
@@ -47,14 +47,14 @@
 	}
 	s.explainStaying(status, fleet)
 	s.survey(status, fleet.Machines)
-	for _, e := range s.ledger.Entries() {
+	for _, e := range s.tracker.ActiveMoves() {
 		status.Moves = append(status.Moves, balance.MoveStatus{Job: e.Job, Task: e.Index, From: e.From, To: e.To,
-			Phase: e.Phase, Held: e.Held, ForS: s.c.now.Sub(e.Began).Seconds()})
+			Phase: e.Phase, Reserved: e.Reserved, ForS: s.c.now.Sub(e.StartedAt).Seconds()})
 	}
 }
 
 // explainStaying counts the listed tasks that have no destination.
-func (s *spreading) explainStaying(status *balance.Status, fleet balance.Picture) {
+func (s *spreading) explainStaying(status *balance.Status, fleet balance.FleetSnapshot) {
 	withoutDestination := balance.WithoutDestination(fleet, *s.settings())
 	for i := range status.Machines {
 		m := &status.Machines[i]
@@ -74,7 +74,7 @@
 			survey.AddImage(image, hot)
 		}
 		for _, a := range m.list {
-			survey.AddTask(m.id, hot, a.job.spec.Team, a.job.spec.Image, s.c.measure.Of(a.job.terms.Each))
+			survey.AddTask(m.id, hot, a.job.spec.Team, a.job.spec.Image, s.c.measure.Of(a.job.terms.TaskResources))
 		}
 	}
 	teams, images := survey.Teams(), survey.HotImages()
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -71,13 +71,13 @@
 }
 
 // runUntilPlanned lets time pass, runs load spreading, and returns the moves that are in progress then.
-func runUntilPlanned(l *leader) []balance.Entry {
+func runUntilPlanned(l *leader) []balance.ActiveMove {
 	for range 3 {
 		advance(l, 4*time.Second)
 		l.spreading.record.until = l.c.now.Add(time.Minute)
 		l.spreading.run()
 	}
-	return l.spreading.ledger.Entries()
+	return l.spreading.tracker.ActiveMoves()
 }
 
 // Each condition that blocks moves prevents them and is reported; without one, moves begin.
@@ -85,18 +85,18 @@
 	waiting := func(l *leader) { addRunningJob(l, wire.Job{ID: "req-000009", Kind: wire.KindArray, Tasks: 1}) }
 	for name, c := range map[string]struct {
 		change func(l *leader)
-		want   balance.Block
+		want   balance.BlockReason
 	}{
 		"nothing":                         {func(*leader) {}, balance.NotBlocked},
 		"no lease":                        {func(l *leader) { l.authority = l.c.now }, balance.NoLease},
 		"late renewals":                   {func(l *leader) { l.renewed = l.c.now.Add(-time.Second) }, balance.NoLease},
-		"a new leader":                    {func(l *leader) { l.elected = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
-		"a pause of the leader":           {func(l *leader) { l.failures.listening.began = l.c.now.Add(-2 * time.Second) }, balance.Unheard},
-		"a machine that has not reported": {func(l *leader) { l.machines["m0000"].up = false }, balance.Unheard},
+		"a new leader":                    {func(l *leader) { l.elected = l.c.now.Add(-2 * time.Second) }, balance.MachinesNotReported},
+		"a pause of the leader":           {func(l *leader) { l.failures.listening.began = l.c.now.Add(-2 * time.Second) }, balance.MachinesNotReported},
+		"a machine that has not reported": {func(l *leader) { l.machines["m0000"].up = false }, balance.MachinesNotReported},
 		"a partition":                     {func(l *leader) { l.partitions.active = map[string]bool{"a": true} }, balance.NetworkFault},
-		"a zone recovery":                 {recoverZone, balance.Recovering},
-		"work that waits":                 {waiting, balance.WorkWaits},
-		"few writes left":                 {func(l *leader) { l.budget.background.AllowN(l.c.now, l.budget.burst()*2/3) }, balance.WritesShort},
+		"a zone recovery":                 {recoverZone, balance.ZoneRecovering},
+		"work that waits":                 {waiting, balance.WorkPending},
+		"few writes left":                 {func(l *leader) { l.budget.background.AllowN(l.c.now, l.budget.burst()*2/3) }, balance.WriteBudgetShort},
 		"headroom that is short":          {func(l *leader) { l.spreading.pausedUntil = l.c.now.Add(time.Second) }, balance.HeadroomShort},
 		"work at its team's limit":        {func(l *leader) { waiting(l); l.c.quotas["red"] = quotaOf(config.Team{CPUsMax: 8}) }, balance.NotBlocked},
 	} {
@@ -106,9 +106,9 @@
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 		l.spreading.plannedAt = time.Time{}
-		l.spreading.ledger.Allowance(l.c.now.Add(-time.Minute), 4, 0)
+		l.spreading.tracker.Allowance(l.c.now.Add(-time.Minute), 4, 0)
 		l.spreading.run()
-		if moves := l.spreading.ledger.Len(); (moves > 0) != (c.want == balance.NotBlocked) {
+		if moves := l.spreading.tracker.Len(); (moves > 0) != (c.want == balance.NotBlocked) {
 			t.Errorf("%s: %d moves", name, moves)
 		}
 	}
@@ -140,25 +140,25 @@
 		"a deadline that is met":            {spec: with(func(s *wire.Job) { s.DeadlineS = &soon })},
 		"a deadline that would be missed":   {spec: with(func(s *wire.Job) { s.DeadlineS = &late }), want: balance.WouldBeLate},
 		"an objective that would be missed": {spec: with(func(s *wire.Job) { s.Class = "timely" }), want: balance.WouldBeLate},
-		"in a chain":                        {spec: with(func(s *wire.Job) { s.DeadlineS, s.Needs = &soon, []string{"req-1"} }), want: balance.BoundChain},
-		"about to end":                      {spec: with(func(s *wire.Job) { s.EstimateS = 130 }), want: balance.TooDear},
+		"in a chain":                        {spec: with(func(s *wire.Job) { s.DeadlineS, s.Needs = &soon, []string{"req-1"} }), want: balance.DeadlineChain},
+		"about to end":                      {spec: with(func(s *wire.Job) { s.EstimateS = 130 }), want: balance.TooCostly},
 		"can't save a checkpoint":           {spec: with(func(s *wire.Job) { s.CheckpointS = 0 }), want: balance.NoCheckpoints},
 		"no estimate":                       {spec: with(func(s *wire.Job) { s.EstimateS = 0 }), want: balance.NoEstimate},
 		"a gang":                            {spec: with(func(s *wire.Job) { s.Kind = wire.KindGang }), want: balance.Gang},
-		"another cell's":                    {spec: saves, change: func(_ *leader, j *job) { j.origin = &originRecord{} }, want: balance.OtherCells},
+		"another cell's":                    {spec: saves, change: func(_ *leader, j *job) { j.origin = &originRecord{} }, want: balance.OwnedByOtherCell},
 		"being stopped":                     {spec: service, change: func(_ *leader, j *job) { j.attempts[0].stopping = true }, want: balance.BeingStopped},
 		"stopped by an earlier leader":      {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].saving = true }, want: balance.BeingStopped},
 		"cancelled":                         {spec: saves, change: func(_ *leader, j *job) { j.cancelled = true }, want: balance.BeingStopped},
 		"not seen running":                  {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].phase = attemptSeen }, want: balance.NotRunning},
-		"started recently":                  {spec: service, change: func(l *leader, j *job) { j.attempts[0].since = l.c.now.Add(-59 * time.Second) }, want: balance.Settling},
-		"another replica starts":            {spec: service, change: func(_ *leader, j *job) { j.attempts[1].phase = attemptSeen }, want: balance.ReplicaAway},
-		"another replica stops":             {spec: service, change: func(_ *leader, j *job) { j.attempts[1].stopping = true }, want: balance.ReplicaAway},
-		"another replica is missing":        {spec: service, change: func(_ *leader, j *job) { delete(j.attempts, 1) }, want: balance.ReplicaAway},
-		"has moved":                         {spec: service, change: hasMoved, want: balance.MovedBefore},
-		"may have moved":                    {spec: service, change: mayHaveMoved, want: balance.MovedBefore},
+		"started recently":                  {spec: service, change: func(l *leader, j *job) { j.attempts[0].since = l.c.now.Add(-59 * time.Second) }, want: balance.RecentlyStarted},
+		"another replica starts":            {spec: service, change: func(_ *leader, j *job) { j.attempts[1].phase = attemptSeen }, want: balance.ReplicaNotUp},
+		"another replica stops":             {spec: service, change: func(_ *leader, j *job) { j.attempts[1].stopping = true }, want: balance.ReplicaNotUp},
+		"another replica is missing":        {spec: service, change: func(_ *leader, j *job) { delete(j.attempts, 1) }, want: balance.ReplicaNotUp},
+		"has moved":                         {spec: service, change: hasMoved, want: balance.RecentlyMoved},
+		"may have moved":                    {spec: service, change: mayHaveMoved, want: balance.RecentlyMoved},
 		"placed since the last moves":       {spec: service, change: func(l *leader, _ *job) { l.spreading.record.restoredStayUntil = l.c.now.Add(time.Minute) }},
-		"lost work before, time is up":      {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: readyLongAgo, want: balance.TooDear},
-		"an earlier leader's, time is up":   {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: restoredLongAgo, want: balance.TooDear},
+		"lost work before, time is up":      {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: readyLongAgo, want: balance.TooCostly},
+		"an earlier leader's, time is up":   {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: restoredLongAgo, want: balance.TooCostly},
 	} {
 		core, l := spreadingLeader(t, 4)
 		core.cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "timely", WithinS: 4000}}
@@ -174,7 +174,7 @@
 }
 
 func hasMoved(l *leader, j *job) {
-	l.spreading.ledger.Begin(l.c.now, balance.Move{Task: balance.Task{TaskID: balance.TaskID{Job: j.id}}}, 1)
+	l.spreading.tracker.Begin(l.c.now, balance.Move{Task: balance.Task{TaskID: balance.TaskID{Job: j.id}}}, 1)
 }
 
 func mayHaveMoved(l *leader, j *job) {
@@ -189,9 +189,9 @@
 	j.attempts[0].restored, j.ready = true, l.c.now.Add(-500*time.Second)
 }
 
-// A move stops its attempt, which stays in force and counts for its team until it is proved to have ended. Room is held
-// meanwhile, for this task alone.
-func TestMoveHoldsRoom(t *testing.T) {
+// A move stops its attempt, which stays active and counts for its team until it is proved to have ended. Room is
+// reserved meanwhile, for this task alone.
+func TestMoveReservesRoom(t *testing.T) {
 	c, l, _ := skewedLeader(t)
 	moves := runUntilPlanned(l)
 	if len(moves) != 1 { // the most in flight for so small a fleet
@@ -213,8 +213,8 @@
 	if free(e.To) != 6 || free("m0000") != 0 {
 		t.Errorf("%v cores are free at the destination, %v at the source, want 6 and 0", free(e.To), free("m0000"))
 	}
-	if l.spreading.withoutHeld(l.demands()); len(l.demands()) != 0 {
-		t.Error("a task with an attempt in force is demanded again")
+	if l.spreading.withoutReserved(l.demands()); len(l.demands()) != 0 {
+		t.Error("a task with an active attempt is demanded again")
 	}
 	var tasks []wire.Task
 	for _, a := range from.list {
@@ -228,8 +228,8 @@
 	rep.Addr, rep.Type, rep.Zone = from.addr, from.typ, from.zone
 	l.failures.applyHeartbeat(from, rep)
 	l.spreading.run()
-	if ds := l.spreading.withoutHeld(l.demands()); len(ds) != 1 || len(ds[0].Tasks) != 0 {
-		t.Errorf("machines would be requested for a task with held room: %+v", ds)
+	if ds := l.spreading.withoutReserved(l.demands()); len(ds) != 1 || len(ds[0].Tasks) != 0 {
+		t.Errorf("machines would be requested for a task with reserved room: %+v", ds)
 	}
 	c.now = c.now.Add(time.Second)
 	l.place()
@@ -243,10 +243,10 @@
 func TestMovesRecord(t *testing.T) {
 	c, l, _ := skewedLeader(t)
 	l.spreading.record = movesRecordState{version: 8}
-	l.spreading.ledger.Allowance(c.now.Add(-time.Minute), 4, 0)
+	l.spreading.tracker.Allowance(c.now.Add(-time.Minute), 4, 0)
 	l.spreading.run()
-	if l.spreading.ledger.Len() > 0 || l.spreading.block != balance.RecordUnwritten {
-		t.Fatalf("%d moves, blocked by %q", l.spreading.ledger.Len(), l.spreading.block)
+	if l.spreading.tracker.Len() > 0 || l.spreading.block != balance.RecordNotWritten {
+		t.Fatalf("%d moves, blocked by %q", l.spreading.tracker.Len(), l.spreading.block)
 	}
 	var call StateCall
 	for _, o := range c.out {
@@ -284,7 +284,7 @@
 	}
 }
 
-// Moves are held back if headroom fits only without them: no machines are requested for the sake of moves.
+// No moves are started if headroom fits only without them: no machines are requested for the sake of moves.
 func TestMovesPreserveHeadroom(t *testing.T) {
 	c, l, _ := skewedLeader(t)
 	c.op.HeadroomMost, c.op.Headroom = 10, 10
@@ -314,16 +314,16 @@
 	l.spreading.setBalance(nil, nil)
 }
 
-// A task with held room is still placed only as its team's limit and its job's constraints allow.
-func TestHeldRoomObeysLimitsAndConstraints(t *testing.T) {
+// A task with reserved room is still placed only as its team's limit and its job's constraints allow.
+func TestReservedRoomObeysLimitsAndConstraints(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(l *leader, e balance.Entry)
+		change func(l *leader, e balance.ActiveMove)
 		placed bool
 	}{
-		"as it is":                  {func(*leader, balance.Entry) {}, true},
-		"its team is at its limit":  {func(l *leader, _ balance.Entry) { l.c.quotas["red"] = quotaOf(config.Team{CPUsMax: 6}) }, false},
-		"its job avoids it now":     {func(l *leader, e balance.Entry) { l.jobs[e.Job].avoid[e.To] = true }, false},
-		"the destination is silent": {func(l *leader, e balance.Entry) { l.machines[e.To].reported = l.c.now.Add(-time.Minute) }, false},
+		"as it is":                  {func(*leader, balance.ActiveMove) {}, true},
+		"its team is at its limit":  {func(l *leader, _ balance.ActiveMove) { l.c.quotas["red"] = quotaOf(config.Team{CPUsMax: 6}) }, false},
+		"its job avoids it now":     {func(l *leader, e balance.ActiveMove) { l.jobs[e.Job].avoid[e.To] = true }, false},
+		"the destination is silent": {func(l *leader, e balance.ActiveMove) { l.machines[e.To].reported = l.c.now.Add(-time.Minute) }, false},
 	} {
 		_, l, _ := skewedLeader(t)
 		e := runUntilPlanned(l)[0]
@@ -334,29 +334,29 @@
 		l.place()
 		a := l.jobs[e.Job].attempts[0]
 		if placed := a != nil && a.machine.id == e.To; placed != c.placed {
-			t.Errorf("%s: placed in held room is %v", name, placed)
+			t.Errorf("%s: placed in reserved room is %v", name, placed)
 		}
-		if entry, moving := l.spreading.ledger.Entry(e.TaskID); moving && entry.Held {
-			t.Errorf("%s: room is still held", name)
+		if entry, moving := l.spreading.tracker.ActiveMove(e.TaskID); moving && entry.Reserved {
+			t.Errorf("%s: room is still reserved", name)
 		}
 	}
 }
 
-// Urgent work takes as much held room as it needs and no more; other work takes none.
-func TestUrgentWorkTakesHeldRoom(t *testing.T) {
+// Urgent work takes as much reserved room as it needs and no more; other work takes none.
+func TestUrgentWorkTakesReservedRoom(t *testing.T) {
 	for name, c := range map[string]struct {
 		spec wire.Job
-		left int // tasks whose room is still held
+		left int // tasks whose room is still reserved
 	}{
 		"a service of two tasks": {wire.Job{ID: "req-000009", Kind: wire.KindService, Priority: "standard", Tasks: 2}, 1},
 		"an array":               {wire.Job{ID: "req-000009", Kind: wire.KindArray, Priority: "standard", Tasks: 2}, 3},
 	} {
 		_, l := spreadingLeader(t, 4)
-		for i := range 3 { // three machines have room for one task each, and it is held
+		for i := range 3 { // three machines have room for one task each, and it is reserved
 			m := fmt.Sprintf("m000%d", i+1)
 			addRunningJob(l, wire.Job{ID: fmt.Sprintf("req-00010%d", i), Kind: wire.KindService}, m, m, m)
 			j := addRunningJob(l, wire.Job{ID: fmt.Sprintf("req-00000%d", i), Kind: wire.KindService}, "m0000")
-			l.spreading.ledger.Begin(l.c.now, balance.Move{Task: j.attempts[0].movableTask(1), From: "m0000", To: m}, j.attempts[0].number)
+			l.spreading.tracker.Begin(l.c.now, balance.Move{Task: j.attempts[0].movableTask(1), From: "m0000", To: m}, j.attempts[0].number)
 		}
 		addRunningJob(l, wire.Job{ID: "req-000200", Kind: wire.KindService}, "m0000")
 		j := addRunningJob(l, c.spec)
@@ -365,13 +365,13 @@
 		l.placeAt = l.c.now
 		l.place()
 		left := 0
-		for _, e := range l.spreading.ledger.Entries() {
-			if e.Held {
+		for _, e := range l.spreading.tracker.ActiveMoves() {
+			if e.Reserved {
 				left++
 			}
 		}
 		if left != c.left || len(j.attempts) != 3-c.left {
-			t.Errorf("%s: room is still held for %d tasks, %d tasks are placed", name, left, len(j.attempts))
+			t.Errorf("%s: room is still reserved for %d tasks, %d tasks are placed", name, left, len(j.attempts))
 		}
 	}
 }
@@ -406,7 +406,7 @@
 		j := addRunningJob(l, c.spec, "m0000")
 		l.machines["m0003"].snapshot = nil
 		var to *balance.Machine
-		prepare := func() balance.Picture {
+		prepare := func() balance.FleetSnapshot {
 			fleet := l.spreading.fleetState(l.view(false))
 			to = &fleet.Machines[3]
 			return fleet
@@ -447,7 +447,7 @@
 }
 
 // Where idle machines are kept, none is released for being idle, and none is emptied. No machines are requested for a
-// task that has held room.
+// task that has reserved room.
 func TestKeepIdleMachines(t *testing.T) {
 	for _, keep := range []bool{true, false} {
 		c, l, _ := skewedLeader(t)
@@ -525,7 +525,7 @@
 		return c.out[0].(Answer).Body.(balance.Status)
 	}
 	s := ask()
-	want := []balance.ReasonCount{{Reason: balance.Settling, Tasks: 1}, {Reason: balance.NoDestination, Tasks: 3}}
+	want := []balance.ReasonCount{{Reason: balance.RecentlyStarted, Tasks: 1}, {Reason: balance.NoDestination, Tasks: 3}}
 	if m := s.Machines[0]; !s.Leading || m.ID != "m0000" || !m.Hot || m.Movable != 0 || fmt.Sprint(m.Staying) != fmt.Sprint(want) {
 		t.Errorf("%+v", s.Machines)
 	}
@@ -534,7 +534,7 @@
 	}
 	l.machines["m0003"].images["image"] = true
 	moves := runUntilPlanned(l)
-	if s = ask(); len(moves) != 1 || len(s.Moves) != 1 || s.Moves[0].To != moves[0].To || s.Counts.Begun != 1 {
+	if s = ask(); len(moves) != 1 || len(s.Moves) != 1 || s.Moves[0].To != moves[0].To || s.Counts.Started != 1 {
 		t.Errorf("moves %+v, status shows %+v", moves, s.Moves)
 	}
 	c.lead = nil
--- a/controller/spreading_tolerance.go
+++ b/controller/spreading_tolerance.go
@@ -33,13 +33,13 @@
 	case spec.Kind == wire.KindGang:
 		return balance.Gang, 0
 	case a.job.origin != nil:
-		return balance.OtherCells, 0
+		return balance.OwnedByOtherCell, 0
 	case a.job.due.last != nil && (len(spec.Needs) > 0 || len(t.c.chains.Successors(a.job.id)) > 0):
-		return balance.BoundChain, 0
+		return balance.DeadlineChain, 0
 	case t.movedLately(a):
-		return balance.MovedBefore, 0
+		return balance.RecentlyMoved, 0
 	case ran < t.settings().Settled:
-		return balance.Settling, 0
+		return balance.RecentlyStarted, 0
 	case spec.Kind == wire.KindService:
 		return t.checkService(a.job)
 	}
@@ -48,7 +48,7 @@
 
 // movedLately reports whether a task has moved recently, or may have moved under an earlier leader.
 func (t *moveTolerances) movedLately(a *attempt) bool {
-	return a.restored && t.c.now.Before(t.record.restoredStayUntil) || t.ledger.MovedLately(t.c.now, a.moveID())
+	return a.restored && t.c.now.Before(t.record.restoredStayUntil) || t.tracker.MovedRecently(t.c.now, a.moveID())
 }
 
 // checkService checks a replica of a service; replicas are moved one at a time.
@@ -59,7 +59,7 @@
 		t.allRunning[j] = up
 	}
 	if !up {
-		return balance.ReplicaAway, 0
+		return balance.ReplicaNotUp, 0
 	}
 	return balance.Movable, serviceMoveCost
 }
@@ -77,7 +77,7 @@
 	left := spec.EstimateS - t.maxRunTime(a).Seconds()
 	switch {
 	case cost > left*t.settings().CostShare:
-		return balance.TooDear, 0
+		return balance.TooCostly, 0
 	case t.wouldBeLate(a, cost):
 		return balance.WouldBeLate, 0
 	}
--- a/controller/user_requests.go
+++ b/controller/user_requests.go
@@ -151,7 +151,7 @@
 	d := c.demandOf(j)
 	for _, t := range c.types {
 		for _, zone := range t.Zones {
-			if d.Allows(t.Name, zone, false) && capOf(t).Fits(d.Each) > 0 {
+			if d.Allows(t.Name, zone, false) && capOf(t).Fits(d.TaskResources) > 0 {
 				return true
 			}
 		}
--- a/controller/zone_records.go
+++ b/controller/zone_records.go
@@ -71,7 +71,7 @@
 	}
 	record, exists := z.tracker.Record(name, z.c.now)
 	obsolete := !exists && stored.version > 0 && z.tracker.State(name) == zones.Healthy
-	if !obsolete && (!exists || !record.Worth(stored.record)) {
+	if !obsolete && (!exists || !record.NeedsWrite(stored.record)) {
 		stored.dueSince = time.Time{}
 		return
 	}
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -19,9 +19,9 @@
 // zoneCheckInterval is the interval between evaluations of zone health.
 const zoneCheckInterval = 250 * time.Millisecond
 
-// maxHoldBack is how long starts of a job may be held back. It is well below the time after which no
+// maxThrottleTime is how long starts of a job may be throttled. It is well below the time after which no
 // job may wait while machines have room for it.
-const maxHoldBack = 60 * time.Second
+const maxThrottleTime = 60 * time.Second
 
 // zoneRecovery is the leader's component for zone recovery; nil unless operators have enabled it.
 type zoneRecovery struct {
@@ -161,7 +161,7 @@
 }
 
 // limitStarts sets the restart order of a round's demands and limits their starts by zone. Demands
-// that have waited for maxHoldBack are not limited. It returns the limits for noteHeldBack.
+// that have waited for maxThrottleTime are not limited. It returns the limits for noteHeldBack.
 func (z *zoneRecovery) limitStarts(demands []*scheduler.Demand) map[string]*scheduler.StartLimit {
 	if !z.recovering() {
 		if z != nil {
@@ -174,8 +174,8 @@
 	for _, d := range demands {
 		j := z.jobs[d.Job]
 		z.setRestartOrder(d, j)
-		if z.waitingTime(d, j) < maxHoldBack {
-			d.Limits = limits
+		if z.waitingTime(d, j) < maxThrottleTime {
+			d.StartLimits = limits
 		}
 	}
 	return limits
@@ -190,23 +190,23 @@
 	}
 	closed := map[string]*scheduler.StartLimit{}
 	for _, name := range z.tracker.Names() {
-		if a := z.tracker.Admission(name); a.BoundOnly {
-			closed[name] = &scheduler.StartLimit{Starts: a.Starts, Fetches: unlimitedFetches, BoundOnly: true}
+		if a := z.tracker.Admission(name); a.PinnedOnly {
+			closed[name] = &scheduler.StartLimit{Starts: a.Starts, FetchLimit: unlimitedFetches, PinnedOnly: true}
 		}
 	}
 	for _, d := range demands {
-		d.Limits = closed
+		d.StartLimits = closed
 		if j := z.jobs[d.Job]; j != nil {
 			z.setRestartOrder(d, j)
 		} else {
-			d.Phase = scheduler.RestartRest // headroom, or a job that is not accepted yet
+			d.RestartPhase = scheduler.RestartRest // headroom, or a job that is not accepted yet
 		}
 	}
 }
 
 // setRestartOrder sets the fields of a demand that the scheduler uses while zones recover.
 func (z *zoneRecovery) setRestartOrder(d *scheduler.Demand, j *job) {
-	d.Phase, d.OnlyZone = z.restartPhase(j), z.onlyZone(&j.spec)
+	d.RestartPhase, d.OnlyZone = z.restartPhase(j), z.onlyZone(&j.spec)
 }
 
 // onlyZone returns the one zone that offers machine types that a job may use, or "" if there are
@@ -254,8 +254,8 @@
 		}
 		started := z.countStartsInProgress(name)
 		limits[name] = &scheduler.StartLimit{
-			Starts: a.Starts - started.starts, BoundOnly: a.BoundOnly,
-			Fetches: func(image string) int { return z.tracker.Fetches(name, image) - started.fetches[image] },
+			Starts: a.Starts - started.starts, PinnedOnly: a.PinnedOnly,
+			FetchLimit: func(image string) int { return z.tracker.FetchLimit(name, image) - started.fetches[image] },
 		}
 	}
 	return limits
@@ -287,11 +287,11 @@
 	return s
 }
 
-// noteHeldBack notifies the tracker, after a round, of the zones in which starts were held back.
+// noteHeldBack notifies the tracker, after a round, of the zones in which starts were throttled.
 func (z *zoneRecovery) noteHeldBack(limits map[string]*scheduler.StartLimit) {
 	for name, limit := range limits {
-		if limit.HeldBack {
-			z.tracker.HeldBack(z.c.now, name)
+		if limit.Throttled {
+			z.tracker.RecordThrottledStart(z.c.now, name)
 		}
 	}
 }
@@ -319,11 +319,11 @@
 	}
 }
 
-// waitingTime returns how long a job has had tasks to place. For a job that has not begun this is at
+// waitingTime returns how long a job has had tasks to place. For a job that has not started this is at
 // least its age.
 func (z *zoneRecovery) waitingTime(d *scheduler.Demand, j *job) time.Duration {
 	waited := z.c.now.Sub(z.waitingSince[j])
-	if !d.Begun {
+	if !d.Started {
 		return max(waited, config.Seconds(d.AgeS))
 	}
 	return waited
@@ -337,7 +337,7 @@
 	case j.spec.Kind == wire.KindService:
 		return scheduler.RestartServices
 	case z.hasFinishObjective(j):
-		return scheduler.RestartTimelyBatches
+		return scheduler.RestartDeadlineBatches
 	}
 	return scheduler.RestartRest
 }
--- a/controller/zone_recovery_test.go
+++ b/controller/zone_recovery_test.go
@@ -128,10 +128,10 @@
 	}{
 		"prod service":         {wire.KindService, "prod", "s", 0, 0, scheduler.RestartProdServices},
 		"other service":        {wire.KindService, "high", "s", 0, 0, scheduler.RestartServices},
-		"prod batch":           {wire.KindArray, "prod", "a", 10, 0, scheduler.RestartTimelyBatches},
-		"can still be in time": {wire.KindArray, "standard", "a", 60, 40, scheduler.RestartTimelyBatches},
-		"will be late":         {wire.KindArray, "standard", "a", 60, 41, scheduler.RestartTimelyBatches},
-		"overdue":              {wire.KindArray, "standard", "a", 60, 101, scheduler.RestartTimelyBatches},
+		"prod batch":           {wire.KindArray, "prod", "a", 10, 0, scheduler.RestartDeadlineBatches},
+		"can still be in time": {wire.KindArray, "standard", "a", 60, 40, scheduler.RestartDeadlineBatches},
+		"will be late":         {wire.KindArray, "standard", "a", 60, 41, scheduler.RestartDeadlineBatches},
+		"overdue":              {wire.KindArray, "standard", "a", 60, 101, scheduler.RestartDeadlineBatches},
 		"without an objective": {wire.KindArray, "standard", "b", 60, 0, scheduler.RestartRest},
 	} {
 		j := l.addJob("req-000500", &headerRecord{PerChunk: 10, AcceptedMS: c.now.Add(-config.Seconds(k.age)).UnixMilli(),
@@ -142,30 +142,30 @@
 	}
 }
 
-// Starts are not held back forever: after maxHoldBack a job's starts are no longer limited, also for
+// Starts are not throttled forever: after maxThrottleTime a job's starts are no longer limited, also for
 // an old job that has already begun.
-func TestHoldingBackStartsIsBounded(t *testing.T) {
+func TestThrottlingIsBounded(t *testing.T) {
 	c, l := recoveringLeader(t)
 	j := l.jobs["req-000001"]
 	j.begun = true
 	limited := func() bool {
 		demands := l.demands()
 		l.zones.limitStarts(demands)
-		if len(demands) != 1 || demands[0].Phase != scheduler.RestartRest {
+		if len(demands) != 1 || demands[0].RestartPhase != scheduler.RestartRest {
 			t.Fatalf("%d demands, the first %+v", len(demands), demands[0])
 		}
-		return demands[0].Limits["a"] != nil
+		return demands[0].StartLimits["a"] != nil
 	}
 	if !limited() {
 		t.Fatal("not limited at first")
 	}
-	c.now = c.now.Add(maxHoldBack - time.Second)
+	c.now = c.now.Add(maxThrottleTime - time.Second)
 	if !limited() {
 		t.Error("no longer limited before maxHoldBack has passed")
 	}
 	c.now = c.now.Add(time.Second)
 	if limited() {
-		t.Errorf("still limited after %v", maxHoldBack)
+		t.Errorf("still limited after %v", maxThrottleTime)
 	}
 }
 
@@ -204,8 +204,8 @@
 		j.spec.Types = []string{types}
 		d := c.demandOf(&j.spec)
 		l.zones.closeZones([]*scheduler.Demand{d, ahead})
-		if d.OnlyZone != want || ahead.Phase != scheduler.RestartRest || d.Limits["a"] == nil {
-			t.Errorf("job of type %s: %+v, headroom in phase %d", types, d, ahead.Phase)
+		if d.OnlyZone != want || ahead.RestartPhase != scheduler.RestartRest || d.StartLimits["a"] == nil {
+			t.Errorf("job of type %s: %+v, headroom in phase %d", types, d, ahead.RestartPhase)
 		}
 	}
 }
--- a/controller/zone_status.go
+++ b/controller/zone_status.go
@@ -64,10 +64,10 @@
 		}
 		d.RoomInTeam = z.roomInTeam(d, used)
 		allowed := min(len(d.Tasks), d.RoomInTeam)
-		used[d.Team] = used[d.Team].Add(d.Each, float64(allowed))
+		used[d.Team] = used[d.Team].Add(d.TaskResources, float64(allowed))
 		ramp := 0
 		if z.recovering() {
-			ramp = len(scheduler.Place(machines, d)) // a task that has room and is not placed is held back
+			ramp = len(scheduler.Place(machines, d)) // a task that has room and is not placed is throttled
 		}
 		s.Tasks += len(d.Tasks)
 		s.TeamLimit += len(d.Tasks) - allowed
--- a/failureclass/failureclass.go
+++ b/failureclass/failureclass.go
@@ -73,9 +73,9 @@
 // their first failure. The caller must not change the slice.
 func (j *Job) Machines() []string { return j.machines }
 
-// Lost returns how many attempts of the job failed and the machine time that they took, as far
+// FailureCost returns how many attempts of the job failed and the machine time that they took, as far
 // as it was passed to Failed.
-func (j *Job) Lost() (attempts int, machineTime time.Duration) { return j.failures, j.lostTime }
+func (j *Job) FailureCost() (attempts int, machineTime time.Duration) { return j.failures, j.lostTime }
 
 // RetryDelay returns how long a task waits before it is retried after its failures-th
 // failure (0 for the first). A broken job's delay keeps doubling up to MaxBrokenRetryDelay.
--- a/failureclass/failureclass_test.go
+++ b/failureclass/failureclass_test.go
@@ -26,7 +26,7 @@
 	if got := j.Machines(); len(got) != 4 || got[0] != "i-1" || got[3] != "i-4" {
 		t.Fatalf("machines %v, want i-1 to i-4 in order", got)
 	}
-	if attempts, lost := j.Lost(); attempts != 6 || lost != 7*time.Second {
+	if attempts, lost := j.FailureCost(); attempts != 6 || lost != 7*time.Second {
 		t.Fatalf("lost %d attempts and %v, want 6 and 7s", attempts, lost)
 	}
 }
--- a/internal/sim/cancellation_gap_test.go
+++ b/internal/sim/cancellation_gap_test.go
@@ -112,7 +112,7 @@
 // then the state service is down for all, for longer than cancel_s, while workers still report to the
 // old leader. It learns of the cancellation with the first promise, so the job's tasks are stopped in
 // time and no worker loses its lease.
-func TestOldLeaderLearnsOfCancellationFromPromises(t *testing.T) {
+func TestOldLeaderLearnsOfCancellationFromPeerLeases(t *testing.T) {
 	for name := range gapDeployments {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -209,7 +209,7 @@
 // The state service refuses a leader, and no other node, for so long that another one is elected. The old
 // leader has not learned of the election when the state service goes down for all. It must promise not
 // to claim the leadership all the same, or every worker would lose its lease.
-func TestOldLeaderPromisesToNewLeader(t *testing.T) {
+func TestOldLeaderGrantsPeerLeaseToNewLeader(t *testing.T) {
 	w := settledWorldWith(t, 25, Small, func(*World) {})
 	w.deterministic = true
 	oldLeader := w.leading()
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -182,7 +182,7 @@
 // It doesn't know of the promise and must wait until it would have expired. The tampered controller
 // believes that it started an hour ago and skips the wait: the checks must detect two leaders then,
 // and must report nothing for an untampered one.
-func TestRestartedControllerHonoursPromises(t *testing.T) {
+func TestRestartedControllerHonoursPeerLeases(t *testing.T) {
 	breaksRule := func(seed uint64, boot func(time.Time) time.Time) bool {
 		w := settledWorld(t, seed)
 		w.Tamper.Boot = boot
--- a/internal/sim/spread_faults.go
+++ b/internal/sim/spread_faults.go
@@ -29,8 +29,8 @@
 	if m.Outcome != "" {
 		w.coverage["a move ends: "+string(m.Outcome)]++
 	}
-	if m.Loss != "" && m.Loss != balance.LossOver {
-		w.coverage["held room is given up: "+string(m.Loss)]++
+	if m.ReleaseReason != "" && m.ReleaseReason != balance.ReleasedMoveEnded {
+		w.coverage["held room is given up: "+string(m.ReleaseReason)]++
 	}
 	if w.onMove != nil {
 		w.onMove(n, m)
@@ -233,7 +233,7 @@
 // matches reports whether a step of a move is one at which the fault can be injected: the first in the
 // fault's phase, for a job of its kind, and early enough before the end of the faults.
 func (f moveFault) matches(r *spreadRun, m controller.MoveChanged) bool {
-	first := m.Phase == balance.Stopping && m.Began.Equal(m.At) || m.Phase != balance.Stopping && m.Was != m.Phase
+	first := m.Phase == balance.Stopping && m.StartedAt.Equal(m.At) || m.Phase != balance.Stopping && m.PreviousPhase != m.Phase
 	kind := r.w.users.jobs[m.Job].spec.Kind
 	return first && m.Outcome == "" && m.Phase == f.phase && (f.jobKind == "" || f.jobKind == kind) && r.w.now < spreadFaultsEnd-20*time.Second
 }
--- a/internal/sim/spread_rules.go
+++ b/internal/sim/spread_rules.go
@@ -13,7 +13,7 @@
 func (r *spreadRun) startedMoves() []controller.MoveChanged {
 	var all []controller.MoveChanged
 	for _, m := range r.w.moves {
-		if m.Began.Equal(m.At) && m.Outcome == "" {
+		if m.StartedAt.Equal(m.At) && m.Outcome == "" {
 			all = append(all, m)
 		}
 	}
--- a/internal/sim/zone_recovery_test.go
+++ b/internal/sim/zone_recovery_test.go
@@ -306,7 +306,7 @@
 		runZones(t, w, 360*time.Second, "a task that was lost with its zone runs again")
 		restarts := w.zoneHistory.restarts
 		services = append(services, restarts[scheduler.RestartProdServices]...)
-		batches = append(append(batches, restarts[scheduler.RestartTimelyBatches]...), restarts[scheduler.RestartRest]...)
+		batches = append(append(batches, restarts[scheduler.RestartDeadlineBatches]...), restarts[scheduler.RestartRest]...)
 	}
 	if len(services) == 0 || len(batches) == 0 {
 		t.Fatalf("%d service tasks and %d batch tasks restarted", len(services), len(batches))
--- a/movetrace/recorder.go
+++ b/movetrace/recorder.go
@@ -58,8 +58,8 @@
 	}
 	m := r.findOrStartMove(c)
 	at := trace.WithTimestamp(c.At)
-	if c.Loss != "" && c.Loss != balance.LossOver {
-		m.span.AddEvent(eventReservationReleased, at, trace.WithAttributes(attribute.String(keyReason, string(c.Loss))))
+	if c.ReleaseReason != "" && c.ReleaseReason != balance.ReleasedMoveEnded {
+		m.span.AddEvent(eventReservationReleased, at, trace.WithAttributes(attribute.String(keyReason, string(c.ReleaseReason))))
 	}
 	if c.Outcome == "" {
 		m.span.AddEvent(c.Phase.String(), at)
@@ -82,7 +82,7 @@
 	}
 	found, known := r.moves[c.TaskID]
 	if !known {
-		_, span := r.tracer.Start(context.Background(), spanMove, trace.WithTimestamp(c.Began), trace.WithAttributes(
+		_, span := r.tracer.Start(context.Background(), spanMove, trace.WithTimestamp(c.StartedAt), trace.WithAttributes(
 			attribute.String(keyJob, c.Job), attribute.Int(keyTask, c.Index), attribute.String(keyFrom, c.From), attribute.String(keyTo, c.To),
 			attribute.Int64(keyTerm, int64(c.Term)), attribute.Float64(keyGain, c.Gain)))
 		found = moveSpan{span, c.Term}
--- a/movetrace/recorder_test.go
+++ b/movetrace/recorder_test.go
@@ -17,17 +17,17 @@
 	spans := tracetest.NewInMemoryExporter()
 	r := New(spanexport.NewWithOption(sdktrace.WithSyncer(spans), "n0"))
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	step := func(job string, term uint64, s int, phase balance.Phase, outcome balance.Outcome, loss balance.Loss) {
+	step := func(job string, term uint64, s int, phase balance.Phase, outcome balance.Outcome, releaseReason balance.ReleaseReason) {
 		m := balance.Move{Task: balance.Task{TaskID: balance.TaskID{Job: job, Index: 2}}, From: "a", To: "b"}
 		r.Record(controller.MoveChanged{Term: term, At: start.Add(time.Duration(s) * time.Second),
-			Change: balance.Change{Entry: balance.Entry{Move: m, Phase: phase, Began: start}, Outcome: outcome, Loss: loss}})
+			Change: balance.Change{ActiveMove: balance.ActiveMove{Move: m, Phase: phase, StartedAt: start}, Outcome: outcome, ReleaseReason: releaseReason}})
 	}
 	step("moved", 1, 0, balance.Stopping, "", "")
 	step("left", 1, 0, balance.Stopping, "", "")
-	step("moved", 1, 2, balance.Waiting, "", balance.LossUrgent)
-	step("moved", 1, 5, balance.Waiting, balance.Diverted, balance.LossOver)
+	step("moved", 1, 2, balance.Waiting, "", balance.ReleasedForUrgent)
+	step("moved", 1, 5, balance.Waiting, balance.Diverted, balance.ReleasedMoveEnded)
 	step("next", 2, 9, balance.Stopping, "", "")
-	step("next", 2, 10, balance.Stopping, balance.Completed, balance.LossOver)
+	step("next", 2, 10, balance.Stopping, balance.Completed, balance.ReleasedMoveEnded)
 	want := map[string]struct {
 		took    time.Duration
 		events  int
--- a/scheduler/balance.go
+++ b/scheduler/balance.go
@@ -25,7 +25,7 @@
 	if d.Balance == nil {
 		return balanceRank{}
 	}
-	share := dominantShare(m, m.Free.Add(d.Each, -1))
+	share := dominantShare(m, m.Free.Add(d.TaskResources, -1))
 	return balanceRank{
 		empty: boolToInt(!d.Balance.UseEmpty && m.Free == m.Cap),
 		hot:   boolToInt(share > d.Balance.HotShare+epsilon),
@@ -52,13 +52,13 @@
 // roomBelowHot returns how many tasks of the demand fit on a machine before it becomes hot, or how many fit
 // at all if load is not balanced.
 func (d *Demand) roomBelowHot(m *Machine) int {
-	room := m.Free.Fits(d.Each)
+	room := m.Free.Fits(d.TaskResources)
 	if d.Balance == nil {
 		return room
 	}
 	after := m.Free
 	for n := range room {
-		after = after.Add(d.Each, -1)
+		after = after.Add(d.TaskResources, -1)
 		if dominantShare(m, after) > d.Balance.HotShare+epsilon {
 			return n
 		}
@@ -82,16 +82,16 @@
 
 // Fits reports whether a machine has room for one more task of the demand and meets all its constraints.
 func (d *Demand) Fits(m *Machine) bool {
-	return d.accepts(m) && d.zoneRoom(m.Zone) > 0 && m.Free.Fits(d.Each) > 0
+	return d.accepts(m) && d.zoneRoom(m.Zone) > 0 && m.Free.Fits(d.TaskResources) > 0
 }
 
 // PlaceOn assigns one of the demand's tasks to a machine and subtracts its resources there. It reports false
-// and changes nothing but StartLimit.HeldBack if the task does not fit or may not start there now.
+// and changes nothing but StartLimit.Throttled if the task does not fit or may not start there now.
 func PlaceOn(m *Machine, d *Demand, task int) (Assignment, bool) {
 	if !d.Fits(m) || !d.mayStart(m) {
 		return Assignment{}, false
 	}
-	m.Free = m.Free.Add(d.Each, -1)
+	m.Free = m.Free.Add(d.TaskResources, -1)
 	d.countStarts(m, 1)
 	return Assignment{task, m}, true
 }
--- a/scheduler/balance_test.go
+++ b/scheduler/balance_test.go
@@ -18,7 +18,7 @@
 
 // balancedDemand returns a demand of tasks of two cores that is spread by load.
 func balancedDemand(tasks int, hot float64, useEmpty bool) *Demand {
-	return &Demand{Job: "j", Tasks: make([]int, tasks), Total: tasks, RoomInTeam: tasks, Each: Resources{CPUs: 2, MemoryGB: 1}, Image: "i",
+	return &Demand{Job: "j", Tasks: make([]int, tasks), Total: tasks, RoomInTeam: tasks, TaskResources: Resources{CPUs: 2, MemoryGB: 1}, Image: "i",
 		InZone: map[string]int{}, Balance: &Balance{HotShare: hot, UseEmpty: useEmpty}}
 }
 
@@ -86,10 +86,10 @@
 		"one zone, already another": {func(d *Demand, _ *Machine) { d.OneZone, d.InZone["b"] = true, 1 }, false},
 		"spread, zone is full":      {func(d *Demand, _ *Machine) { d.Spread, d.InZone["a"] = true, 2 }, false},
 		"zone without starts left": {func(d *Demand, _ *Machine) {
-			d.Limits = map[string]*StartLimit{"a": {Fetches: func(string) int { return 9 }}}
+			d.StartLimits = map[string]*StartLimit{"a": {FetchLimit: func(string) int { return 9 }}}
 		}, false},
 		"zone without fetches left": {func(d *Demand, _ *Machine) {
-			d.Limits = map[string]*StartLimit{"a": {Starts: 9, Fetches: func(string) int { return 0 }}}
+			d.StartLimits = map[string]*StartLimit{"a": {Starts: 9, FetchLimit: func(string) int { return 0 }}}
 		}, false},
 	} {
 		m, d := partlyUsed(2)[0], balancedDemand(4, 1, true)
@@ -105,7 +105,7 @@
 // A shard's machines with the image count only as far as they stay below the hot share.
 func TestShardsCountRoomBelowHot(t *testing.T) {
 	machines := partlyUsed(5, 2)
-	machines[0].Part, machines[1].Part = "a", "b"
+	machines[0].Shard, machines[1].Shard = "a", "b"
 	machines[0].Images["i"] = true
 	if got := placements(machines, balancedDemand(1, 0.6, false)); got != "m1 " {
 		t.Errorf("other shard has a machine that is not hot: placed on %s", got)
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -7,7 +7,7 @@
 	Job, Class, Team string
 	Tasks            []int     // indexes of the pending tasks, in order
 	Total            int       // number of all tasks of the job, pending or not
-	Each             Resources // resources of one task
+	TaskResources    Resources // resources of one task
 	Measure          Measure
 	Types            []string // permitted machine types; empty: all
 	Zone             string   // required zone; empty: any
@@ -15,7 +15,7 @@
 	Spot             bool     // spot machines are permitted
 	Image            string
 	CachedOnly       bool // only machines that have the image
-	KeepOffSpot      bool // prefer non-spot machines even over image locality: losing a task delays other jobs too
+	PreferNonSpot    bool // prefer non-spot machines even over image locality: losing a task delays other jobs too
 	Rank             int  // index of the job's priority; 0 is the highest
 	Service          bool
 	Gang             bool                   // all tasks are placed at once or none is
@@ -24,16 +24,16 @@
 	OtherClasses     []Resources            // resources of one task of each other class
 	WithinGuarantee  bool                   // the job runs within its team's guarantee
 	AgeS             float64                // seconds since the job became ready
-	Begun            bool                   // a task of the job has run
+	Started          bool                   // a task of the job has run
 	Aged             bool                   // it has waited long enough to be ordered by age, see OrderWithAging
-	Late             int                    // objectives on its finishing time that it can no longer meet
+	MissedObjectives int                    // objectives on its finishing time that it can no longer meet
 	WorkS            float64                // remaining work: the sum of task sizes times seconds
 	InZone           map[string]int         // tasks with an active attempt, by zone
 	RoomInTeam       int                    // further tasks that the team's limit allows
 	Avoid            map[string]bool        // IDs of machines that must not be used
-	Phase            RestartPhase           // restart priority while work of a failed zone restarts
+	RestartPhase     RestartPhase           // restart priority while work of a failed zone restarts
 	OnlyZone         string                 // the only zone with machines that fit; empty if there are several or it was not determined
-	Limits           map[string]*StartLimit // limits on starts by zone; a zone without an entry is unlimited
+	StartLimits      map[string]*StartLimit // limits on starts by zone; a zone without an entry is unlimited
 	Balance          *Balance               // nil: the most loaded machine first
 }
 
@@ -50,7 +50,7 @@
 // zoneRoom returns how many more of the demand's tasks may be placed in a zone.
 func (d *Demand) zoneRoom(zone string) int {
 	room := d.spreadRoom(zone)
-	if limit := d.Limits[zone]; limit != nil {
+	if limit := d.StartLimits[zone]; limit != nil {
 		return min(room, limit.room(d))
 	}
 	return room
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -16,10 +16,10 @@
 	Count int
 }
 
-// Fleet decides which machines to rent for tasks that fit on no machine, booting ones
+// PlanRentals decides which machines to rent for tasks that fit on no machine, booting ones
 // included. It rents at most maxKinds kinds of machine and picks, each time, the offer
 // with the lowest cost per task that it can hold.
-func Fleet(machines []*Machine, demands []*Demand, offers []Offer, maxKinds int) []RentalRequest {
+func PlanRentals(machines []*Machine, demands []*Demand, offers []Offer, maxKinds int) []RentalRequest {
 	var requests []RentalRequest
 	kinds := map[Offer]bool{}
 	Order(demands)
@@ -31,8 +31,8 @@
 				break
 			}
 			m := &Machine{ID: "wanted", Type: best.Type, Zone: best.Zone, Spot: best.Spot, Cap: best.Cap, Free: best.Cap, Virtual: true}
-			for left > 0 && d.zoneRoom(m.Zone) > 0 && m.Free.Fits(d.Each) > 0 {
-				m.Free = m.Free.Add(d.Each, -1)
+			for left > 0 && d.zoneRoom(m.Zone) > 0 && m.Free.Fits(d.TaskResources) > 0 {
+				m.Free = m.Free.Add(d.TaskResources, -1)
 				d.InZone[m.Zone]++
 				left--
 			}
@@ -53,7 +53,7 @@
 		if !d.Allows(o.Type, o.Zone, o.Spot) || d.zoneRoom(o.Zone) <= 0 {
 			continue
 		}
-		n := min(o.Cap.Fits(d.Each), d.zoneRoom(o.Zone))
+		n := min(o.Cap.Fits(d.TaskResources), d.zoneRoom(o.Zone))
 		if n == 0 {
 			continue
 		}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -13,8 +13,8 @@
 func Order(ds []*Demand) {
 	slices.SortStableFunc(ds, func(a, b *Demand) int {
 		return cmp.Or(cmp.Compare(urgencyTier(a), urgencyTier(b)), cmp.Compare(b.agedSeconds(), a.agedSeconds()), cmp.Compare(a.servicePhase(), b.servicePhase()),
-			cmp.Compare(boolToInt(!a.WithinGuarantee), boolToInt(!b.WithinGuarantee)), cmp.Compare(a.Phase, b.Phase), cmp.Compare(boolToInt(!a.pinnedToLimitedZone()), boolToInt(!b.pinnedToLimitedZone())),
-			cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Late, b.Late), cmp.Compare(a.WorkS, b.WorkS), cmp.Compare(b.AgeS, a.AgeS), cmp.Compare(a.Job, b.Job))
+			cmp.Compare(boolToInt(!a.WithinGuarantee), boolToInt(!b.WithinGuarantee)), cmp.Compare(a.RestartPhase, b.RestartPhase), cmp.Compare(boolToInt(!a.pinnedToLimitedZone()), boolToInt(!b.pinnedToLimitedZone())),
+			cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.MissedObjectives, b.MissedObjectives), cmp.Compare(a.WorkS, b.WorkS), cmp.Compare(b.AgeS, a.AgeS), cmp.Compare(a.Job, b.Job))
 	})
 }
 
@@ -35,9 +35,9 @@
 	var out []*Demand
 	slices.SortStableFunc(ds, func(a, b *Demand) int { return cmp.Compare(b.agedSeconds(), a.agedSeconds()) })
 	for _, d := range ds {
-		n, size := len(d.Tasks), d.Measure.Of(d.Each)
+		n, size := len(d.Tasks), d.Measure.Of(d.TaskResources)
 		if d.Aged && urgencyTier(d) > 0 && !d.Gang && size > 0 {
-			n = min(n, max(int(reserve/size), 1-boolToInt(d.Begun)))
+			n = min(n, max(int(reserve/size), 1-boolToInt(d.Started)))
 			reserve -= float64(n) * size
 		}
 		if n < len(d.Tasks) {
@@ -64,7 +64,7 @@
 	}
 	var fit []*Machine
 	for _, m := range machines {
-		if !m.Virtual && d.accepts(m) && m.Cap.Fits(d.Each) > 0 && d.zoneRoom(m.Zone) > 0 {
+		if !m.Virtual && d.accepts(m) && m.Cap.Fits(d.TaskResources) > 0 && d.zoneRoom(m.Zone) > 0 {
 			fit = append(fit, m)
 		}
 	}
@@ -82,7 +82,7 @@
 			continue
 		}
 		zone = m.Zone
-		want -= m.Cap.Fits(d.Each)
+		want -= m.Cap.Fits(d.TaskResources)
 		m.Free = Resources{}
 	}
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -12,9 +12,9 @@
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool
-	Part           string
+	Shard          string
 	Cap, Free      Resources
-	Soon           Resources // resources that become free once stopping tasks have ended
+	Releasing      Resources // resources that become free once stopping tasks have ended
 	Images         map[string]bool
 	Fetching       map[string]bool // images being fetched; filled in only if load is balanced
 	Penalty        int             // above 0 if the machine is suspected faulty: used last
@@ -28,10 +28,10 @@
 	Machine *Machine
 }
 
-// PartOf assigns a machine to the shard of one of the live controllers by rendezvous
+// ShardOf assigns a machine to the shard of one of the live controllers by rendezvous
 // hashing: the controller with the highest hash wins, so a controller that stops moves
 // only its own machines to other shards.
-func PartOf(machine string, controllers []string) string {
+func ShardOf(machine string, controllers []string) string {
 	best, highest := "", uint64(0)
 	for _, controller := range controllers {
 		sum := sha256.Sum256([]byte(controller + "/" + machine)) // simpler hashes favour one name
@@ -52,7 +52,7 @@
 	}
 	var eligible []*Machine
 	for _, m := range machines {
-		if d.accepts(m) && m.Free.Fits(d.Each) > 0 {
+		if d.accepts(m) && m.Free.Fits(d.TaskResources) > 0 {
 			eligible = append(eligible, m)
 		}
 	}
@@ -68,7 +68,7 @@
 	out := assignTasks(eligible, d, want)
 	if d.Gang && len(out) < want {
 		for _, p := range out {
-			p.Machine.Free = p.Machine.Free.Add(d.Each, 1)
+			p.Machine.Free = p.Machine.Free.Add(d.TaskResources, 1)
 			d.countStarts(p.Machine, -1)
 		}
 		return nil
@@ -85,7 +85,7 @@
 }
 
 func (d *Demand) candidate(m *Machine) candidate {
-	return candidate{m, boolToInt(!d.hasImage(m)), boolToInt(d.Spot && m.Spot == d.KeepOffSpot), d.costToOthers(m), d.balanceRank(m)}
+	return candidate{m, boolToInt(!d.hasImage(m)), boolToInt(d.Spot && m.Spot == d.PreferNonSpot), d.costToOthers(m), d.balanceRank(m)}
 }
 
 // compare orders machines for one task. All else being equal, the machine comes first
@@ -95,7 +95,7 @@
 // the last criterion is the smallest share.
 func (d *Demand) compare(a, b candidate) int {
 	c := cmp.Compare(a.Penalty, b.Penalty)
-	if d.KeepOffSpot {
+	if d.PreferNonSpot {
 		c = cmp.Or(c, cmp.Compare(a.unwanted, b.unwanted))
 	}
 	if d.WaitForBooting {
@@ -124,7 +124,7 @@
 	if d.WaitForBooting || d.SpreadImages && !m.Images[d.Image] {
 		return boolToInt(d.suitsOthers(m.Cap))
 	}
-	after := m.Free.Add(d.Each, -1)
+	after := m.Free.Add(d.TaskResources, -1)
 	for _, o := range d.OtherClasses {
 		n += m.Free.Fits(o) - after.Fits(o)
 	}
@@ -168,11 +168,11 @@
 	var out []Assignment
 	for len(out) < want && len(r.items) > 0 {
 		m := r.items[0].Machine
-		if d.spreadRoom(m.Zone) <= 0 || m.Free.Fits(d.Each) == 0 || !d.mayStart(m) {
+		if d.spreadRoom(m.Zone) <= 0 || m.Free.Fits(d.TaskResources) == 0 || !d.mayStart(m) {
 			heap.Pop(r)
 			continue
 		}
-		m.Free = m.Free.Add(d.Each, -1)
+		m.Free = m.Free.Add(d.TaskResources, -1)
 		d.countStarts(m, 1)
 		d.markFetching(m)
 		out = append(out, Assignment{d.Tasks[len(out)], m})
@@ -192,7 +192,7 @@
 func (d *Demand) capacity(machines []*Machine, want int) capacity {
 	var r capacity
 	for _, m := range machines {
-		n := m.Free.Fits(d.Each)
+		n := m.Free.Fits(d.TaskResources)
 		r.all += n
 		if m.Penalty > 0 {
 			continue
@@ -213,7 +213,7 @@
 func bestShard(eligible []*Machine, d *Demand, want int) []*Machine {
 	shards := map[string][]*Machine{}
 	for _, m := range eligible {
-		shards[m.Part] = append(shards[m.Part], m)
+		shards[m.Shard] = append(shards[m.Shard], m)
 	}
 	var best []*Machine
 	bestName, largest := "", capacity{-1, -1, -1}
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Terms are the properties that decide on the preemption of a job's tasks.
-type Terms struct {
-	Job, Team   string
-	Rank        int  // index of the job's priority; 0 is the highest
-	Borrowed    bool // runs beyond its team's guarantee
-	Each        Resources
-	CheckpointS float64 // seconds between checkpoints; 0: none
+// PreemptionTerms are the properties that decide on the preemption of a job's tasks.
+type PreemptionTerms struct {
+	Job, Team     string
+	Rank          int  // index of the job's priority; 0 is the highest
+	Borrowed      bool // runs beyond its team's guarantee
+	TaskResources Resources
+	CheckpointS   float64 // seconds between checkpoints; 0: none
 }
 
 // Victim is a task that could be preempted.
 type Victim struct {
-	*Terms
+	*PreemptionTerms
 	Task        int
 	Since       time.Time // when it began to run; zero if it is not running
 	PlacedByAge bool      // placed because its job had aged: only a higher priority may preempt it
@@ -49,22 +49,22 @@
 
 // covers reports whether the task's team would still have its guarantee, in each resource that
 // the task uses, after the task and the tasks chosen so far are stopped.
-func (e Excess) covers(chosen []Victim, t *Terms) bool {
+func (e Excess) covers(chosen []Victim, t *PreemptionTerms) bool {
 	remaining := e[t.Team]
 	remaining.MemoryGB = math.Inf(1) // memory is never guaranteed
 	for _, v := range chosen {
 		if v.Team == t.Team {
-			remaining = remaining.Add(v.Each, -1)
+			remaining = remaining.Add(v.TaskResources, -1)
 		}
 	}
-	return remaining.Fits(t.Each) > 0
+	return remaining.Fits(t.TaskResources) > 0
 }
 
-// Use adds a running task to its team's excess.
-func (e Excess) Use(t *Terms) { e[t.Team] = e[t.Team].Add(t.Each, 1) }
+// Add adds a running task to its team's excess.
+func (e Excess) Add(t *PreemptionTerms) { e[t.Team] = e[t.Team].Add(t.TaskResources, 1) }
 
 // remove subtracts a stopped task from its team's excess.
-func (e Excess) remove(t *Terms) { e[t.Team] = e[t.Team].Add(t.Each, -1) }
+func (e Excess) remove(t *PreemptionTerms) { e[t.Team] = e[t.Team].Add(t.TaskResources, -1) }
 
 // Preempt picks tasks to stop so that up to missing tasks of d fit. It returns these victims
 // and how many tasks of d get room, be it through them or through resources that stopping
@@ -72,7 +72,7 @@
 func Preempt(machines []*Machine, d *Demand, missing int, excess Excess, now time.Time) (victims []Victim, room int) {
 	var costs []preemptionCost
 	consider := func(m *Machine) {
-		if vs, loss := chooseVictims(m, d, m.Free.Add(m.Soon, 1), excess, now); vs != nil {
+		if vs, loss := chooseVictims(m, d, m.Free.Add(m.Releasing, 1), excess, now); vs != nil {
 			costs = append(costs, preemptionCost{m, loss})
 		}
 	}
@@ -83,8 +83,8 @@
 			continue
 		}
 		// Resources that stopping tasks will release are set aside for these tasks first.
-		for room < missing && d.zoneRoom(m.Zone) > 0 && m.Free.Add(m.Soon, 1).Fits(d.Each) > 0 {
-			m.Soon = m.Soon.Add(d.Each, -1)
+		for room < missing && d.zoneRoom(m.Zone) > 0 && m.Free.Add(m.Releasing, 1).Fits(d.TaskResources) > 0 {
+			m.Releasing = m.Releasing.Add(d.TaskResources, -1)
 			d.InZone[m.Zone]++
 			room++
 		}
@@ -103,7 +103,7 @@
 		cheapest := costs[best]
 		costs = slices.Delete(costs, best, best+1)
 		// Victims chosen on other machines since then may have used up a team's excess.
-		vs, loss := chooseVictims(cheapest.machine, d, cheapest.machine.Free.Add(cheapest.machine.Soon, 1), excess, now)
+		vs, loss := chooseVictims(cheapest.machine, d, cheapest.machine.Free.Add(cheapest.machine.Releasing, 1), excess, now)
 		if loss > cheapest.loss {
 			costs = append(costs, preemptionCost{cheapest.machine, loss})
 		}
@@ -112,7 +112,7 @@
 		}
 		recordEvictions(cheapest.machine, vs, d)
 		for _, v := range vs {
-			excess.remove(v.Terms)
+			excess.remove(v.PreemptionTerms)
 		}
 		d.InZone[cheapest.machine.Zone]++
 		victims = append(victims, vs...)
@@ -138,19 +138,19 @@
 	var chosen []Victim
 	loss := 0.0
 	for _, v := range vs {
-		if v.Rank <= d.Rank && !excess.covers(chosen, v.Terms) {
+		if v.Rank <= d.Rank && !excess.covers(chosen, v.PreemptionTerms) {
 			continue
 		}
 		chosen = append(chosen, v)
 		loss += v.lostWork(now) + 1
-		if free = free.Add(v.Each, 1); free.Fits(d.Each) > 0 {
+		if free = free.Add(v.TaskResources, 1); free.Fits(d.TaskResources) > 0 {
 			return chosen, loss
 		}
 	}
 	return nil, 0
 }
 
-// recordEvictions adds the victims' resources to those that become free soon, less one task of d.
+// recordEvictions adds the victims' resources to those that are being released, less one task of d.
 func recordEvictions(m *Machine, victims []Victim, d *Demand) {
 	remaining := make([]Victim, 0, len(m.Tasks))
 	for _, t := range m.Tasks {
@@ -160,7 +160,7 @@
 	}
 	m.Tasks = remaining // a new slice: the old one belongs to the leader
 	for _, v := range victims {
-		m.Soon = m.Soon.Add(v.Each, 1)
+		m.Releasing = m.Releasing.Add(v.TaskResources, 1)
 	}
-	m.Soon = m.Soon.Add(d.Each, -1)
+	m.Releasing = m.Releasing.Add(d.TaskResources, -1)
 }
--- a/scheduler/restart.go
+++ b/scheduler/restart.go
@@ -9,22 +9,22 @@
 
 // The phases, in the order in which they restart.
 const (
-	RestartProdServices  RestartPhase = iota // services that users wait for
-	RestartServices                          // other services
-	RestartTimelyBatches                     // batch jobs with a deadline, overdue or not
-	RestartRest                              // everything else
+	RestartProdServices    RestartPhase = iota // services that users wait for
+	RestartServices                            // other services
+	RestartDeadlineBatches                     // batch jobs with a deadline, overdue or not
+	RestartRest                                // everything else
 )
 
 // servicePhase returns the phase with all batch phases made equal: it orders services among each other
 // and before batch jobs.
-func (d *Demand) servicePhase() RestartPhase { return min(d.Phase, RestartTimelyBatches) }
+func (d *Demand) servicePhase() RestartPhase { return min(d.RestartPhase, RestartDeadlineBatches) }
 
 // StartLimit limits how many tasks all demands together may start in one zone in a placement round.
 type StartLimit struct {
-	Starts    int                    // starts that are still allowed
-	Fetches   func(image string) int // starts allowed in the round on machines without the image
-	BoundOnly bool                   // only demands that can run in no other zone may start
-	HeldBack  bool                   // set if the limit delayed a task that had room
+	Starts     int                    // starts that are still allowed
+	FetchLimit func(image string) int // starts allowed in the round on machines without the image
+	PinnedOnly bool                   // only demands that can run in no other zone may start
+	Throttled  bool                   // set if the limit delayed a task that had room
 
 	fetched map[string]int // starts on machines without the image in this round, by image
 }
@@ -37,7 +37,7 @@
 // pinnedToLimitedZone reports whether a demand can run only in a zone whose starts are limited. Such demands
 // are ordered before others.
 func (d *Demand) pinnedToLimitedZone() bool {
-	for zone := range d.Limits {
+	for zone := range d.StartLimits {
 		if d.pinnedTo(zone) {
 			return true
 		}
@@ -47,7 +47,7 @@
 
 // room returns how many more tasks of a demand may start in the zone, whatever their images.
 func (l *StartLimit) room(d *Demand) int {
-	if l.BoundOnly && !d.pinnedToLimitedZone() {
+	if l.PinnedOnly && !d.pinnedToLimitedZone() {
 		return 0
 	}
 	return max(l.Starts, 0)
@@ -55,7 +55,7 @@
 
 // allows reports whether a task of the demand may start on a machine of the zone.
 func (l *StartLimit) allows(d *Demand, m *Machine) bool {
-	return l.room(d) > 0 && (m.Images[d.Image] || l.fetched[d.Image] < l.Fetches(d.Image))
+	return l.room(d) > 0 && (m.Images[d.Image] || l.fetched[d.Image] < l.FetchLimit(d.Image))
 }
 
 // count records starts on a machine of the zone; a negative number undoes them.
@@ -73,11 +73,11 @@
 // mayStart reports whether the limit of a machine's zone, if there is one, allows a start. If it does not,
 // it marks the limit as having delayed a task.
 func (d *Demand) mayStart(m *Machine) bool {
-	limit := d.Limits[m.Zone]
+	limit := d.StartLimits[m.Zone]
 	if limit == nil || limit.allows(d, m) {
 		return true
 	}
-	limit.HeldBack = true
+	limit.Throttled = true
 	return false
 }
 
@@ -85,7 +85,7 @@
 // number undoes them.
 func (d *Demand) countStarts(m *Machine, starts int) {
 	d.InZone[m.Zone] += starts
-	if limit := d.Limits[m.Zone]; limit != nil {
+	if limit := d.StartLimits[m.Zone]; limit != nil {
 		limit.count(d, m, starts)
 	}
 }
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -11,13 +11,13 @@
 // ordered by phase, but only after age and guarantees.
 func TestRestartPhasesOrderDemands(t *testing.T) {
 	named := func(job string, service bool, phase RestartPhase) *Demand {
-		return &Demand{Job: job, Service: service, Rank: 2, Phase: phase, WithinGuarantee: true}
+		return &Demand{Job: job, Service: service, Rank: 2, RestartPhase: phase, WithinGuarantee: true}
 	}
 	// Work and name, which are compared after the phase, would order the demands the other way round.
-	aged, borrowed := named("f-aged", false, RestartRest), named("a-borrowed", false, RestartTimelyBatches)
+	aged, borrowed := named("f-aged", false, RestartRest), named("a-borrowed", false, RestartDeadlineBatches)
 	aged.Aged, aged.AgeS, borrowed.WithinGuarantee = true, 100, false
 	prod, other := named("z-prod", true, RestartProdServices), named("b-service", true, RestartServices)
-	timely, rest := named("y-timely", false, RestartTimelyBatches), named("c-rest", false, RestartRest)
+	timely, rest := named("y-timely", false, RestartDeadlineBatches), named("c-rest", false, RestartRest)
 	prod.WorkS, prod.WithinGuarantee, timely.WorkS = 9, false, 9 // services come first even beyond their guarantee
 	ds := []*Demand{rest, borrowed, other, timely, aged, prod}
 	Order(ds)
@@ -30,7 +30,7 @@
 	}
 }
 
-// No zone gets more starts or fetches than its limit allows, a limit with BoundOnly admits only demands
+// No zone gets more starts or fetches than its limit allows, a limit with PinnedOnly admits only demands
 // that can run in no other zone, and starts of a gang that does not fit are returned to the limit.
 func TestStartLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -39,19 +39,19 @@
 			m.Images["img"] = rapid.Bool().Draw(t, "cached")
 		}
 		starts, fetches := rapid.IntRange(0, 9).Draw(t, "starts"), rapid.IntRange(0, 5).Draw(t, "fetches")
-		limit := &StartLimit{Starts: starts, Fetches: func(string) int { return fetches }, BoundOnly: rapid.Bool().Draw(t, "bound only")}
+		limit := &StartLimit{Starts: starts, FetchLimit: func(string) int { return fetches }, PinnedOnly: rapid.Bool().Draw(t, "pinned only")}
 		started, fetched := 0, 0
 		for range rapid.IntRange(1, 4).Draw(t, "demands") {
 			d := demand(rapid.IntRange(1, 8).Draw(t, "tasks"), float64(rapid.IntRange(1, 4).Draw(t, "each")))
 			d.Gang, d.OneZone = rapid.Bool().Draw(t, "gang"), rapid.Bool().Draw(t, "one zone")
 			d.Zone = rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
-			d.Limits = map[string]*StartLimit{"a": limit}
+			d.StartLimits = map[string]*StartLimit{"a": limit}
 			bound := d.pinnedTo("a")
 			for _, p := range Place(ms, d) {
 				if p.Machine.Zone != "a" {
 					continue
 				}
-				if limit.BoundOnly && !bound {
+				if limit.PinnedOnly && !bound {
 					t.Fatalf("%+v starts in a zone that admits only demands pinned to it", d)
 				}
 				started++
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -15,7 +15,7 @@
 	var ms []*Machine
 	for i := range n {
 		c := Resources{CPUs: cpus, MemoryGB: 64}
-		ms = append(ms, &Machine{ID: fmt.Sprintf("%s%d", zone, i), Type: "t", Zone: zone, Part: fmt.Sprint(i % 2),
+		ms = append(ms, &Machine{ID: fmt.Sprintf("%s%d", zone, i), Type: "t", Zone: zone, Shard: fmt.Sprint(i % 2),
 			Cap: c, Free: c, Images: map[string]bool{}})
 	}
 	return ms
@@ -23,7 +23,7 @@
 
 func demand(tasks int, cpus float64) *Demand {
 	return &Demand{Job: "j", Tasks: make([]int, tasks), Total: tasks, RoomInTeam: tasks,
-		Each: Resources{CPUs: cpus, MemoryGB: 1}, Image: "img", InZone: map[string]int{}}
+		TaskResources: Resources{CPUs: cpus, MemoryGB: 1}, Image: "img", InZone: map[string]int{}}
 }
 
 // Placements on random machines respect free resources, zones, spot machines, cached images and
@@ -35,7 +35,7 @@
 			c := Resources{CPUs: float64(rapid.IntRange(1, 16).Draw(t, "cpus")), MemoryGB: 64}
 			ms = append(ms, &Machine{ID: fmt.Sprint(i), Type: rapid.SampledFrom([]string{"s", "b"}).Draw(t, "type"),
 				Zone: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
-				Part: fmt.Sprint(i % 3), Cap: c, Free: c, Images: map[string]bool{"img": rapid.Bool().Draw(t, "cached")}})
+				Shard: fmt.Sprint(i % 3), Cap: c, Free: c, Images: map[string]bool{"img": rapid.Bool().Draw(t, "cached")}})
 		}
 		d := demand(rapid.IntRange(1, 12).Draw(t, "tasks"), float64(rapid.IntRange(1, 4).Draw(t, "each")))
 		d.RoomInTeam = rapid.IntRange(0, 12).Draw(t, "room")
@@ -50,7 +50,7 @@
 		for _, p := range placed {
 			m := p.Machine
 			zones[m.Zone]++
-			used[m] += d.Each.CPUs
+			used[m] += d.TaskResources.CPUs
 			if m.Spot && !d.Spot || d.CachedOnly && !m.Images["img"] {
 				t.Fatalf("placed on a machine that the demand excludes: %+v", m)
 			}
@@ -102,7 +102,7 @@
 	d := demand(2, 2)
 	d.SpreadImages, d.OtherClasses = true, []Resources{{CPUs: 4}}
 	for _, m := range ms {
-		m.Part = "one"
+		m.Shard = "one"
 	}
 	if p := Place(ms, d); p[0].Machine == p[1].Machine {
 		t.Fatal("both tasks are on one machine")
@@ -117,14 +117,14 @@
 			{ID: "i-1", Type: "small", Spot: true, Cap: Resources{CPUs: 4}, Free: Resources{CPUs: 4}, Images: map[string]bool{"img": true}},
 			{ID: "i-2", Type: "small", Cap: Resources{CPUs: 4}, Free: Resources{CPUs: 4}},
 		}
-		d := &Demand{Job: "j", Tasks: []int{0}, Total: 1, RoomInTeam: 1, Each: Resources{CPUs: 1}, Image: "img", Spot: true,
-			KeepOffSpot: keepOff, InZone: map[string]int{}}
+		d := &Demand{Job: "j", Tasks: []int{0}, Total: 1, RoomInTeam: 1, TaskResources: Resources{CPUs: 1}, Image: "img", Spot: true,
+			PreferNonSpot: keepOff, InZone: map[string]int{}}
 		placed := Place(machines, d)
 		if len(placed) != 1 || placed[0].Machine.Spot == keepOff {
 			t.Errorf("keep off spot %v: placed %+v", keepOff, placed)
 		}
-		d = &Demand{Job: "k", Tasks: []int{0, 1, 2, 3, 4, 5}, Total: 6, RoomInTeam: 6, Each: Resources{CPUs: 1}, Image: "img", Spot: true,
-			KeepOffSpot: keepOff, InZone: map[string]int{}}
+		d = &Demand{Job: "k", Tasks: []int{0, 1, 2, 3, 4, 5}, Total: 6, RoomInTeam: 6, TaskResources: Resources{CPUs: 1}, Image: "img", Spot: true,
+			PreferNonSpot: keepOff, InZone: map[string]int{}}
 		if placed := Place(machines, d); len(placed) != 6 {
 			t.Errorf("keep off spot %v: %d of 6 tasks placed", keepOff, len(placed))
 		}
@@ -134,7 +134,7 @@
 func TestOrder(t *testing.T) {
 	names := []string{"service", "within", "small", "large", "late", "borrowed"}
 	ds := []*Demand{
-		{Job: "borrowed", Rank: 2}, {Job: "late", Rank: 2, WithinGuarantee: true, Late: 1}, {Job: "large", Rank: 2, WithinGuarantee: true, WorkS: 9},
+		{Job: "borrowed", Rank: 2}, {Job: "late", Rank: 2, WithinGuarantee: true, MissedObjectives: 1}, {Job: "large", Rank: 2, WithinGuarantee: true, WorkS: 9},
 		{Job: "service", Rank: 2, Service: true, WithinGuarantee: true}, {Job: "small", Rank: 2, WithinGuarantee: true, WorkS: 5},
 		{Job: "within", Rank: 1, WithinGuarantee: true, WorkS: 100},
 	}
@@ -153,10 +153,10 @@
 		want   int
 	}{{0, 0}, {3, 0}, {4, 1}, {11, 2}, {100, 6}} {
 		ms := machines(6, "x", 4)
-		terms := &Terms{Job: "j", Team: "blue", Rank: 2, Borrowed: true, Each: Resources{CPUs: 4}}
+		terms := &PreemptionTerms{Job: "j", Team: "blue", Rank: 2, Borrowed: true, TaskResources: Resources{CPUs: 4}}
 		for i, m := range ms {
 			m.Free = Resources{MemoryGB: m.Free.MemoryGB}
-			m.Tasks = []Victim{{Terms: terms, Task: i}}
+			m.Tasks = []Victim{{PreemptionTerms: terms, Task: i}}
 		}
 		d := demand(6, 4)
 		d.Rank, d.Team, d.WithinGuarantee = 2, "red", true
@@ -167,27 +167,27 @@
 }
 
 func TestPreempt(t *testing.T) {
-	full := func(terms Terms) []*Machine {
+	full := func(terms PreemptionTerms) []*Machine {
 		ms := machines(1, "x", 4)
 		ms[0].Free = Resources{}
-		terms.Each = Resources{CPUs: 4, MemoryGB: 4}
-		ms[0].Tasks = []Victim{{Terms: &terms}}
+		terms.TaskResources = Resources{CPUs: 4, MemoryGB: 4}
+		ms[0].Tasks = []Victim{{PreemptionTerms: &terms}}
 		return ms
 	}
 	d := demand(1, 2)
 	d.Rank, d.Team = 2, "red"
 	for name, c := range map[string]struct {
-		victim Terms
+		victim PreemptionTerms
 		within bool
 		want   bool
 	}{
-		"lower priority":                        {Terms{Rank: 3, Team: "red"}, false, true},
-		"same priority":                         {Terms{Rank: 2, Team: "blue"}, true, false},
-		"borrowed, for a guarantee":             {Terms{Rank: 2, Team: "blue", Borrowed: true}, true, true},
-		"borrowed, for borrowed":                {Terms{Rank: 2, Team: "blue", Borrowed: true}, false, false},
-		"borrowed by the same team":             {Terms{Rank: 2, Team: "red", Borrowed: true}, true, false},
-		"higher priority, borrowed":             {Terms{Rank: 0, Team: "blue", Borrowed: true}, true, true},
-		"higher priority, within its guarantee": {Terms{Rank: 0, Team: "blue"}, true, false},
+		"lower priority":                        {PreemptionTerms{Rank: 3, Team: "red"}, false, true},
+		"same priority":                         {PreemptionTerms{Rank: 2, Team: "blue"}, true, false},
+		"borrowed, for a guarantee":             {PreemptionTerms{Rank: 2, Team: "blue", Borrowed: true}, true, true},
+		"borrowed, for borrowed":                {PreemptionTerms{Rank: 2, Team: "blue", Borrowed: true}, false, false},
+		"borrowed by the same team":             {PreemptionTerms{Rank: 2, Team: "red", Borrowed: true}, true, false},
+		"higher priority, borrowed":             {PreemptionTerms{Rank: 0, Team: "blue", Borrowed: true}, true, true},
+		"higher priority, within its guarantee": {PreemptionTerms{Rank: 0, Team: "blue"}, true, false},
 	} {
 		d.WithinGuarantee = c.within
 		vs, room := Preempt(full(c.victim), d, 1, Excess{"blue": {CPUs: 4}, "red": {CPUs: 4}}, time.Time{})
@@ -196,10 +196,10 @@
 		}
 	}
 	// Resources that stopping tasks release are set aside for one task, and nothing more is stopped.
-	ms := full(Terms{Rank: 3})
-	ms[0].Soon = Resources{CPUs: 2, MemoryGB: 2}
-	if vs, room := Preempt(ms, d, 1, nil, time.Time{}); vs != nil || room != 1 || ms[0].Soon.CPUs != 0 {
-		t.Errorf("stopped %v, room for %v, soon %v", vs, room, ms[0].Soon)
+	ms := full(PreemptionTerms{Rank: 3})
+	ms[0].Releasing = Resources{CPUs: 2, MemoryGB: 2}
+	if vs, room := Preempt(ms, d, 1, nil, time.Time{}); vs != nil || room != 1 || ms[0].Releasing.CPUs != 0 {
+		t.Errorf("stopped %v, room for %v, releasing %v", vs, room, ms[0].Releasing)
 	}
 }
 
@@ -210,15 +210,15 @@
 		{Type: "small", Cap: Resources{CPUs: 4, MemoryGB: 32}, Price: 0.36},
 	}
 	d := demand(1, 2)
-	if w := Fleet(nil, []*Demand{d}, offers, 5); len(w) != 1 || w[0].Offer.Type != "small" || w[0].Count != 1 {
+	if w := PlanRentals(nil, []*Demand{d}, offers, 5); len(w) != 1 || w[0].Offer.Type != "small" || w[0].Count != 1 {
 		t.Errorf("one small task: %+v", w)
 	}
 	d = demand(5, 8)
 	d.Spot = true
-	if w := Fleet(nil, []*Demand{d}, offers, 5); len(w) != 1 || !w[0].Offer.Spot || w[0].Count != 2 {
+	if w := PlanRentals(nil, []*Demand{d}, offers, 5); len(w) != 1 || !w[0].Offer.Spot || w[0].Count != 2 {
 		t.Errorf("five large tasks on spot: %+v", w)
 	}
-	if w := Fleet(machines(1, "x", 16), []*Demand{demand(4, 2)}, offers, 5); w != nil {
+	if w := PlanRentals(machines(1, "x", 16), []*Demand{demand(4, 2)}, offers, 5); w != nil {
 		t.Errorf("rented %+v though there is room", w)
 	}
 }
@@ -228,7 +228,7 @@
 	machinesOf := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprintf("i-%06d", i)
-		before, after := PartOf(id, all), PartOf(id, rest)
+		before, after := ShardOf(id, all), ShardOf(id, rest)
 		machinesOf[before]++
 		if before != "n1" && before != after {
 			t.Fatalf("%s moved from %s to %s", id, before, after)
@@ -274,8 +274,8 @@
 		for _, l := range large {
 			if len(l.Tasks) > 0 {
 				d := *l
-				d.AgeS, d.Begun, d.InZone = float64(round), served[l.Job] > 0, map[string]int{}
-				d.Aged = round > 80 && !d.Begun || round > 120
+				d.AgeS, d.Started, d.InZone = float64(round), served[l.Job] > 0, map[string]int{}
+				d.Aged = round > 80 && !d.Started || round > 120
 				d.RoomInTeam = len(d.Tasks)
 				ds = append(ds, &d)
 			}
@@ -287,7 +287,7 @@
 		for _, d := range OrderWithAging(ds, max(reserve, 0)) {
 			ps := Place(ms, d)
 			for _, p := range ps {
-				running = append(running, busy{p.Machine, d.Each, round + 7, d.AgeS > 120})
+				running = append(running, busy{p.Machine, d.TaskResources, round + 7, d.AgeS > 120})
 			}
 			if d.Aged && len(ps) == 0 {
 				ReserveFor(ms, d)
@@ -320,12 +320,12 @@
 	for _, class := range []string{"batch", "nightly"} {
 		for _, team := range []string{"red", "blue"} {
 			d := demand(40, 4)
-			d.Job, d.Class, d.Team, d.Rank, d.WorkS, d.Late = class+"-"+team, class, team, 2, 1e6, 1
+			d.Job, d.Class, d.Team, d.Rank, d.WorkS, d.MissedObjectives = class+"-"+team, class, team, 2, 1e6, 1
 			large = append(large, d)
 		}
 	}
 	whole := demand(2, 16) // needs whole machines, which never become free without a reservation
-	whole.Job, whole.Class, whole.Team, whole.Rank, whole.WorkS, whole.Late = "whole", "wide", "red", 2, 1e6, 1
+	whole.Job, whole.Class, whole.Team, whole.Rank, whole.WorkS, whole.MissedObjectives = "whole", "wide", "red", 2, 1e6, 1
 	gang := demand(3, 12)
 	gang.Job, gang.Class, gang.Team, gang.Rank, gang.WorkS, gang.Gang = "gang", "gang", "blue", 2, 1e6, true
 	large = append(large, whole, gang)
@@ -359,10 +359,10 @@
 		{Resources{CPUs: infinite, GPUs: 2}, 2, 2},
 	} {
 		m := &Machine{ID: "m", Type: "g", Zone: "x", Cap: Resources{CPUs: 12, GPUs: 2, MemoryGB: 72}}
-		terms := &Terms{Job: "b", Team: "blue", Rank: 2, Borrowed: true, Each: each}
-		m.Tasks = []Victim{{Terms: terms, Task: 0}, {Terms: terms, Task: 1}}
+		terms := &PreemptionTerms{Job: "b", Team: "blue", Rank: 2, Borrowed: true, TaskResources: each}
+		m.Tasks = []Victim{{PreemptionTerms: terms, Task: 0}, {PreemptionTerms: terms, Task: 1}}
 		d := demand(1, 4)
-		d.Each.GPUs, d.Rank, d.Team, d.WithinGuarantee = c.gpus, 2, "red", true
+		d.TaskResources.GPUs, d.Rank, d.Team, d.WithinGuarantee = c.gpus, 2, "red", true
 		vs, _ := Preempt([]*Machine{m}, d, 1, Excess{"blue": c.excess}, time.Time{})
 		if len(vs) != c.want {
 			t.Errorf("excess %v: %d tasks stopped for %v GPUs, want %d", c.excess, len(vs), c.gpus, c.want)
@@ -375,16 +375,16 @@
 func TestPlaceComparesMachinesByDominantShare(t *testing.T) {
 	ms := machines(2, "x", 12)
 	ms[0].Free, ms[1].Free = Resources{CPUs: 5, GPUs: 2, MemoryGB: 64}, Resources{CPUs: 8, GPUs: 1, MemoryGB: 64}
-	ms[1].Part = ms[0].Part
+	ms[1].Shard = ms[0].Shard
 	d := demand(1, 4)
-	d.Each.GPUs = 1
+	d.TaskResources.GPUs = 1
 	for measure, want := range map[Measure]*Machine{0: ms[0], 6: ms[1]} {
 		d.Measure = measure
 		p := Place(slices.Clone(ms), d)
 		if len(p) != 1 || p[0].Machine != want {
 			t.Errorf("%v cores to a GPU: %+v", measure, p)
 		}
-		p[0].Machine.Free = p[0].Machine.Free.Add(d.Each, 1)
+		p[0].Machine.Free = p[0].Machine.Free.Add(d.TaskResources, 1)
 	}
 }
 
@@ -414,11 +414,11 @@
 		for i := range rapid.IntRange(1, 5).Draw(t, "machines") {
 			m := &Machine{ID: fmt.Sprint(i), Type: "g", Zone: "x", Cap: Resources{CPUs: 24, GPUs: 4, MemoryGB: 144}}
 			for n := range 4 {
-				terms := &Terms{Job: fmt.Sprint(i), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), Rank: 2, Borrowed: true,
-					Each: Resources{CPUs: rapid.SampledFrom([]float64{3.5, 5, 6}).Draw(t, "cores"), GPUs: 1, MemoryGB: 27}}
-				m.Tasks = append(m.Tasks, Victim{Terms: terms, Task: n})
-				use.Use(terms)
-				excess.Use(terms)
+				terms := &PreemptionTerms{Job: fmt.Sprint(i), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), Rank: 2, Borrowed: true,
+					TaskResources: Resources{CPUs: rapid.SampledFrom([]float64{3.5, 5, 6}).Draw(t, "cores"), GPUs: 1, MemoryGB: 27}}
+				m.Tasks = append(m.Tasks, Victim{PreemptionTerms: terms, Task: n})
+				use.Add(terms)
+				excess.Add(terms)
 			}
 			ms = append(ms, m)
 		}
@@ -428,11 +428,11 @@
 			}
 		}
 		d := demand(rapid.IntRange(1, 6).Draw(t, "tasks"), 4)
-		d.Each.GPUs, d.Rank, d.Team, d.WithinGuarantee = float64(rapid.IntRange(1, 3).Draw(t, "gpus")), 2, "green", true
+		d.TaskResources.GPUs, d.Rank, d.Team, d.WithinGuarantee = float64(rapid.IntRange(1, 3).Draw(t, "gpus")), 2, "green", true
 		before := maps.Clone(use)
 		victims, _ := Preempt(ms, d, len(d.Tasks), excess, time.Time{})
 		for _, v := range victims {
-			use.remove(v.Terms)
+			use.remove(v.PreemptionTerms)
 		}
 		below := func(was, is, guarantee float64) bool {
 			return guarantee != infinite && is < was && is < guarantee-epsilon
--- a/spreadview/render.go
+++ b/spreadview/render.go
@@ -30,7 +30,7 @@
 	if s.Block != balance.NotBlocked {
 		fmt.Fprintf(&out, "no moves are begun: %s\n", s.Block)
 	}
-	fmt.Fprintf(&out, "moves: %d begun%s; held room given up:%s\n\n", s.Counts.Begun, formatCounts(s.Counts.Outcomes), formatCounts(s.Counts.Losses))
+	fmt.Fprintf(&out, "moves: %d begun%s; held room given up:%s\n\n", s.Counts.Started, formatCounts(s.Counts.Outcomes), formatCounts(s.Counts.Releases))
 	table := tabwriter.NewWriter(&out, 0, 0, 2, ' ', 0)
 	writeMachines(table, s)
 	writeTeams(table, s.Teams)
@@ -78,7 +78,7 @@
 func writeMoves(table *tabwriter.Writer, moves []balance.MoveStatus) {
 	fmt.Fprintln(table, "\nMOVE\tFROM\tTO\tPHASE\tROOM HELD\tFOR")
 	for _, m := range moves {
-		fmt.Fprintf(table, "%s/%d\t%s\t%s\t%s\t%s\t%.0f s\n", m.Job, m.Task, m.From, m.To, m.Phase, yesOrDash(m.Held), m.ForS)
+		fmt.Fprintf(table, "%s/%d\t%s\t%s\t%s\t%s\t%.0f s\n", m.Job, m.Task, m.From, m.To, m.Phase, yesOrDash(m.Reserved), m.ForS)
 	}
 }
 
--- a/spreadview/render_test.go
+++ b/spreadview/render_test.go
@@ -12,14 +12,14 @@
 // The text of a status that was encoded as JSON and decoded again contains the hot machines, the reasons why
 // their tasks are not moved, the moves, and the reason why no further moves begin.
 func TestRender(t *testing.T) {
-	s := balance.Status{Member: "n1", Leading: true, HotShare: 0.8, Block: balance.WorkWaits, Others: 5,
+	s := balance.Status{Member: "n1", Leading: true, HotShare: 0.8, Block: balance.WorkPending, Others: 5,
 		Distribution: balance.Distribution{Machines: 42, Mean: 0.7, Variation: 0.31, Maximum: 1.43},
 		Machines: []balance.MachineStatus{{ID: "i-1", Zone: "a", Share: 1, Hot: true, Tasks: 8, Movable: 2,
-			Staying: []balance.ReasonCount{{Reason: balance.Gang, Tasks: 4}, {Reason: balance.Settling, Tasks: 2}}}},
+			Staying: []balance.ReasonCount{{Reason: balance.Gang, Tasks: 4}, {Reason: balance.RecentlyStarted, Tasks: 2}}}},
 		Teams:  []balance.TeamStatus{{Team: "red", Size: 96, Machines: 9, OnOne: 0.25, OnHot: 0.5}},
 		Images: []balance.ImageStatus{{Image: "img-2", Machines: 3, OnHot: 3, Tasks: 11, Hot: true}},
-		Moves:  []balance.MoveStatus{{Job: "req-9", Task: 3, From: "i-1", To: "i-2", Phase: balance.Waiting, Held: true, ForS: 2}},
-		Counts: balance.Counts{Begun: 7, Outcomes: map[balance.Outcome]int{balance.Moved: 5, balance.Diverted: 1}},
+		Moves:  []balance.MoveStatus{{Job: "req-9", Task: 3, From: "i-1", To: "i-2", Phase: balance.Waiting, Reserved: true, ForS: 2}},
+		Counts: balance.Counts{Started: 7, Outcomes: map[balance.Outcome]int{balance.Moved: 5, balance.Diverted: 1}},
 	}
 	for i := range maxListedMachines + 10 {
 		s.Machines = append(s.Machines, balance.MachineStatus{ID: fmt.Sprintf("cool-%d", i), Share: 0.5, Tasks: 4})
--- a/zones/record.go
+++ b/zones/record.go
@@ -38,8 +38,8 @@
 	return r, true
 }
 
-// Worth reports whether a record differs enough from the stored one to be worth a write.
-func (r Record) Worth(stored Record) bool {
+// NeedsWrite reports whether a record differs enough from the stored one to be worth a write.
+func (r Record) NeedsWrite(stored Record) bool {
 	return r.State != stored.State || r.Window >= 2*stored.Window && r.Window > 0 || r.Penalty > stored.Penalty+minPenalty
 }
 
--- a/zones/tracker_test.go
+++ b/zones/tracker_test.go
@@ -43,17 +43,17 @@
 	p.expect(t, Healthy)
 	p.observe(12, 1, 5)
 	p.expect(t, Lost)
-	if a := p.Admission("a"); !a.Limited || !a.BoundOnly {
+	if a := p.Admission("a"); !a.Limited || !a.PinnedOnly {
 		t.Errorf("a lost zone admits %+v", a)
 	}
 	p.observe(1, 4, 2)
 	p.expect(t, HeldDown)
 	p.observe(5, 6, 0)
 	p.expect(t, Returning)
-	if a := p.Admission("a"); a.BoundOnly || a.Starts != DefaultSettings().FirstStarts {
+	if a := p.Admission("a"); a.PinnedOnly || a.Starts != DefaultSettings().FirstStarts {
 		t.Errorf("a returning zone admits %+v", a)
 	}
-	p.HeldBack(p.now.Add(8*time.Second), "a")
+	p.RecordThrottledStart(p.now.Add(8*time.Second), "a")
 	p.observe(12, 6, 0)
 	p.expect(t, Returning)
 	p.observe(10, 6, 0)
@@ -139,17 +139,17 @@
 	for range 20 {
 		p.Succeeded(Start{Zone: "a", Image: "x", Fetches: true})
 	}
-	if a := p.Admission("a"); a.Starts != 28 || p.Fetches("a", "x") != 24 || p.Fetches("a", "y") != 4 {
-		t.Errorf("%+v, %d and %d fetches", a, p.Fetches("a", "x"), p.Fetches("a", "y"))
+	if a := p.Admission("a"); a.Starts != 28 || p.FetchLimit("a", "x") != 24 || p.FetchLimit("a", "y") != 4 {
+		t.Errorf("%+v, %d and %d fetches", a, p.FetchLimit("a", "x"), p.FetchLimit("a", "y"))
 	}
 	p.Failed(Start{Zone: "a", Image: "y"})
-	if a := p.Admission("a"); a.Starts != 14 || p.Fetches("a", "x") != 24 {
+	if a := p.Admission("a"); a.Starts != 14 || p.FetchLimit("a", "x") != 24 {
 		t.Errorf("%+v after a failed start", a)
 	}
 	for range 9 {
 		p.Failed(Start{Zone: "a", Image: "x", Fetches: true})
 	}
-	if a := p.Admission("a"); a.Starts != 8 || p.Fetches("a", "x") != 4 {
+	if a := p.Admission("a"); a.Starts != 8 || p.FetchLimit("a", "x") != 4 {
 		t.Errorf("%+v after many failed starts", a)
 	}
 	p.Succeeded(Start{Zone: "b"})
--- a/zones/window.go
+++ b/zones/window.go
@@ -60,8 +60,8 @@
 	return w
 }
 
-// HeldBack records that a start in a zone with room for it was delayed by the limit.
-func (t *Tracker) HeldBack(now time.Time, name string) {
+// RecordThrottledStart records that a start in a zone with room for it was delayed by the limit.
+func (t *Tracker) RecordThrottledStart(now time.Time, name string) {
 	if z := t.zones[name]; z != nil && z.state == Returning {
 		z.throttledAt = now
 	}
@@ -69,9 +69,9 @@
 
 // Admission describes which starts a zone admits now.
 type Admission struct {
-	Limited   bool // the other fields apply; if false, all starts are admitted
-	BoundOnly bool // only tasks that can run in no other zone are admitted
-	Starts    int  // limit on the starts under way at once
+	Limited    bool // the other fields apply; if false, all starts are admitted
+	PinnedOnly bool // only tasks that can run in no other zone are admitted
+	Starts     int  // limit on the starts under way at once
 }
 
 // Admission returns which starts a zone admits now.
@@ -80,11 +80,11 @@
 	if z == nil || !z.limited() {
 		return Admission{}
 	}
-	return Admission{Limited: true, BoundOnly: z.state != Returning, Starts: z.window.size}
+	return Admission{Limited: true, PinnedOnly: z.state != Returning, Starts: z.window.size}
 }
 
-// Fetches returns the limit on the starts under way at once in a zone that fetch the given image.
-func (t *Tracker) Fetches(name, image string) int {
+// FetchLimit returns the limit on the starts under way at once in a zone that fetch the given image.
+func (t *Tracker) FetchLimit(name, image string) int {
 	z := t.zones[name]
 	if z == nil || z.fetchWindows[image] == nil {
 		return t.settings.FirstFetches
