--- a/celllink/celllink_test.go
+++ b/celllink/celllink_test.go
@@ -42,7 +42,7 @@
 		if err != nil || r.URL.Path != cells.MessagesPath || got.From != "a" || got.Floor != 6 || got.Challenge != 12 || !reflect.DeepEqual(got.Messages, sent) {
 			t.Errorf("received %+v, error %v", got, err)
 		}
-		raw, err := WriteAnswer(controller.CellAnswer{Messages: []controller.CellMessage{status}, Room: 12, Challenge: 13})
+		raw, err := WriteAnswer(controller.CellAnswer{Messages: []controller.CellMessage{status}, AvailableCores: 12, Challenge: 13})
 		if err != nil {
 			t.Error(err)
 		}
@@ -51,7 +51,7 @@
 	client := NewClient(&config.Cell{Name: "a", Peers: []config.CellPeer{{Name: "b", Addresses: []string{follower, leader}}}})
 	for range 2 {
 		got := client.Call(controller.CellCall{ID: 3, To: "b", Floor: 6, Messages: sent, Challenge: 12})
-		if !got.OK || got.ID != 3 || got.Room != 12 || got.Challenge != 13 || !reflect.DeepEqual(got.Messages, []controller.CellMessage{status}) {
+		if !got.OK || got.ID != 3 || got.AvailableCores != 12 || got.Challenge != 13 || !reflect.DeepEqual(got.Messages, []controller.CellMessage{status}) {
 			t.Errorf("reply %+v", got)
 		}
 	}
--- a/celllink/client.go
+++ b/celllink/client.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		c.prefer(call.To, i)
-		return controller.CellReply{ID: call.ID, OK: true, Messages: messages, Room: reply.Room, Challenge: cells.Challenge(reply.Challenge)}
+		return controller.CellReply{ID: call.ID, OK: true, Messages: messages, AvailableCores: reply.Room, Challenge: cells.Challenge(reply.Challenge)}
 	}
 	return controller.CellReply{ID: call.ID}
 }
@@ -128,7 +128,7 @@
 
 // WriteAnswer encodes the answer to another cell.
 func WriteAnswer(a controller.CellAnswer) ([]byte, error) {
-	raw, err := proto.Marshal(&Reply{Messages: encodeMessages(a.Messages), Room: a.Room, Challenge: uint64(a.Challenge)})
+	raw, err := proto.Marshal(&Reply{Messages: encodeMessages(a.Messages), Room: a.AvailableCores, Challenge: uint64(a.Challenge)})
 	if err != nil {
 		return nil, fmt.Errorf("encode answer to a cell: %w", err)
 	}
--- a/client/client.go
+++ b/client/client.go
@@ -161,9 +161,9 @@
 	case controller.OpGrant:
 		req.op, req.method, req.target = OpGrantLease, http.MethodPost, req.target+wire.PathLeases
 		req.body, req.result = wire.LeaseAsk{TTLms: sc.Life.Milliseconds()}, &reply.Grant
-	case controller.OpTouch:
+	case controller.OpRenew:
 		req.op, req.method, req.target = OpRenewLease, http.MethodPost, req.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)+wire.PathTouch
-	case controller.OpEnd:
+	case controller.OpRevoke:
 		req.op, req.method, req.target = OpRevokeLease, http.MethodDelete, req.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)
 	case controller.OpWatch:
 		req.op, req.result = OpWatch, &reply.Watch
--- a/controller/aims.go
+++ b/controller/aims.go
@@ -14,11 +14,11 @@
 // fetchMissesStartObjective reports whether fetching a job's image alone takes longer than its tightest start
 // objective. Such an image should be cached on many machines.
 func (l *leader) fetchMissesStartObjective(j *wire.Job) bool {
-	return l.slowestFetch(j) > l.startObjectiveS(j)
+	return l.slowestFetchS(j) > l.startObjectiveS(j)
 }
 
-// slowestFetch is the time in seconds that a job's image takes to fetch on the slowest machine type for it.
-func (l *leader) slowestFetch(j *wire.Job) float64 {
+// slowestFetchS is the time in seconds that a job's image takes to fetch on the slowest machine type for it.
+func (l *leader) slowestFetchS(j *wire.Job) float64 {
 	longest := 0.0
 	for _, t := range l.c.typesFor(j) {
 		if t.FetchGBps > 0 {
@@ -54,7 +54,7 @@
 	var rs []scheduler.Resources
 	for _, name := range slices.Sorted(maps.Keys(l.autoscaler.peaks)) {
 		if name != class {
-			rs = append(rs, jobEach(&l.autoscaler.peaks[name].spec))
+			rs = append(rs, taskResources(&l.autoscaler.peaks[name].spec))
 		}
 	}
 	return rs
--- a/controller/api.go
+++ b/controller/api.go
@@ -62,8 +62,8 @@
 	OpRange
 	OpTxn
 	OpGrant
-	OpTouch
-	OpEnd
+	OpRenew
+	OpRevoke
 	OpWatch
 )
 
--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -15,28 +15,28 @@
 	attemptPlanned  attemptPhase = iota // its record may not be written yet
 	attemptRecorded                     // its record is written; its run command may be sent
 	attemptSent                         // its run command has been sent and may arrive at any time
-	attemptSeen                         // a report has listed it on its machine
+	attemptReported                     // a report has listed it on its machine
 	attemptRunning                      // a report has listed it as running
 )
 
 // attempt is one execution of a task on a machine. It is active until it is proved to have ended.
 type attempt struct {
-	job         *job
-	task        int
-	number      uint64
-	machine     *machine
-	session     uint64 // worker session to which its run command is addressed
-	token       uint64 // the highest token with which its run command may have been sent
-	phase       attemptPhase
-	restored    bool // placed by an earlier leader; its run command is not sent again
-	placedByAge bool // placed ahead of others because of its waiting time
-	fetches     bool // its machine did not have its image when it was placed
-	placed      time.Time
-	since       time.Time // running since
-	stopping    bool
-	stoppedAt   time.Time
-	grace       float64
-	saving      bool // a report has listed it as saving a checkpoint
+	job              *job
+	task             int
+	number           uint64
+	machine          *machine
+	session          uint64 // worker session to which its run command is addressed
+	token            uint64 // the highest token with which its run command may have been sent
+	phase            attemptPhase
+	restored         bool // placed by an earlier leader; its run command is not sent again
+	placedByAge      bool // placed ahead of others because of its waiting time
+	needsFetch       bool // its machine did not have its image when it was placed
+	placed           time.Time
+	runningSince     time.Time // running since
+	stopping         bool
+	stoppedAt        time.Time
+	grace            float64
+	savingCheckpoint bool // a report has listed it as saving a checkpoint
 }
 
 // advance moves an attempt to a phase unless it has already passed it: a run command may be sent
--- a/controller/authority.go
+++ b/controller/authority.go
@@ -14,15 +14,15 @@
 // cancellations that were already confirmed to users.
 
 const (
-	authorityMargin      = 50 * time.Millisecond // by which authority ends before the lease
-	raisePause           = 8 * time.Second       // minimum time between two raises of the fencing token
-	raiseToForgetAfter   = 30 * time.Second      // how long an ended attempt is remembered before a raise lets it be dropped
-	raiseForStoppedAfter = 4 * time.Second       // how long a stopped attempt that was never reported may stay unresolved
+	authorityMargin          = 50 * time.Millisecond // by which authority ends before the lease
+	tokenRaiseInterval       = 8 * time.Second       // minimum time between two raises of the fencing token
+	endedAttemptRaiseDelay   = 30 * time.Second      // how long an ended attempt is remembered before a raise lets it be dropped
+	stoppedAttemptRaiseDelay = 4 * time.Second       // how long a stopped attempt that was never reported may stay unresolved
 )
 
-// entitled reports whether this controller may act as leader now. It is checked before every
+// hasAuthority reports whether this controller may act as leader now. It is checked before every
 // output of the leader.
-func (c *Core) entitled() bool {
+func (c *Core) hasAuthority() bool {
 	return c.now.Before(c.Authority())
 }
 
@@ -56,7 +56,7 @@
 			return
 		}
 		l.renewLease()
-		if l.c.now.Sub(l.c.control.lastRead) >= every {
+		if l.c.now.Sub(l.c.watchCache.lastRead) >= every {
 			l.c.forceSync(func(bool) {}) // see renewalDeadline
 		}
 		l.requestPeerLease()
@@ -67,7 +67,7 @@
 // renewLease renews the leader's lease in the state service, and steps down if the lease has expired.
 func (l *leader) renewLease() {
 	c, sent := l.c, l.c.now
-	c.state(StateCall{Op: OpTouch, Lease: l.lease, Timeout: c.op.LeaderLifetime()}, func(r StateReply) {
+	c.callStateService(StateCall{Op: OpRenew, Lease: l.lease, Timeout: c.op.LeaderLifetime()}, func(r StateReply) {
 		if c.lead != l {
 			return
 		}
@@ -91,17 +91,17 @@
 	l.tokenRaisedAt = l.c.now
 	c := l.c
 	txn := wire.Txn{
-		If:   []wire.Cond{l.leadershipCondition(), {Key: tokenKey, Version: c.control.versions[tokenKey]}},
+		If:   []wire.Cond{l.leadershipCondition(), {Key: tokenKey, Version: c.watchCache.versions[tokenKey]}},
 		Then: []wire.Change{put(tokenKey, tokenRecord{l.token + 1})},
 	}
 	c.log(slog.LevelDebug, "raising token", "token", l.token+1, "why", why)
-	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if c.lead != l {
 			return
 		}
 		l.raisingToken = false
 		if r.Status == http.StatusOK {
-			c.written(wire.Event{Put: tokenKey, Value: txn.Then[0].Value, Version: r.Txn.Revision})
+			c.applyOwnChange(wire.Event{Put: tokenKey, Value: txn.Then[0].Value, Version: r.Txn.Revision})
 		}
 	})
 }
@@ -109,8 +109,8 @@
 // tokenChanged adopts a raised token. While this controller holds the leader key, no other
 // controller raises the token, so a raise whose response was lost is this controller's own too.
 func (c *Core) tokenChanged() {
-	if c.lead != nil && c.control.token > c.lead.token {
-		c.lead.token = c.control.token
+	if c.lead != nil && c.watchCache.token > c.lead.token {
+		c.lead.token = c.watchCache.token
 	}
 }
 
@@ -118,7 +118,7 @@
 // cancellation that was confirmed to a user: when the last read applied to the copy was sent, or
 // when the last peer lease round that is equivalent to such a read was sent.
 func (l *leader) headersKnownUntil() time.Time {
-	if read := l.c.control.lastRead; read.After(l.headersConfirmedUntil) {
+	if read := l.c.watchCache.lastRead; read.After(l.headersConfirmedUntil) {
 		return read
 	}
 	return l.headersConfirmedUntil
--- a/controller/authority_test.go
+++ b/controller/authority_test.go
@@ -10,9 +10,9 @@
 // Authority counts from before the renewal was sent, so it ends before the lease can expire.
 // Without authority, the leader redirects a heartbeat (421) instead of answering it.
 func TestAuthorityLapses(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	life := c.op.LeaderLifetime()
-	if c.now = l.elected.Add(life - 200*time.Millisecond); !c.entitled() {
+	if c.now = l.elected.Add(life - 200*time.Millisecond); !c.hasAuthority() {
 		t.Fatal("no authority during the lease")
 	}
 	c.now = l.elected.Add(life)
@@ -26,9 +26,9 @@
 // A controller that granted a peer lease makes no claim until that lease has expired. A process
 // that has just started waits as long, because its predecessor may have granted one.
 func TestPeerLeaseForbidsClaims(t *testing.T) {
-	c, _, _ := leading(t)
+	c, _, _ := newLeadingCore(t)
 	c.lead = nil
-	c.control.token = 7
+	c.watchCache.token = 7
 	if !c.mustHoldOff() {
 		t.Fatal("a newly started process may claim at once")
 	}
--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -30,21 +30,21 @@
 // requests instances for pending work and for headroom, and releases idle machines.
 type autoscaler struct {
 	*leader
-	cloudLimiter    *rate.Limiter // keeps calls to the cloud within its rate limit
-	ranAt           time.Time     // last round of scale-out and scale-in, see run
-	lookedAt        time.Time     // last check for machines to release
-	listedAt        time.Time     // last read of the cloud's list
-	listInFlight    bool          // a page of the cloud's list is requested
-	typesAt         time.Time     // last successful read of the machine types
-	typesInFlight   bool          // the machine types are requested
-	requests        map[string]*instanceRequest
-	requestSeq      int // number in the last request name of this leader
-	refusedAt       map[offerKey]time.Time
-	peaks           map[string]*peak
-	releaseInFlight bool      // a release call is in flight
-	consolidatedAt  time.Time // last check for a machine to empty, see consolidate
-	demandHints     map[string]demandHint
-	arrivals        []arrival
+	cloudLimiter      *rate.Limiter // keeps calls to the cloud within its rate limit
+	ranAt             time.Time     // last round of scale-out and scale-in, see run
+	releasesCheckedAt time.Time     // last check for machines to release
+	listedAt          time.Time     // last read of the cloud's list
+	listInFlight      bool          // a page of the cloud's list is requested
+	typesAt           time.Time     // last successful read of the machine types
+	typesInFlight     bool          // the machine types are requested
+	requests          map[string]*instanceRequest
+	requestSeq        int // number in the last request name of this leader
+	refusedAt         map[offerKey]time.Time
+	peaks             map[string]*peak
+	releaseInFlight   bool      // a release call is in flight
+	consolidatedAt    time.Time // last check for a machine to empty, see consolidate
+	demandHints       map[string]demandHint
+	arrivals          []arrival
 }
 
 func newAutoscaler(l *leader) *autoscaler {
@@ -72,8 +72,8 @@
 
 // run sends the releases of machines at every tick, and does all other scaling once a second.
 func (s *autoscaler) run() {
-	if s.c.now.Sub(s.lookedAt) >= tickEvery {
-		s.lookedAt = s.c.now
+	if s.c.now.Sub(s.releasesCheckedAt) >= tickEvery {
+		s.releasesCheckedAt = s.c.now
 		s.sendReleases()
 	}
 	if s.c.now.Sub(s.ranAt) < autoscaleInterval {
@@ -85,7 +85,7 @@
 			delete(s.released, id)
 		}
 	}
-	s.wantPlacement()
+	s.schedulePlacement()
 	s.refreshTypes()
 	s.sendInstanceRequests()
 	s.refreshList()
@@ -104,12 +104,12 @@
 			return // its machines are not counted before it is answered
 		}
 	}
-	machines := s.view(true)
+	machines := s.schedulerView(true)
 	demands := append(s.backlog(), s.headroom()...)
-	s.zones.closeZones(demands)
+	s.zones.excludeClosedZones(demands)
 	wants := scheduler.PlanRentals(machines, demands, s.offers(), maxRequestsPerRound)
 	for _, w := range wants {
-		for left := s.zones.rentable(w.Offer.Zone, w.Count); left > 0; left -= maxInstancesPerRequest {
+		for left := s.zones.limitRentals(w.Offer.Zone, w.Count); left > 0; left -= maxInstancesPerRequest {
 			s.requestInstances(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, maxInstancesPerRequest)})
 		}
 	}
@@ -119,7 +119,7 @@
 // requested now would be up, and free more room than newly arriving batch work will take in that time.
 func (s *autoscaler) backlog() []*scheduler.Demand {
 	used := s.teamUse()
-	ds := append(append(s.spreading.withoutReserved(s.demands()), s.hintedDemands()...), s.soonReady()...)
+	ds := append(append(s.spreading.withoutReserved(s.demands()), s.hintedDemands()...), s.soonReadyDemands()...)
 	scheduler.Order(ds)
 	freed := s.expectedFreedSize() - s.expectedArrivalSize()
 	for _, d := range ds {
@@ -132,7 +132,7 @@
 		d.Gang = false // request machines only for the missing tasks
 		used[d.Team] = used[d.Team].Add(d.TaskResources, float64(min(len(d.Tasks), d.RoomInTeam)))
 	}
-	return append(ds, s.failures.replacements()...)
+	return append(ds, s.failureDetector.replacementDemands()...)
 }
 
 // expectedArrivalSize estimates the size of the batch work that arrives before a machine requested now would be up: it
@@ -141,27 +141,27 @@
 	size := 0.0
 	for _, a := range s.arrivals {
 		if p := s.peaks[a.class]; p != nil && p.spec.Kind != wire.KindService && s.c.now.Sub(a.at) < arrivalWindow {
-			size += float64(a.tasks) * s.c.measure.Of(jobEach(&p.spec))
+			size += float64(a.tasks) * s.c.measure.Of(taskResources(&p.spec))
 		}
 	}
 	return size * s.shortestBootS() / arrivalWindow.Seconds()
 }
 
 // shortestBootS is the boot time of the machine type that boots fastest, in seconds.
-func (s *autoscaler) shortestBootS() float64 { return s.c.soonestBoot(&wire.Job{}) }
+func (s *autoscaler) shortestBootS() float64 { return s.c.shortestBootForS(&wire.Job{}) }
 
 // expectedFreedSize estimates the size of the room that running batch tasks free before a machine requested now would
 // be up.
 func (s *autoscaler) expectedFreedSize() float64 {
 	boot := s.shortestBootS()
 	freed := 0.0
-	for _, j := range s.order {
+	for _, j := range s.jobsByAcceptance {
 		if j.spec.Kind == wire.KindService {
 			continue
 		}
 		for _, a := range j.attempts {
-			if a.phase == attemptRunning && j.spec.EstimateS-s.c.now.Sub(a.since).Seconds() < boot {
-				freed += s.c.measure.Of(jobEach(&j.spec))
+			if a.phase == attemptRunning && j.spec.EstimateS-s.c.now.Sub(a.runningSince).Seconds() < boot {
+				freed += s.c.measure.Of(taskResources(&j.spec))
 			}
 		}
 	}
--- a/controller/broken_jobs.go
+++ b/controller/broken_jobs.go
@@ -16,22 +16,22 @@
 func (l *leader) taskFailed(a *attempt) {
 	j, m := a.job, a.machine
 	var ran time.Duration
-	if !a.since.IsZero() {
-		ran = l.c.now.Sub(a.since)
+	if !a.runningSince.IsZero() {
+		ran = l.c.now.Sub(a.runningSince)
 	}
-	if j.failures.Failed(m.id, ran) {
-		attempts, lost := j.failures.FailureCost()
-		l.c.log(slog.LevelInfo, "job fails on every machine", "job", j.id, "machines", len(j.failures.Machines()),
+	if j.failureClass.Failed(m.id, ran) {
+		attempts, lost := j.failureClass.FailureCost()
+		l.c.log(slog.LevelInfo, "job fails on every machine", "job", j.id, "machines", len(j.failureClass.Machines()),
 			"failed_attempts", attempts, "machine_time_lost", lost)
 	}
-	m.faults[j.id] = true
-	if j.failures.Broken() {
-		clear(j.avoid) // it fails everywhere, so no machine is worse than another
+	m.failedJobs[j.id] = true
+	if j.failureClass.Broken() {
+		clear(j.avoidedMachines) // it fails everywhere, so no machine is worse than another
 		return
 	}
-	j.avoid[m.id] = true
-	if len(j.avoid) >= max(2, len(l.machines)/2) {
-		clear(j.avoid) // it fails everywhere, so no machine is worse than another
+	j.avoidedMachines[m.id] = true
+	if len(j.avoidedMachines) >= max(2, len(l.machines)/2) {
+		clear(j.avoidedMachines) // it fails everywhere, so no machine is worse than another
 	}
 }
 
@@ -42,11 +42,11 @@
 // faulty reports whether at least two jobs that run elsewhere have failed on a machine, which shows
 // that the fault is on the machine.
 func (l *leader) faulty(m *machine) bool {
-	if len(m.faults) < 2 {
+	if len(m.failedJobs) < 2 {
 		return false
 	}
 	runElsewhere := 0
-	for id := range m.faults {
+	for id := range m.failedJobs {
 		if l.runsElsewhere(id, m) {
 			runElsewhere++
 		}
@@ -62,11 +62,11 @@
 	if j == nil {
 		return false
 	}
-	if j.failures.HasSucceeded() {
+	if j.failureClass.HasSucceeded() {
 		return true
 	}
 	for _, a := range j.attempts {
-		if a.machine != m && a.phase >= attemptRunning && l.c.now.Sub(a.since) >= minRunElsewhere {
+		if a.machine != m && a.phase >= attemptRunning && l.c.now.Sub(a.runningSince) >= minRunElsewhere {
 			return true
 		}
 	}
--- a/controller/cell_gone.go
+++ b/controller/cell_gone.go
@@ -13,21 +13,21 @@
 // asserts that nothing of them runs any more, and the jobs are taken back.
 
 // declaredGone reports whether a grant is covered by an operator's declaration that its holder is gone.
-func (s *cellSide) declaredGone(r cells.HomeRecord) bool {
-	declaration, declared := s.c.control.gone[r.Holder]
+func (s *spilloverManager) declaredGone(r cells.HomeRecord) bool {
+	declaration, declared := s.c.watchCache.declaredGone[r.Holder]
 	return declared && r.Epoch <= declaration.Epoch
 }
 
 // excludeDeclaredGone returns the open grants without those covered by a declaration. Their cell may be back before
 // the writes that end them are made, and must not learn from this cell that they are open.
-func (s *cellSide) excludeDeclaredGone(open []cells.HomeRecord) []cells.HomeRecord {
+func (s *spilloverManager) excludeDeclaredGone(open []cells.HomeRecord) []cells.HomeRecord {
 	return slices.DeleteFunc(slices.Clone(open), s.declaredGone)
 }
 
 // reclaimFromDeclaredGone ends the grants of cells that operators have declared gone.
-func (s *cellSide) reclaimFromDeclaredGone(open []cells.HomeRecord) {
+func (s *spilloverManager) reclaimFromDeclaredGone(open []cells.HomeRecord) {
 	for _, r := range open {
-		if h := s.c.control.headers[r.Job]; h != nil && s.declaredGone(r) {
+		if h := s.c.watchCache.headers[r.Job]; h != nil && s.declaredGone(r) {
 			s.applyStatus(cells.Message{Kind: cells.KindStatus, From: r.Holder, Job: r.Job, Epoch: r.Epoch,
 				State: cells.HolderEnded, Result: cells.ResultReturned}, h)
 		}
@@ -44,7 +44,7 @@
 // declareGone records an operator's assertion that a cell has ended every job granted to it so far, and the operator's
 // name.
 func (c *Core) declareGone(r CellGoneRequest) {
-	s := c.activeCellSide()
+	s := c.activeSpilloverManager()
 	if s == nil {
 		c.emit(Answer{Req: r.Req, Status: http.StatusServiceUnavailable})
 		return
@@ -54,12 +54,12 @@
 		return
 	}
 	key := gonePrefix + string(r.Cell)
-	set := put(key, goneRecord{Epoch: c.control.epoch, By: r.By, AtMS: c.now.UnixMilli()})
-	txn := wire.Txn{If: []wire.Cond{s.leadershipCondition(), {Key: epochKey, Version: c.control.versions[epochKey]}}, Then: []wire.Change{set}}
-	c.log(slog.LevelInfo, "cell declared gone", "cell", r.Cell, "by", r.By, "epoch", c.control.epoch)
-	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(reply StateReply) {
+	set := put(key, goneRecord{Epoch: c.watchCache.epoch, By: r.By, AtMS: c.now.UnixMilli()})
+	txn := wire.Txn{If: []wire.Cond{s.leadershipCondition(), {Key: epochKey, Version: c.watchCache.versions[epochKey]}}, Then: []wire.Change{set}}
+	c.log(slog.LevelInfo, "cell declared gone", "cell", r.Cell, "by", r.By, "epoch", c.watchCache.epoch)
+	c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(reply StateReply) {
 		if reply.Status == http.StatusOK {
-			c.written(wire.Event{Put: key, Value: set.Value, Version: reply.Txn.Revision})
+			c.applyOwnChange(wire.Event{Put: key, Value: set.Value, Version: reply.Txn.Revision})
 		}
 		c.emit(Answer{Req: r.Req, Status: reply.Status})
 	})
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -18,7 +18,7 @@
 // A message that changes a record is written first and gets no status in this answer: the home repeats the
 // message, and the repeat is answered from the record.
 func (c *Core) cellRequest(r CellRequest) {
-	s := c.activeCellSide()
+	s := c.activeSpilloverManager()
 	if s == nil || s.links[r.From] == nil || !s.ready() {
 		c.emit(Answer{Req: r.Req, Status: http.StatusServiceUnavailable, Body: CellAnswer{}})
 		return
@@ -38,15 +38,15 @@
 		}
 	}
 	if challengeMatches { // without the current challenge, a job accepted here could not start: see mayStart
-		answer.Room = s.availableCores()
+		answer.AvailableCores = s.availableCores()
 	}
 	c.emit(Answer{Req: r.Req, Status: http.StatusOK, Body: answer})
 }
 
 // receive applies a message from a home cell. It returns the status to answer with, and whether there is a
 // recorded status: there is none while a change is being written or the record has to be read again.
-func (s *cellSide) receive(m CellMessage) (cells.Message, bool) {
-	h, key := s.c.control.headers[m.Job], fenceKey(m.From, m.Job)
+func (s *spilloverManager) receive(m CellMessage) (cells.Message, bool) {
+	h, key := s.c.watchCache.headers[m.Job], fenceKey(m.From, m.Job)
 	held := h != nil && h.Origin != nil && h.Origin.Home == m.From
 	if a, isPending := s.pendingAcceptances[m.Job]; isPending && !a.outcomeUnknown && !held && a.home == m.From && a.epoch == m.Epoch && m.Kind == cells.KindOffer {
 		return cells.Message{}, false // its write is in flight
@@ -80,30 +80,30 @@
 
 // finished reports whether an own job with this ID is known to have ended. Not every final record is in memory, so
 // the write of an acceptance is also conditional on there being no final record.
-func (s *cellSide) finished(id string) bool {
+func (s *spilloverManager) finished(id string) bool {
 	_, found := s.c.finals.jobs[id]
 	return found
 }
 
-func (s *cellSide) knowsTeam(spec *wire.Job) bool {
+func (s *spilloverManager) knowsTeam(spec *wire.Job) bool {
 	_, known := s.c.quotas[spec.Team]
 	return known
 }
 
 // canAccept reports whether a job of another cell can run here and fits into the available lent cores. Cores that
 // are already reserved for an earlier acceptance of the same job count as available.
-func (s *cellSide) canAccept(spec *wire.Job) bool {
+func (s *spilloverManager) canAccept(spec *wire.Job) bool {
 	return spec.Kind == wire.KindArray && len(s.c.types) > 0 && s.c.canRun(spec) && s.availableCores()+s.pendingAcceptances[spec.ID].size >= s.size(spec)
 }
 
 // size returns the total size of all tasks of a job, in cores.
-func (s *cellSide) size(spec *wire.Job) float64 {
-	return s.c.measure.Of(jobEach(spec)) * float64(spec.Tasks)
+func (s *spilloverManager) size(spec *wire.Job) float64 {
+	return s.c.measure.Of(taskResources(spec)) * float64(spec.Tasks)
 }
 
 // availableCores returns how many of the lent cores are free: the configured share, less the unfinished tasks
 // of other cells' jobs and the jobs whose acceptance is pending.
-func (s *cellSide) availableCores() float64 {
+func (s *spilloverManager) availableCores() float64 {
 	available := s.c.op.Cell.LendCores
 	for id, a := range s.pendingAcceptances {
 		if s.jobs[id] == nil {
@@ -128,7 +128,7 @@
 
 // handleAcceptanceReply handles the reply to the write of a header, if an acceptance of the job is pending. A
 // refused write proves that nothing is recorded, unless an earlier write of the same acceptance got no answer.
-func (s *cellSide) handleAcceptanceReply(job string, status int) {
+func (s *spilloverManager) handleAcceptanceReply(job string, status int) {
 	a, isPending := s.pendingAcceptances[job]
 	switch {
 	case !isPending || status == http.StatusOK:
@@ -142,7 +142,7 @@
 
 // dropAcceptances releases the cores reserved for a home's pending acceptances up to an epoch, of one job or,
 // where job is empty, of all. These acceptances can no longer be written, or are ended as soon as they are.
-func (s *cellSide) dropAcceptances(home cells.Cell, job string, epoch cells.Epoch) {
+func (s *spilloverManager) dropAcceptances(home cells.Cell, job string, epoch cells.Epoch) {
 	for id, a := range s.pendingAcceptances {
 		if a.home == home && a.epoch <= epoch && (job == "" || job == id) {
 			delete(s.pendingAcceptances, id)
@@ -151,10 +151,10 @@
 }
 
 // foreignJobs lists the unfinished jobs of other cells, ordered by home and job ID.
-func (s *cellSide) foreignJobs() []*job {
+func (s *spilloverManager) foreignJobs() []*job {
 	var jobs []*job
-	for _, home := range slices.Sorted(maps.Keys(s.c.control.cells.foreign)) {
-		for _, id := range slices.Sorted(maps.Keys(s.c.control.cells.foreign[home])) {
+	for _, home := range slices.Sorted(maps.Keys(s.c.watchCache.transfers.foreign)) {
+		for _, id := range slices.Sorted(maps.Keys(s.c.watchCache.transfers.foreign[home])) {
 			if j := s.jobs[id]; j != nil {
 				jobs = append(jobs, j)
 			}
@@ -166,13 +166,13 @@
 // accept records the acceptance of an offer: it writes a header with the job's origin, and deletes the fence of an
 // earlier epoch in the same transaction. A job whose header would exceed the value limit of the state service
 // is refused.
-func (s *cellSide) accept(m CellMessage, record cells.HolderRecord) {
+func (s *spilloverManager) accept(m CellMessage, record cells.HolderRecord) {
 	if m.Spec.ID != m.Job || s.headerWriteInFlight[m.Job] {
 		return
 	}
 	limits := s.c.cfg.Facts.State.Tightest()
-	h := withHolder(headerRecord{Job: *m.Spec, AcceptedMS: s.c.now.UnixMilli(), PerChunk: tasksPerRecord(limits.ValueKB)}, record)
-	if !fits(wire.Marshal(h), headerRoom, limits.ValueKB) {
+	h := withHolder(headerRecord{Job: *m.Spec, AcceptedMS: s.c.now.UnixMilli(), TasksPerChunk: tasksPerRecord(limits.ValueKB)}, record)
+	if !fits(wire.Marshal(h), headerReserve, limits.ValueKB) {
 		record.State, record.Result = cells.HolderEnded, cells.ResultRefused
 		s.writeFence(fenceKey(m.From, m.Job), record)
 		return
@@ -193,7 +193,7 @@
 	s.rereadFence(key) // a fence is still recorded if the acceptance is not written
 }
 
-func (s *cellSide) fenceVersion(key string) uint64 {
+func (s *spilloverManager) fenceVersion(key string) uint64 {
 	if f := s.fences[key]; f != nil {
 		return f.version
 	}
@@ -201,7 +201,7 @@
 }
 
 // writeFence records the end of an epoch that was never accepted here.
-func (s *cellSide) writeFence(key string, record cells.HolderRecord) {
+func (s *spilloverManager) writeFence(key string, record cells.HolderRecord) {
 	if f := s.fences[key]; f != nil && f.versionUnknown || !s.budget.allows(s.c.now, 1, true) {
 		return
 	}
@@ -212,10 +212,10 @@
 	// header's version shows it, and a fence beside that header would end an epoch that runs here.
 	header := headerKey(record.Job)
 	txn := wire.Txn{
-		If:   []wire.Cond{s.leadershipCondition(), {Key: key, Version: version}, {Key: header, Version: s.c.control.versions[header]}},
+		If:   []wire.Cond{s.leadershipCondition(), {Key: key, Version: version}, {Key: header, Version: s.c.watchCache.versions[header]}},
 		Then: []wire.Change{put(key, fenceRecord{record.Epoch, record.Result})},
 	}
-	s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	s.c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if s.c.lead != s.leader {
 			return
 		}
@@ -230,9 +230,9 @@
 
 // rereadFence reads a fence from the state service again, after a write that may have changed it. Until the read
 // completes, the cached fence is not used.
-func (s *cellSide) rereadFence(key string) {
+func (s *spilloverManager) rereadFence(key string) {
 	s.fences[key] = &cachedFence{versionUnknown: true}
-	s.findOut(key, func(it *wire.Item) {
+	s.getWithRetry(key, func(it *wire.Item) {
 		if it == nil {
 			delete(s.fences, key)
 			return
@@ -242,7 +242,7 @@
 }
 
 // addFence caches a fence read from the state service.
-func (s *cellSide) addFence(it wire.Item) {
+func (s *spilloverManager) addFence(it wire.Item) {
 	home, job, ok := strings.Cut(strings.TrimPrefix(it.Key, fencePrefix), "/")
 	rec := decode[fenceRecord](it.Value)
 	if !ok || rec == nil {
@@ -257,7 +257,7 @@
 // once the home has confirmed, in a call that carries this leader's challenge, that the grant is open. During
 // an outage the grant may have been declared over, and a delayed copy of an earlier call would not show
 // that. Tasks that run already keep running until the grant is known to be over.
-func (s *cellSide) mayStart(j *job) bool {
+func (s *spilloverManager) mayStart(j *job) bool {
 	if j.origin == nil {
 		return true
 	}
@@ -276,7 +276,7 @@
 }
 
 // floor returns the cached floor of a home; it is zero where none is recorded.
-func (s *cellSide) floor(home cells.Cell) *cachedFloor {
+func (s *spilloverManager) floor(home cells.Cell) *cachedFloor {
 	f := s.floors[home]
 	if f == nil {
 		f = &cachedFloor{}
@@ -288,11 +288,11 @@
 // raiseFloor applies a floor received from a home. Jobs here whose grant is over at the home, as after this cell
 // was declared gone, are stopped. The fences at or below the floor are replaced by the recorded floor in one
 // transaction.
-func (s *cellSide) raiseFloor(home cells.Cell, epoch cells.Epoch) {
+func (s *spilloverManager) raiseFloor(home cells.Cell, epoch cells.Epoch) {
 	s.dropAcceptances(home, "", epoch)
-	s.wantPlacement()
-	for _, id := range slices.Sorted(maps.Keys(s.c.control.cells.foreign[home])) {
-		h := s.c.control.headers[id]
+	s.schedulePlacement()
+	for _, id := range slices.Sorted(maps.Keys(s.c.watchCache.transfers.foreign[home])) {
+		h := s.c.watchCache.headers[id]
 		if h.Origin.Epoch > epoch {
 			continue
 		}
@@ -314,7 +314,7 @@
 }
 
 // writeFloor records a floor and removes the given fences, which it makes redundant.
-func (s *cellSide) writeFloor(home cells.Cell, floor *cachedFloor, epoch cells.Epoch, droppableFences []string) {
+func (s *spilloverManager) writeFloor(home cells.Cell, floor *cachedFloor, epoch cells.Epoch, droppableFences []string) {
 	changes := 1 + len(droppableFences)
 	if !s.budget.allows(s.c.now, changes, false) {
 		return
@@ -328,7 +328,7 @@
 		txn.Then = append(txn.Then, wire.Change{Delete: fence})
 		s.fences[fence].versionUnknown = true
 	}
-	s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	s.c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if s.c.lead != s.leader {
 			return
 		}
@@ -347,8 +347,8 @@
 }
 
 // rereadFloor reads a floor from the state service after a write that failed or whose outcome is not known.
-func (s *cellSide) rereadFloor(home cells.Cell, floor *cachedFloor) {
-	s.findOut(floorKey(home), func(it *wire.Item) {
+func (s *spilloverManager) rereadFloor(home cells.Cell, floor *cachedFloor) {
+	s.getWithRetry(floorKey(home), func(it *wire.Item) {
 		if it == nil {
 			*floor = cachedFloor{}
 			return
@@ -358,7 +358,7 @@
 }
 
 // restoreFloors caches the floors that earlier leaders have recorded.
-func (s *cellSide) restoreFloors(floors []wire.Item) {
+func (s *spilloverManager) restoreFloors(floors []wire.Item) {
 	clear(s.floors)
 	for _, it := range floors {
 		s.addFloor(it)
@@ -366,7 +366,7 @@
 }
 
 // restoreFences caches the fences that earlier leaders have recorded.
-func (s *cellSide) restoreFences(fences []wire.Item) {
+func (s *spilloverManager) restoreFences(fences []wire.Item) {
 	clear(s.fences)
 	for _, it := range fences {
 		s.addFence(it)
@@ -374,32 +374,32 @@
 }
 
 // addFloor caches a floor read from the state service.
-func (s *cellSide) addFloor(it wire.Item) {
+func (s *spilloverManager) addFloor(it wire.Item) {
 	if rec := decode[epochRecord](it.Value); rec != nil {
 		*s.floor(cells.Cell(strings.TrimPrefix(it.Key, floorPrefix))) = cachedFloor{epoch: rec.Epoch, version: it.Version}
 	}
 }
 
-// composeEnd composes the write that ends another cell's job: it replaces the job's header by a fence.
-func (l *leader) composeEnd(j *job, w *write) {
+// composeFence composes the write that ends another cell's job: it replaces the job's header by a fence.
+func (l *leader) composeFence(j *job, w *write) {
 	key := fenceKey(j.origin.Home, j.id)
-	h := l.c.control.headers[j.id]
+	h := l.c.watchCache.headers[j.id]
 	if h == nil || h.Origin == nil {
 		h = &headerRecord{Job: j.spec, Origin: j.origin}
 	}
 	record, _ := holderRecord(j.id, h).Finish(j.tasksLeft() == 0)
 	w.final = &finalRecord{Cancelled: j.cancelled, Tasks: j.spec.Tasks}
 	w.txn.Then = []wire.Change{put(key, fenceRecord{record.Epoch, record.Result}), {Delete: headerKey(j.id)}}
-	if l.cells != nil {
-		l.cells.fences[key] = &cachedFence{versionUnknown: true}
+	if l.spillover != nil {
+		l.spillover.fences[key] = &cachedFence{versionUnknown: true}
 	}
 }
 
 // returnWaitingJobs returns jobs of other cells that have had no attempt here for the configured time, because
 // there is no capacity or because their team is no longer configured here.
-func (s *cellSide) returnWaitingJobs() {
+func (s *spilloverManager) returnWaitingJobs() {
 	for _, j := range s.foreignJobs() {
-		h := s.c.control.headers[j.id]
+		h := s.c.watchCache.headers[j.id]
 		if len(j.attempts) > 0 || h == nil || h.Origin == nil {
 			delete(s.idleSince, j.id)
 			continue
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -20,17 +20,17 @@
 // canSpill reports whether a job may be granted to another cell at all. It must be an own array that is neither
 // granted nor cancelled, without dependencies, dependents or a required zone. None of its tasks may have run, be in
 // force, or have a placement on record or in flight, and its chunks must fit into the conditions of one transaction.
-func (s *cellSide) canSpill(j *job) bool {
-	return j.spec.Kind == wire.KindArray && j.origin == nil && j.grant == nil && !j.cancelled && !j.begun &&
+func (s *spilloverManager) canSpill(j *job) bool {
+	return j.spec.Kind == wire.KindArray && j.origin == nil && j.grant == nil && !j.cancelled && !j.hasStarted &&
 		len(j.attempts) == 0 && j.write == nil && !j.dirty && j.state.Count(reduction.Pending) == j.spec.Tasks &&
 		len(j.chunks) <= s.c.maxConds()-1 && !slices.ContainsFunc(j.chunks, func(ch chunk) bool { return ch.version > 0 }) &&
-		len(j.spec.Needs) == 0 && len(s.c.chains.Successors(j.id)) == 0 && j.spec.Zone == ""
+		len(j.spec.Needs) == 0 && len(s.c.dependencies.Successors(j.id)) == 0 && j.spec.Zone == ""
 }
 
 // spill grants the longest waiting job that fits into the available cores of another cell. A job is granted as a
 // whole and counts against its team's limit as if it ran here, so the limit must allow that. Only one job is
 // granted at a time, because the next epoch is known only once this one is written.
-func (s *cellSide) spill() {
+func (s *spilloverManager) spill() {
 	for _, transfer := range cells.Plan(s.spillCandidates(), s.peerCapacity()) {
 		j, link := s.jobs[transfer.Job], s.links[transfer.To]
 		if s.grant(j, link) {
@@ -41,27 +41,27 @@
 }
 
 // spillCandidates lists the jobs that may be granted to another cell now, the longest waiting first.
-func (s *cellSide) spillCandidates() []cells.PendingJob {
+func (s *spilloverManager) spillCandidates() []cells.PendingJob {
 	var jobs []*job
 	teamUsage := s.teamUse()
-	for _, j := range s.order {
+	for _, j := range s.jobsByAcceptance {
 		if !s.canSpill(j) || s.c.now.Sub(j.ready) < s.c.op.Cell.SpillAfter || s.c.now.Sub(s.returnedAt[j.id]) < returnCooldown {
 			continue
 		}
-		if s.c.quotas[j.spec.Team].limit.Add(teamUsage[j.spec.Team], -1).Fits(jobEach(&j.spec)) >= j.spec.Tasks {
+		if s.c.quotas[j.spec.Team].limit.Add(teamUsage[j.spec.Team], -1).Fits(taskResources(&j.spec)) >= j.spec.Tasks {
 			jobs = append(jobs, j)
 		}
 	}
 	slices.SortStableFunc(jobs, func(a, b *job) int { return a.ready.Compare(b.ready) })
-	waiting := make([]cells.PendingJob, 0, len(jobs))
+	pending := make([]cells.PendingJob, 0, len(jobs))
 	for _, j := range jobs {
-		waiting = append(waiting, cells.PendingJob{Job: j.id, Size: j.sizeLeft(s.c.measure)})
+		pending = append(pending, cells.PendingJob{Job: j.id, Size: j.sizeLeft(s.c.measure)})
 	}
-	return waiting
+	return pending
 }
 
 // peerCapacity returns the available cores of each cell that answered the last call to it, and did so recently.
-func (s *cellSide) peerCapacity() map[cells.Cell]float64 {
+func (s *spilloverManager) peerCapacity() map[cells.Cell]float64 {
 	capacity := map[cells.Cell]float64{}
 	for name, link := range s.links {
 		if link.failures == 0 && !link.lastReplyAt.IsZero() && s.c.now.Sub(link.lastReplyAt) <= cellReplyMaxAge {
@@ -72,19 +72,19 @@
 }
 
 // grant records that another cell may run a job. The job is offered to that cell once the grant is recorded.
-func (s *cellSide) grant(j *job, link *cellLink) bool {
-	header := s.c.control.headers[j.id]
+func (s *spilloverManager) grant(j *job, link *cellLink) bool {
+	header := s.c.watchCache.headers[j.id]
 	if header == nil || len(s.headerWriteInFlight) > 0 { // a write in flight may take the next epoch
 		return false
 	}
-	epoch := s.c.control.epoch + 1
+	epoch := s.c.watchCache.epoch + 1
 	next, err := homeRecord(j.id, header).Grant(link.name, epoch)
 	if err != nil {
 		return false
 	}
 	// A grant that is applied late must fail if attempts are in force by then, so it is conditional on no
 	// placement being on record. A placement written after the grant fails on the header's version.
-	conds := []wire.Cond{{Key: epochKey, Version: s.c.control.versions[epochKey]}}
+	conds := []wire.Cond{{Key: epochKey, Version: s.c.watchCache.versions[epochKey]}}
 	for n := range j.chunks {
 		conds = append(conds, wire.Cond{Key: j.chunkKey(n)})
 	}
@@ -95,13 +95,13 @@
 	return true
 }
 
-// granted handles a change of a job's grant. Attempts that were planned here meanwhile are stopped; they were never
+// applyGrant handles a change of a job's grant. Attempts that were planned here meanwhile are stopped; they were never
 // sent, because their write fails on the header's version.
-func (l *leader) granted(j *job, grant *grantRecord) {
+func (l *leader) applyGrant(j *job, grant *grantRecord) {
 	j.grant = grant
-	l.guaranteesAt = time.Time{}
+	l.guaranteesAssignedAt = time.Time{}
 	if grant == nil {
-		l.wantPlacement()
+		l.schedulePlacement()
 		return
 	}
 	for _, a := range j.sortedAttempts() {
@@ -109,13 +109,13 @@
 	}
 }
 
-// grantedUse returns the resources that a job granted to another cell counts for: those of all its unfinished
+// grantedResources returns the resources that a job granted to another cell counts for: those of all its unfinished
 // tasks, or none where it is not granted.
-func grantedUse(j *job) scheduler.Resources {
+func grantedResources(j *job) scheduler.Resources {
 	if j.grant == nil {
 		return scheduler.Resources{}
 	}
-	return scheduler.Resources{}.Add(jobEach(&j.spec), float64(j.tasksLeft()))
+	return scheduler.Resources{}.Add(taskResources(&j.spec), float64(j.tasksLeft()))
 }
 
 // abortGranted handles a user's request to cancel a job that another cell may run. It records the cancellation,
--- a/controller/cell_index.go
+++ b/controller/cell_index.go
@@ -2,20 +2,20 @@
 
 import "pumicefront/cells"
 
-// cellIndex indexes the headers of jobs that are granted to other cells or held for them. There may be thousands of
+// transferIndex indexes the headers of jobs that are granted to other cells or held for them. There may be thousands of
 // headers, and the index is read twice a second.
-type cellIndex struct {
+type transferIndex struct {
 	granted map[string]bool                // by job ID: own jobs that another cell may run
 	foreign map[cells.Cell]map[string]bool // by home and job ID: jobs held for other cells
 }
 
-func (x *cellIndex) init() {
+func (x *transferIndex) init() {
 	x.granted = map[string]bool{}
 	x.foreign = map[cells.Cell]map[string]bool{}
 }
 
-// changed updates the index after a change of a job's header; nil stands for no header.
-func (x *cellIndex) changed(job string, before, after *headerRecord) {
+// update updates the index after a change of a job's header; nil stands for no header.
+func (x *transferIndex) update(job string, before, after *headerRecord) {
 	if before != nil {
 		delete(x.granted, job)
 		if before.Origin != nil {
--- a/controller/cell_links.go
+++ b/controller/cell_links.go
@@ -28,9 +28,9 @@
 	maxCellMessages       = 100              // in one call
 )
 
-// cellSide is the leader's state of the transfers from and to other cells. It is nil where spillover is not
+// spilloverManager is the leader's state of the transfers from and to other cells. It is nil where spillover is not
 // configured.
-type cellSide struct {
+type spilloverManager struct {
 	*leader
 	links               map[cells.Cell]*cellLink
 	fences              map[string]*cachedFence // by key
@@ -62,11 +62,11 @@
 	versionUnknown bool // a write or read is in flight: the fence must not be used
 }
 
-func newCellSide(l *leader) *cellSide {
+func newSpilloverManager(l *leader) *spilloverManager {
 	if l.c.op.Cell == nil {
 		return nil
 	}
-	s := &cellSide{leader: l, links: map[cells.Cell]*cellLink{}, fences: map[string]*cachedFence{},
+	s := &spilloverManager{leader: l, links: map[cells.Cell]*cellLink{}, fences: map[string]*cachedFence{},
 		floors: map[cells.Cell]*cachedFloor{}, confirmedFloors: map[cells.Cell]cells.Epoch{}, headerWriteInFlight: map[string]bool{}, returnedAt: map[string]time.Time{}, idleSince: map[string]time.Time{},
 		challenge: cells.Challenge(l.c.rng.Uint64() | 1), pendingAcceptances: map[string]pendingAcceptance{}}
 	for _, p := range l.c.op.Cell.Peers {
@@ -75,23 +75,23 @@
 	return s
 }
 
-// activeCellSide returns the cell side of this controller if it is a recovered leader that may write to the state
-// service now, and nil otherwise.
-func (c *Core) activeCellSide() *cellSide {
-	if l := c.lead; l != nil && l.recovered && c.entitled() && c.now.Before(l.authority) {
-		return l.cells
+// activeSpilloverManager returns the spillover manager of this controller if it is a recovered leader that may write
+// to the state service now, and nil otherwise.
+func (c *Core) activeSpilloverManager() *spilloverManager {
+	if l := c.lead; l != nil && l.recovered && c.hasAuthority() && c.now.Before(l.authority) {
+		return l.spillover
 	}
 	return nil
 }
 
-func (s *cellSide) self() cells.Cell { return cells.Cell(s.c.op.Cell.Name) }
+func (s *spilloverManager) self() cells.Cell { return cells.Cell(s.c.op.Cell.Name) }
 
 // ready reports whether every controller of this cell runs a version that supports spillover.
-func (s *cellSide) ready() bool { return s.c.allRun(firstVersionWithCells) }
+func (s *spilloverManager) ready() bool { return s.c.allMembersRun(firstVersionWithCells) }
 
-// run reconciles the grants once per interval: it reclaims jobs from cells declared gone, grants a waiting job,
+// reconcile reconciles the grants once per interval: it reclaims jobs from cells declared gone, grants a waiting job,
 // returns jobs that wait here in vain, and calls the other cells.
-func (s *cellSide) run() {
+func (s *spilloverManager) reconcile() {
 	if s == nil || s.c.now.Sub(s.lastReconcile) < cellReconcileInterval || !s.c.now.Before(s.authority) || !s.ready() {
 		return
 	}
@@ -106,27 +106,27 @@
 }
 
 // openGrants lists the home's records of the jobs that are granted to other cells, oldest epoch first.
-func (s *cellSide) openGrants() []cells.HomeRecord {
+func (s *spilloverManager) openGrants() []cells.HomeRecord {
 	var open []cells.HomeRecord
-	for id := range s.c.control.cells.granted {
-		open = append(open, homeRecord(id, s.c.control.headers[id]))
+	for id := range s.c.watchCache.transfers.granted {
+		open = append(open, homeRecord(id, s.c.watchCache.headers[id]))
 	}
 	slices.SortFunc(open, func(a, b cells.HomeRecord) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	return open
 }
 
 // call sends a cell the messages that follow from the open grants. After failed calls it backs off.
-func (s *cellSide) call(link *cellLink, open []cells.HomeRecord) {
+func (s *spilloverManager) call(link *cellLink, open []cells.HomeRecord) {
 	if link.callInFlight || s.c.now.Before(link.nextCallAt) {
 		return
 	}
 	open = s.excludeDeclaredGone(open)
-	call := CellCall{ID: s.c.id(), To: link.name, Floor: cells.Floor(open, link.name, s.c.control.epoch), Challenge: link.lastChallenge}
+	call := CellCall{ID: s.c.id(), To: link.name, Floor: cells.Floor(open, link.name, s.c.watchCache.epoch), Challenge: link.lastChallenge}
 	for _, r := range open {
 		if m, hasMessage := r.Message(s.self()); hasMessage && r.Holder == link.name && len(call.Messages) < maxCellMessages {
 			msg := CellMessage{Message: m}
 			if m.Kind == cells.KindOffer {
-				spec := s.c.control.headers[r.Job].Job
+				spec := s.c.watchCache.headers[r.Job].Job
 				msg.Spec = &spec
 			}
 			call.Messages = append(call.Messages, msg)
@@ -142,7 +142,7 @@
 }
 
 // handleReply applies the statuses that another cell has recorded, or schedules a retry after a failed call.
-func (s *cellSide) handleReply(link *cellLink, r CellReply) {
+func (s *spilloverManager) handleReply(link *cellLink, r CellReply) {
 	link.callInFlight = false
 	if !r.OK {
 		link.failures++
@@ -150,19 +150,19 @@
 		link.nextCallAt = s.c.now.Add(pause/2 + time.Duration(s.c.rng.Int64N(int64(pause/2)+1)))
 		return
 	}
-	link.failures, link.lastReplyAt, link.nextCallAt, link.availableCores = 0, s.c.now, s.c.now.Add(cellCallInterval), r.Room
+	link.failures, link.lastReplyAt, link.nextCallAt, link.availableCores = 0, s.c.now, s.c.now.Add(cellCallInterval), r.AvailableCores
 	if r.Challenge != link.lastChallenge { // a new leader: it starts and lends nothing until it gets its challenge back
 		link.lastChallenge, link.nextCallAt = r.Challenge, s.c.now
 	}
 	for _, m := range r.Messages {
-		if h := s.c.control.headers[m.Job]; h != nil && h.Grant != nil && m.From == link.name && m.To == s.self() {
+		if h := s.c.watchCache.headers[m.Job]; h != nil && h.Grant != nil && m.From == link.name && m.To == s.self() {
 			s.applyStatus(m.Message, h)
 		}
 	}
 }
 
 // applyStatus applies a holder's recorded status to the grant of a job.
-func (s *cellSide) applyStatus(m cells.Message, h *headerRecord) {
+func (s *spilloverManager) applyStatus(m cells.Message, h *headerRecord) {
 	next, changed := homeRecord(m.Job, h).Apply(m)
 	j := s.jobs[m.Job]
 	if !changed || j == nil || next.State == cells.HomeHeld { // the transition to held is not recorded, to save a write
@@ -173,7 +173,7 @@
 		for t := range j.spec.Tasks {
 			j.state.Accumulate(t, reduction.Succeeded)
 		}
-		s.settle(j)
+		s.finalizeIfSettled(j)
 		return
 	}
 	s.returnedAt[m.Job] = s.c.now
@@ -183,7 +183,7 @@
 // rewriteHeader replaces a job's header, on the condition that its version is the one last observed. A confirmed
 // write is applied at once; otherwise the watch shows whether it was applied, and a step that was not written
 // is decided again. It reports whether the write was sent.
-func (s *cellSide) rewriteHeader(id string, h headerRecord, extraConds []wire.Cond, extraChanges []wire.Change) bool {
+func (s *spilloverManager) rewriteHeader(id string, h headerRecord, extraConds []wire.Cond, extraChanges []wire.Change) bool {
 	if s.headerWriteInFlight[id] {
 		return false
 	}
@@ -195,10 +195,10 @@
 	s.headerWriteInFlight[id] = true
 	headerPut := put(headerKey(id), h)
 	txn := wire.Txn{
-		If:   append([]wire.Cond{s.leadershipCondition(), {Key: headerKey(id), Version: s.c.control.versions[headerKey(id)]}}, extraConds...),
+		If:   append([]wire.Cond{s.leadershipCondition(), {Key: headerKey(id), Version: s.c.watchCache.versions[headerKey(id)]}}, extraConds...),
 		Then: append([]wire.Change{headerPut}, extraChanges...),
 	}
-	s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	s.c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if s.c.lead != s.leader {
 			return
 		}
@@ -208,7 +208,7 @@
 			s.lastReconcile = time.Time{} // the next job does not wait for the interval
 			for _, change := range txn.Then {
 				if change.Put != "" {
-					s.c.written(wire.Event{Put: change.Put, Value: change.Value, Version: r.Txn.Revision})
+					s.c.applyOwnChange(wire.Event{Put: change.Put, Value: change.Value, Version: r.Txn.Revision})
 				}
 			}
 		}
@@ -216,8 +216,8 @@
 	return true
 }
 
-// forget drops the in-memory state of a job that is over.
-func (s *cellSide) forget(id string) {
+// dropJob drops the in-memory state of a job that is over.
+func (s *spilloverManager) dropJob(id string) {
 	if s != nil {
 		delete(s.returnedAt, id)
 		delete(s.idleSince, id)
--- a/controller/cell_records.go
+++ b/controller/cell_records.go
@@ -111,10 +111,10 @@
 
 // CellReply is the outcome of a CellCall. OK is false where no leader of that cell has answered.
 type CellReply struct {
-	ID       uint64
-	OK       bool
-	Messages []CellMessage
-	Room     float64 // available cores that the other cell lends now
+	ID             uint64
+	OK             bool
+	Messages       []CellMessage
+	AvailableCores float64 // available cores that the other cell lends now
 
 	Challenge cells.Challenge // of the leader that answered
 }
@@ -131,8 +131,8 @@
 
 // CellAnswer is the body of the answer to another cell: the recorded statuses of its jobs and the cores lent to it.
 type CellAnswer struct {
-	Messages []CellMessage
-	Room     float64
+	Messages       []CellMessage
+	AvailableCores float64
 
 	Challenge cells.Challenge // to be sent back with the next call
 }
--- a/controller/cell_status.go
+++ b/controller/cell_status.go
@@ -15,15 +15,15 @@
 // cellStatus answers an operator's status request. Only the leader fills in more than its own and the leader's name.
 func (c *Core) cellStatus(r CellStatusRequest) {
 	s := cells.Status{Member: c.cfg.Member, Leader: c.leaderName()}
-	if l := c.lead; l != nil && l.recovered && l.cells != nil && c.entitled() {
-		s.Leading, s.Leader, s.Cell, s.Ready, s.Lends = true, c.cfg.Member, l.cells.self(), l.cells.ready(), l.cells.availableCores()
-		s.Links, s.Out, s.In = l.cells.linkStatus(), l.cells.teamStatus(outbound), l.cells.teamStatus(inbound)
+	if l := c.lead; l != nil && l.recovered && l.spillover != nil && c.hasAuthority() {
+		s.Leading, s.Leader, s.Cell, s.Ready, s.Lends = true, c.cfg.Member, l.spillover.self(), l.spillover.ready(), l.spillover.availableCores()
+		s.Links, s.Out, s.In = l.spillover.linkStatus(), l.spillover.teamStatus(outbound), l.spillover.teamStatus(inbound)
 	}
 	c.emit(Answer{Req: r.Req, Status: http.StatusOK, Body: s})
 }
 
 // linkStatus describes the link to every other cell, ordered by name.
-func (s *cellSide) linkStatus() []cells.LinkStatus {
+func (s *spilloverManager) linkStatus() []cells.LinkStatus {
 	var links []cells.LinkStatus
 	open := s.openGrants()
 	for _, name := range slices.Sorted(maps.Keys(s.links)) {
@@ -40,7 +40,7 @@
 				}
 			}
 		}
-		if declaration, declared := s.c.control.gone[name]; declared {
+		if declaration, declared := s.c.watchCache.declaredGone[name]; declared {
 			status.GoneEpoch, status.GoneBy = declaration.Epoch, declaration.By
 		}
 		links = append(links, status)
@@ -57,9 +57,9 @@
 )
 
 // teamStatus counts, by team, the jobs that are granted to other cells (outbound) or held for them (inbound).
-func (s *cellSide) teamStatus(direction transferDirection) []cells.TeamStatus {
+func (s *spilloverManager) teamStatus(direction transferDirection) []cells.TeamStatus {
 	byTeam := map[string]*cells.TeamStatus{}
-	for _, j := range s.order {
+	for _, j := range s.jobsByAcceptance {
 		if direction == outbound && j.grant == nil || direction == inbound && j.origin == nil {
 			continue
 		}
--- a/controller/cells_test.go
+++ b/controller/cells_test.go
@@ -16,17 +16,17 @@
 // newSpilloverLeader returns a leader of a cell with spillover configured, and one waiting job of it.
 func newSpilloverLeader(t testing.TB) (*Core, *leader, *job) {
 	t.Helper()
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	c.op.Cell = &config.Cell{Name: "a", SpillAfter: 5 * time.Second, ReturnAfter: 5 * time.Second, LendCores: 10,
 		Peers: []config.CellPeer{{Name: "b"}, {Name: "c"}}}
-	l.cells = newCellSide(l)
-	serving(c)
-	members(c, firstVersionWithCells)
+	l.spillover = newSpilloverManager(l)
+	acceptSubmissions(c)
+	setMemberVersions(c, firstVersionWithCells)
 	c.quotas["red"] = quotaOf(config.Team{Name: "red", CPUs: 8, CPUsMax: 12})
 	l.authority = c.now.Add(time.Hour)
 	spec := wire.Job{ID: "req-000077", Team: "red", Class: "x", Kind: wire.KindArray, Priority: "high", Tasks: 3, CPUs: 1}
-	c.control.versions[headerKey(spec.ID)] = 4
-	c.headerChanged(spec.ID, &headerRecord{Job: spec, AcceptedMS: c.now.Add(-time.Minute).UnixMilli(), PerChunk: 10})
+	c.watchCache.versions[headerKey(spec.ID)] = 4
+	c.headerChanged(spec.ID, &headerRecord{Job: spec, AcceptedMS: c.now.Add(-time.Minute).UnixMilli(), TasksPerChunk: 10})
 	return c, l, l.jobs[spec.ID]
 }
 
@@ -43,18 +43,18 @@
 }
 
 // reconcileNow runs reconciliation once more, after its interval.
-func (s *cellSide) reconcileNow() {
+func (s *spilloverManager) reconcileNow() {
 	s.c.now = s.c.now.Add(cellReconcileInterval)
-	s.run()
+	s.reconcile()
 }
 
 // A grant is written before it is offered. The write is conditional on no placement on record, an unchanged
 // header and an unused epoch, so that a copy that is applied late changes nothing.
 func TestGrantIsConditional(t *testing.T) {
 	c, l, j := newSpilloverLeader(t)
-	l.cells.links["b"].lastReplyAt, l.cells.links["b"].availableCores = c.now, 100
+	l.spillover.links["b"].lastReplyAt, l.spillover.links["b"].availableCores = c.now, 100
 	c.out = nil
-	l.cells.reconcileNow()
+	l.spillover.reconcileNow()
 	for _, o := range c.out {
 		if call, ok := o.(CellCall); ok && len(call.Messages) > 0 {
 			t.Fatalf("offered before the grant is recorded: %+v", call)
@@ -75,8 +75,8 @@
 		t.Errorf("missing conditions on %v", want)
 	}
 	resume(c.stateCalls, writes[0].ID, StateReply{ID: writes[0].ID, Status: http.StatusOK, Txn: wire.TxnAnswer{Revision: 50}})
-	if j.grant == nil || j.grant.Holder != "b" || c.control.epoch != 1 {
-		t.Fatalf("grant %+v, epoch counter %d", j.grant, c.control.epoch)
+	if j.grant == nil || j.grant.Holder != "b" || c.watchCache.epoch != 1 {
+		t.Fatalf("grant %+v, epoch counter %d", j.grant, c.watchCache.epoch)
 	}
 	if ds := l.demands(); len(ds) != 1 || ds[0].Job == j.id { // the fixture has another job
 		t.Errorf("%d demands while the job is granted to another cell", len(ds))
@@ -88,10 +88,10 @@
 
 // grantToCellB replaces the waiting job's header by one that grants the job to cell b, and returns it.
 func grantToCellB(c *Core) *headerRecord {
-	h := *c.control.headers["req-000077"]
+	h := *c.watchCache.headers["req-000077"]
 	h.Grant = &grantRecord{Holder: "b", Epoch: 3}
-	c.control.versions[headerKey("req-000077")] = 9
-	c.control.epoch = 3
+	c.watchCache.versions[headerKey("req-000077")] = 9
+	c.watchCache.epoch = 3
 	c.headerChanged("req-000077", &h)
 	return &h
 }
@@ -109,13 +109,13 @@
 	}
 	resume(c.stateCalls, writes[0].ID, StateReply{ID: writes[0].ID, Status: http.StatusOK, Txn: wire.TxnAnswer{Revision: 60}})
 	answer, _ := c.out[len(c.out)-1].(Answer)
-	if answer.Status != http.StatusServiceUnavailable || answer.RetryAfter == 0 || c.withdrawn("req-000077") {
-		t.Fatalf("answer %+v, withdrawn %v", answer, c.withdrawn("req-000077"))
+	if answer.Status != http.StatusServiceUnavailable || answer.RetryAfter == 0 || c.effectivelyCancelled("req-000077") {
+		t.Fatalf("answer %+v, effectively cancelled %v", answer, c.effectivelyCancelled("req-000077"))
 	}
 	ended := cells.Message{Kind: cells.KindStatus, From: "b", To: "a", Job: "req-000077", Epoch: 3, State: cells.HolderEnded, Result: cells.ResultCancelled}
 	for from, status := range map[cells.Cell]cells.Message{"c": ended, "b": ended} {
 		status.From = from
-		l.cells.handleReply(l.cells.links[from], CellReply{OK: true, Messages: []CellMessage{{Message: status}}})
+		l.spillover.handleReply(l.spillover.links[from], CellReply{OK: true, Messages: []CellMessage{{Message: status}}})
 	}
 	writes = headerWrites(c)
 	if len(writes) != 1 {
@@ -167,7 +167,7 @@
 // none of its tasks before the home has confirmed, with the leader's challenge, that the grant is open.
 func TestForeignJobs(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
-	h := &headerRecord{Job: wire.Job{ID: "req-000066", Team: "red", Kind: wire.KindArray, Priority: "prod", Tasks: 1, CPUs: 1}, PerChunk: 10,
+	h := &headerRecord{Job: wire.Job{ID: "req-000066", Team: "red", Kind: wire.KindArray, Priority: "prod", Tasks: 1, CPUs: 1}, TasksPerChunk: 10,
 		Origin: &originRecord{Home: "b", Epoch: 6}}
 	c.headerChanged("req-000066", h)
 	j := l.jobs["req-000066"]
@@ -175,40 +175,40 @@
 	if j.terms.Rank != len(wire.Priorities)-1 || !j.terms.Borrowed {
 		t.Errorf("terms %+v", j.terms)
 	}
-	if l.cells.mayStart(j) {
+	if l.spillover.mayStart(j) {
 		t.Error("may start before its home has confirmed the grant")
 	}
-	for _, stale := range []cells.Challenge{0, l.cells.challenge + 1} { // none, and that of an earlier leader
+	for _, stale := range []cells.Challenge{0, l.spillover.challenge + 1} { // none, and that of an earlier leader
 		c.cellRequest(CellRequest{From: "b", Floor: 5, Challenge: stale})
-		if l.cells.mayStart(j) {
+		if l.spillover.mayStart(j) {
 			t.Error("may start after a call that may be a copy from before the election")
 		}
 	}
-	c.cellRequest(CellRequest{From: "b", Floor: 5, Challenge: l.cells.challenge})
-	if !l.cells.mayStart(j) {
+	c.cellRequest(CellRequest{From: "b", Floor: 5, Challenge: l.spillover.challenge})
+	if !l.spillover.mayStart(j) {
 		t.Error("may not start though its grant is open")
 	}
-	c.cellRequest(CellRequest{From: "b", Floor: 6, Challenge: l.cells.challenge})
-	if l.cells.mayStart(j) {
+	c.cellRequest(CellRequest{From: "b", Floor: 6, Challenge: l.spillover.challenge})
+	if l.spillover.mayStart(j) {
 		t.Error("may start though its grant is over")
 	}
-	c.control.loaded, c.out = true, nil
-	c.lookup("req-000066", func(k known) {
-		if k != knownNot {
+	c.watchCache.loaded, c.out = true, nil
+	c.lookup("req-000066", func(k lookupResult) {
+		if k != jobUnknown {
 			t.Errorf("the user API knows the job: %d", k)
 		}
 	})
-	_, _ = (&stateStub{}).serve(c)
+	_, _ = (&stateServiceStub{}).serve(c)
 }
 
 // No job is granted to another cell before every controller runs a version that supports spillover, and the
 // header of a job that is not transferred is encoded as by earlier versions.
 func TestCellsRequireAllMembersUpgraded(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
-	members(c, thisVersion)
-	l.cells.links["b"].lastReplyAt, l.cells.links["b"].availableCores = c.now, 100
+	setMemberVersions(c, thisVersion)
+	l.spillover.links["b"].lastReplyAt, l.spillover.links["b"].availableCores = c.now, 100
 	c.out = nil
-	l.cells.reconcileNow()
+	l.spillover.reconcileNow()
 	if len(c.out) > 0 {
 		t.Errorf("output %+v with a controller of an earlier version", c.out)
 	}
@@ -218,7 +218,7 @@
 		AcceptedMS int64    `cbor:"t"`
 		PerChunk   int      `cbor:"per"`
 	}
-	h := headerRecord{Job: wire.Job{ID: "req-1"}, AcceptedMS: 5, PerChunk: 3}
+	h := headerRecord{Job: wire.Job{ID: "req-1"}, AcceptedMS: 5, TasksPerChunk: 3}
 	if string(wire.Marshal(h)) != string(wire.Marshal(earlier{Job: h.Job, AcceptedMS: 5, PerChunk: 3})) {
 		t.Error("the encoding of a header has changed")
 	}
@@ -229,8 +229,8 @@
 func TestAcceptanceIsConditional(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
 	fence := fenceRecord{Epoch: 2, Result: cells.ResultReturned}
-	l.cells.restoreFloors([]wire.Item{{Key: floorKey("b"), Value: wire.Marshal(epochRecord{1}), Version: 30}})
-	l.cells.restoreFences([]wire.Item{{Key: fenceKey("b", "req-000088"), Value: wire.Marshal(fence), Version: 31}})
+	l.spillover.restoreFloors([]wire.Item{{Key: floorKey("b"), Value: wire.Marshal(epochRecord{1}), Version: 30}})
+	l.spillover.restoreFences([]wire.Item{{Key: fenceKey("b", "req-000088"), Value: wire.Marshal(fence), Version: 31}})
 	spec := wire.Job{ID: "req-000088", Team: "red", Class: "x", Kind: wire.KindArray, Priority: "high", Tasks: 2, CPUs: 1, Image: "i"}
 	offer := cells.Message{Kind: cells.KindOffer, From: "b", To: "a", Job: spec.ID, Epoch: 5, Team: "red"}
 	c.out = nil
@@ -258,9 +258,9 @@
 func TestFloorReplacesFences(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
 	key := fenceKey("b", "req-000088")
-	l.cells.restoreFences([]wire.Item{{Key: key, Value: wire.Marshal(fenceRecord{Epoch: 2, Result: cells.ResultDone}), Version: 31}})
+	l.spillover.restoreFences([]wire.Item{{Key: key, Value: wire.Marshal(fenceRecord{Epoch: 2, Result: cells.ResultDone}), Version: 31}})
 	c.out = nil
-	l.cells.raiseFloor("b", 4)
+	l.spillover.raiseFloor("b", 4)
 	var call StateCall
 	for _, o := range c.out {
 		if txn, ok := o.(StateCall); ok && txn.Op == OpTxn {
@@ -270,18 +270,18 @@
 	if len(call.Txn.Then) != 2 || call.Txn.Then[0].Put != floorKey("b") || call.Txn.Then[1].Delete != key || len(call.Txn.If) != 3 {
 		t.Fatalf("transaction %+v, want a put of the floor and a delete of the fence", call.Txn)
 	}
-	if l.cells.floor("b").epoch != 0 || l.cells.fences[key] == nil {
+	if l.spillover.floor("b").epoch != 0 || l.spillover.fences[key] == nil {
 		t.Error("the floor replaces the fence before it is recorded")
 	}
 	resume(c.stateCalls, call.ID, StateReply{ID: call.ID, Status: http.StatusOK, Txn: wire.TxnAnswer{Revision: 70}})
-	if l.cells.floor("b").epoch != 4 || l.cells.floor("b").version != 70 || l.cells.fences[key] != nil {
-		t.Errorf("floor %+v, fences %v", l.cells.floor("b"), l.cells.fences)
+	if l.spillover.floor("b").epoch != 4 || l.spillover.floor("b").version != 70 || l.spillover.fences[key] != nil {
+		t.Errorf("floor %+v, fences %v", l.spillover.floor("b"), l.spillover.fences)
 	}
 }
 
 // offerRequest returns a call of a home with one offer for each size, in cores. Epochs and job IDs count from first.
 func offerRequest(c *Core, home cells.Cell, first int, sizes ...int) CellRequest {
-	r := CellRequest{From: home, Challenge: c.lead.cells.challenge}
+	r := CellRequest{From: home, Challenge: c.lead.spillover.challenge}
 	for i, size := range sizes {
 		spec := &wire.Job{ID: fmt.Sprintf("req-%06d", first+i), Team: "red", Class: "x", Kind: wire.KindArray, Priority: "high", Tasks: size, CPUs: 1, Image: "i"}
 		r.Messages = append(r.Messages, CellMessage{Spec: spec, Message: cells.Message{Kind: cells.KindOffer, From: home, To: "a", Job: spec.ID,
@@ -325,27 +325,27 @@
 	// acceptance is refused.
 	id := writes[0].Txn.Then[0].Put[len(headerPrefix):]
 	for _, status := range []int{0, http.StatusConflict} {
-		l.cells.handleAcceptanceReply(id, status)
-		if l.cells.availableCores() > 0 {
-			t.Errorf("%v cores are available after status %d of a write whose outcome is unknown", l.cells.availableCores(), status)
+		l.spillover.handleAcceptanceReply(id, status)
+		if l.spillover.availableCores() > 0 {
+			t.Errorf("%v cores are available after status %d of a write whose outcome is unknown", l.spillover.availableCores(), status)
 		}
 	}
 	// A repeated offer is accepted again, within the cores reserved for it.
-	delete(l.cells.headerWriteInFlight, id)
-	delete(l.cells.fences, fenceKey("b", id))
+	delete(l.spillover.headerWriteInFlight, id)
+	delete(l.spillover.fences, fenceKey("b", id))
 	c.cellRequest(first)
-	if again, cores := acceptanceWrites(c); len(again) != 1 || cores != 4 || l.cells.availableCores() > 0 {
+	if again, cores := acceptanceWrites(c); len(again) != 1 || cores != 4 || l.spillover.availableCores() > 0 {
 		t.Errorf("after a repeated offer %d jobs with %d cores in total are accepted again, want 1 job with 4 cores", len(again), cores)
 	}
 	// A write that is certainly refused releases its cores.
-	l.cells.handleAcceptanceReply(writes[2].Txn.Then[0].Put[len(headerPrefix):], http.StatusConflict)
-	if l.cells.availableCores() != 2 {
-		t.Errorf("%v cores are available after a refused write, want 2", l.cells.availableCores())
+	l.spillover.handleAcceptanceReply(writes[2].Txn.Then[0].Put[len(headerPrefix):], http.StatusConflict)
+	if l.spillover.availableCores() != 2 {
+		t.Errorf("%v cores are available after a refused write, want 2", l.spillover.availableCores())
 	}
 	// A floor of the home that ends the grants releases their cores.
-	c.cellRequest(CellRequest{From: "b", Floor: 150, Challenge: l.cells.challenge})
-	if l.cells.availableCores() != 10 {
-		t.Errorf("%v cores are available after the end of all grants, want 10", l.cells.availableCores())
+	c.cellRequest(CellRequest{From: "b", Floor: 150, Challenge: l.spillover.challenge})
+	if l.spillover.availableCores() != 10 {
+		t.Errorf("%v cores are available after the end of all grants, want 10", l.spillover.availableCores())
 	}
 }
 
@@ -354,25 +354,25 @@
 func TestCapacityRequiresCurrentChallenge(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
 	c.out = nil
-	for challenge, room := range map[cells.Challenge]float64{0: 0, l.cells.challenge: 10} {
+	for challenge, room := range map[cells.Challenge]float64{0: 0, l.spillover.challenge: 10} {
 		c.cellRequest(CellRequest{Req: 3, From: "b", Challenge: challenge})
 		answer := c.out[len(c.out)-1].(Answer).Body.(CellAnswer)
-		if answer.Room != room || answer.Challenge != l.cells.challenge || answer.Challenge == 0 {
+		if answer.AvailableCores != room || answer.Challenge != l.spillover.challenge || answer.Challenge == 0 {
 			t.Errorf("challenge %d: %+v", challenge, answer)
 		}
 	}
-	link := l.cells.links["b"]
+	link := l.spillover.links["b"]
 	for _, reply := range []struct {
 		challenge cells.Challenge
 		soon      bool
 	}{{77, true}, {77, false}, {78, true}} {
-		l.cells.handleReply(link, CellReply{OK: true, Challenge: reply.challenge})
+		l.spillover.handleReply(link, CellReply{OK: true, Challenge: reply.challenge})
 		if soon := !c.now.Before(link.nextCallAt); soon != reply.soon {
 			t.Errorf("challenge %d: next call due at once %v", reply.challenge, soon)
 		}
 		c.out = nil
 		link.nextCallAt = c.now
-		l.cells.call(link, nil)
+		l.spillover.call(link, nil)
 		if call, ok := c.out[len(c.out)-1].(CellCall); !ok || call.Challenge != reply.challenge {
 			t.Errorf("output %+v, want a call with the challenge", c.out)
 		}
@@ -384,12 +384,12 @@
 func TestFloorOfCellDeclaredGone(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
 	open := []cells.HomeRecord{{Job: "x", State: cells.HomeOffered, Holder: "c", Epoch: 2}, {Job: "y", State: cells.HomeOffered, Holder: "b", Epoch: 5}}
-	c.control.epoch = 6
-	c.control.gone["b"] = goneRecord{Epoch: 6, By: "operator"}
+	c.watchCache.epoch = 6
+	c.watchCache.declaredGone["b"] = goneRecord{Epoch: 6, By: "operator"}
 	for holder, want := range map[cells.Cell]CellCall{"b": {Floor: 6}, "c": {Floor: 1, Messages: make([]CellMessage, 1)}} {
-		c.control.headers["x"], c.control.headers["y"] = &headerRecord{}, &headerRecord{}
+		c.watchCache.headers["x"], c.watchCache.headers["y"] = &headerRecord{}, &headerRecord{}
 		c.out = nil
-		l.cells.call(l.cells.links[holder], open)
+		l.spillover.call(l.spillover.links[holder], open)
 		if call := c.out[len(c.out)-1].(CellCall); call.Floor != want.Floor || len(call.Messages) != len(want.Messages) {
 			t.Errorf("call to %s is %+v", holder, call)
 		}
@@ -420,7 +420,7 @@
 	rng := rand.New(rand.NewPCG(2, 7))
 	homes := []cells.Cell{"b", "c"}
 	for range 2000 {
-		h := &headerRecord{Job: wire.Job{ID: fmt.Sprintf("req-%06d", 100+rng.IntN(40)), Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1}, PerChunk: 10}
+		h := &headerRecord{Job: wire.Job{ID: fmt.Sprintf("req-%06d", 100+rng.IntN(40)), Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1}, TasksPerChunk: 10}
 		switch rng.IntN(4) {
 		case 0:
 			h.Grant = &grantRecord{Holder: homes[rng.IntN(2)], Epoch: 3}
@@ -432,23 +432,23 @@
 		}
 		c.headerChanged(h.Job.ID, h)
 		granted, foreign := 0, map[cells.Cell]int{}
-		for id, h := range c.control.headers {
+		for id, h := range c.watchCache.headers {
 			if h.Grant != nil {
 				granted++
 			}
-			if (h.Grant != nil) != c.control.cells.granted[id] {
+			if (h.Grant != nil) != c.watchCache.transfers.granted[id] {
 				t.Fatalf("%s: granted %v, which the index contradicts", id, h.Grant != nil)
 			}
 			if h.Origin != nil {
 				foreign[h.Origin.Home]++
-				if !c.control.cells.foreign[h.Origin.Home][id] {
+				if !c.watchCache.transfers.foreign[h.Origin.Home][id] {
 					t.Fatalf("%s with home %s is not in the index", id, h.Origin.Home)
 				}
 			}
 		}
 		for _, home := range homes {
-			if len(c.control.cells.granted) != granted || len(c.control.cells.foreign[home]) != foreign[home] {
-				t.Fatalf("index has %d of %d granted jobs and %d of %d jobs with home %s", len(c.control.cells.granted), granted, len(c.control.cells.foreign[home]), foreign[home], home)
+			if len(c.watchCache.transfers.granted) != granted || len(c.watchCache.transfers.foreign[home]) != foreign[home] {
+				t.Fatalf("index has %d of %d granted jobs and %d of %d jobs with home %s", len(c.watchCache.transfers.granted), granted, len(c.watchCache.transfers.foreign[home]), foreign[home], home)
 			}
 		}
 	}
@@ -459,7 +459,7 @@
 func BenchmarkCellStep(b *testing.B) {
 	c, l, _ := newSpilloverLeader(b)
 	for i := range 5000 {
-		h := &headerRecord{Job: wire.Job{ID: fmt.Sprintf("req-%06d", 1000+i), Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1}, PerChunk: 10}
+		h := &headerRecord{Job: wire.Job{ID: fmt.Sprintf("req-%06d", 1000+i), Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1}, TasksPerChunk: 10}
 		switch i % 100 {
 		case 0:
 			h.Grant = &grantRecord{Holder: "b", Epoch: cells.Epoch(1000 + i)}
@@ -470,9 +470,9 @@
 	}
 	for b.Loop() {
 		c.out = nil
-		l.cells.openGrants()
-		l.cells.raiseFloor("b", 1)
-		l.cells.availableCores()
-		l.cells.returnWaitingJobs()
+		l.spillover.openGrants()
+		l.spillover.raiseFloor("b", 1)
+		l.spillover.availableCores()
+		l.spillover.returnWaitingJobs()
 	}
 }
--- a/controller/chain_deadlines.go
+++ b/controller/chain_deadlines.go
@@ -31,19 +31,19 @@
 // inheritUrgency passes a job's priority and deadline on to the jobs that it needs, transitively,
 // where they are higher or earlier than those jobs' own. It stops where nothing changes.
 func (l *leader) inheritUrgency(j *job) {
-	d := j.due
-	d.before += j.spec.EstimateS + l.slowestFetch(&j.spec)
+	d := j.deadline
+	d.before += j.spec.EstimateS + l.slowestFetchS(&j.spec)
 	for _, p := range j.spec.Needs {
 		needed := l.jobs[p]
 		if needed == nil {
 			continue
 		}
-		sooner := d.earlier(needed.due)
+		sooner := d.earlier(needed.deadline)
 		if !sooner && j.terms.Rank >= needed.terms.Rank {
 			continue
 		}
 		if sooner {
-			needed.due = d
+			needed.deadline = d
 		}
 		needed.terms.Rank = min(needed.terms.Rank, j.terms.Rank)
 		l.inheritUrgency(needed)
--- a/controller/chains.go
+++ b/controller/chains.go
@@ -19,16 +19,16 @@
 // its dependents to the leader's state.
 func (c *Core) addDependencies(id string, h *headerRecord) {
 	if h.Cancelled {
-		c.updateDependents(c.chains.Accumulate(id, reduction.Cancelled))
+		c.updateDependents(c.dependencies.Accumulate(id, reduction.Cancelled))
 		return
 	}
 	if len(h.Job.Needs) == 0 {
 		return
 	}
-	c.updateDependents(c.chains.Add(id, h.Job.Needs))
+	c.updateDependents(c.dependencies.Add(id, h.Job.Needs))
 	for _, p := range h.Job.Needs {
-		if ph := c.control.headers[p]; ph != nil && ph.Cancelled {
-			c.updateDependents(c.chains.Accumulate(p, reduction.Cancelled))
+		if ph := c.watchCache.headers[p]; ph != nil && ph.Cancelled {
+			c.updateDependents(c.dependencies.Accumulate(p, reduction.Cancelled))
 		} else if f, over := c.finals.jobs[p]; over {
 			c.accumulateOutcome(p, f)
 		} else if ph == nil && c.lead != nil && c.lead.recovered {
@@ -39,17 +39,17 @@
 
 // removeDependencies removes a job from the graph after its header was deleted.
 func (c *Core) removeDependencies(id string, h *headerRecord) {
-	c.chains.Drop(id)
+	c.dependencies.Drop(id)
 	l := c.lead
 	if l == nil || !l.recovered {
 		return
 	}
 	for _, p := range h.Job.Needs { // the final record of a cancelled one may be due now
 		if j := l.jobs[p]; j != nil && j.cancelled {
-			l.settle(j)
+			l.finalizeIfSettled(j)
 		}
 	}
-	if len(c.chains.Successors(id)) > 0 && c.outcomeUnknown(id) {
+	if len(c.dependencies.Successors(id)) > 0 && c.outcomeUnknown(id) {
 		l.fetchOutcome(id)
 	}
 }
@@ -65,7 +65,7 @@
 	if f.Cancelled {
 		o = reduction.Cancelled
 	}
-	c.updateDependents(c.chains.Accumulate(id, o))
+	c.updateDependents(c.dependencies.Accumulate(id, o))
 }
 
 // updateDependents updates the leader's state of jobs that became ready or were cancelled by the
@@ -79,10 +79,10 @@
 		j := l.jobs[id]
 		switch {
 		case j == nil:
-		case c.withdrawn(id):
+		case c.effectivelyCancelled(id):
 			c.log(slog.LevelInfo, "job cancelled with what it needs", "job", id)
 			l.cancel(j)
-			l.settle(j)
+			l.finalizeIfSettled(j)
 		default:
 			c.log(slog.LevelInfo, "job ready", "job", id, "after", c.now.Sub(j.accepted))
 			l.markReady(j)
@@ -90,33 +90,33 @@
 	}
 }
 
-// withdrawn reports whether an unfinished job is cancelled, either directly or because a job that it
+// effectivelyCancelled reports whether an unfinished job is cancelled, either directly or because a job that it
 // needs is cancelled.
-func (c *Core) withdrawn(id string) bool {
-	h := c.control.headers[id]
-	return h != nil && (h.Cancelled || c.chains.Status(id) == reduction.Failed)
+func (c *Core) effectivelyCancelled(id string) bool {
+	h := c.watchCache.headers[id]
+	return h != nil && (h.Cancelled || c.dependencies.Status(id) == reduction.Failed)
 }
 
 // blocked reports whether a job waits for jobs that it needs. A blocked job starts no tasks, causes
 // no rentals and uses no part of its team's guarantee.
 func (l *leader) blocked(j *job) bool {
-	return len(j.spec.Needs) > 0 && l.c.chains.Classify(j.id) == reduction.Waiting
+	return len(j.spec.Needs) > 0 && l.c.dependencies.Classify(j.id) == reduction.Waiting
 }
 
 // outcomeUnknown reports whether this controller has neither the header nor the outcome of a job that
 // others need.
 func (c *Core) outcomeUnknown(id string) bool {
-	return c.control.headers[id] == nil && c.chains.Status(id) == reduction.Pending
+	return c.watchCache.headers[id] == nil && c.dependencies.Status(id) == reduction.Pending
 }
 
 // fetchOutcome looks up the outcome of a job that others need and whose header is deleted, with
 // retries. Only its final record contains the outcome.
 func (l *leader) fetchOutcome(id string) {
 	c := l.c
-	c.lookup(id, func(k known) {
+	c.lookup(id, func(k lookupResult) {
 		switch {
-		case c.lead != l || k == knownActive:
-		case k == knownFinal:
+		case c.lead != l || k == jobUnfinished:
+		case k == jobFinal:
 			c.accumulateOutcome(id, c.finals.jobs[id])
 		default:
 			c.after(time.Second, func() {
@@ -130,7 +130,7 @@
 
 // fetchUnknownOutcomes looks up the unknown outcomes of all jobs that unfinished jobs need.
 func (l *leader) fetchUnknownOutcomes() {
-	for _, j := range l.order {
+	for _, j := range l.jobsByAcceptance {
 		for _, p := range j.spec.Needs {
 			if l.c.outcomeUnknown(p) {
 				l.fetchOutcome(p)
@@ -148,15 +148,15 @@
 			j.ready = at
 		}
 	}
-	l.autoscaler.arrived(j)
-	l.wantPlacement()
+	l.autoscaler.recordArrival(j)
+	l.schedulePlacement()
 }
 
-// soonReady lists the demands of jobs that will be ready soon: all jobs that they need are done or
+// soonReadyDemands lists the demands of jobs that will be ready soon: all jobs that they need are done or
 // running, and should end before a machine that is rented now is up.
-func (l *leader) soonReady() []*scheduler.Demand {
+func (l *leader) soonReadyDemands() []*scheduler.Demand {
 	var ds []*scheduler.Demand
-	for _, j := range l.order {
+	for _, j := range l.jobsByAcceptance {
 		if j.cancelled || !l.blocked(j) || !l.neededJobsEndSoon(j) {
 			continue
 		}
@@ -170,17 +170,17 @@
 // neededJobsEndSoon reports whether all jobs that a job needs are done or should end before a machine
 // that is rented now is up.
 func (l *leader) neededJobsEndSoon(j *job) bool {
-	boot := l.c.soonestBoot(&j.spec)
+	boot := l.c.shortestBootForS(&j.spec)
 	for _, p := range j.spec.Needs {
 		needed := l.jobs[p]
 		switch {
-		case needed == nil && l.c.chains.Status(p) == reduction.Completed:
+		case needed == nil && l.c.dependencies.Status(p) == reduction.Completed:
 			continue
 		case needed == nil || l.blocked(needed) || needed.state.Count(reduction.Pending) > 0:
 			return false
 		}
 		for _, a := range needed.attempts {
-			if a.phase < attemptRunning || l.remaining(a) > boot {
+			if a.phase < attemptRunning || l.remainingS(a) > boot {
 				return false
 			}
 		}
--- a/controller/chains_test.go
+++ b/controller/chains_test.go
@@ -15,9 +15,9 @@
 // A needed job inherits the dependent's priority and its deadline less the dependent's estimated
 // duration. The dependent's own times count from the end of the job that it needs.
 func TestPriorityAndDeadlineAreInherited(t *testing.T) {
-	c, l, first, second := chain(t)
-	if first.terms.Rank != second.terms.Rank || first.due.within(1) != 80 || !l.blocked(second) {
-		t.Fatalf("rank %d, due in %v, blocked %v", first.terms.Rank, first.due, l.blocked(second))
+	c, l, first, second := newDependentJobs(t)
+	if first.terms.Rank != second.terms.Rank || first.deadline.within(1) != 80 || !l.blocked(second) {
+		t.Fatalf("rank %d, due in %v, blocked %v", first.terms.Rank, first.deadline, l.blocked(second))
 	}
 	first.spec.Spot = true
 	if ds := l.demands(); len(ds) != 2 || ds[1].Job != "req-000010" || ds[1].Rank != 1 || !ds[1].PreferNonSpot || ds[0].PreferNonSpot {
@@ -35,7 +35,7 @@
 // A blocked job uses no part of its team's guarantee, which stays available to the team's other
 // jobs. Once the job is ready, it uses its part.
 func TestBlockedJobsUseNoGuarantee(t *testing.T) {
-	c, l, first, second := chain(t)
+	c, l, first, second := newDependentJobs(t)
 	c.quotas["red"] = quotaOf(config.Team{Name: "red", CPUs: 1, CPUsMax: 4})
 	for _, j := range []*job{first, second} {
 		j.spec.Team, j.terms.Team = "red", "red"
@@ -46,7 +46,7 @@
 		t.Error("a blocked job uses the guarantee")
 	}
 	c.applyFinal(first.id, finalRecord{Tasks: 1})
-	l.guaranteesAt = time.Time{}
+	l.guaranteesAssignedAt = time.Time{}
 	l.assignGuarantees()
 	if !first.terms.Borrowed || second.terms.Borrowed {
 		t.Errorf("beyond the guarantee: first %v, second %v", first.terms.Borrowed, second.terms.Borrowed)
@@ -56,9 +56,9 @@
 // A leader that has neither the header nor the outcome of a needed job reads its final record, and
 // keeps the dependents blocked until it has it.
 func TestUnknownOutcomeBlocksDependents(t *testing.T) {
-	c, l, _, second := chain(t)
+	c, l, _, second := newDependentJobs(t)
 	c.out = nil
-	c.control.loaded = true
+	c.watchCache.loaded = true
 	c.headerChanged("req-000010", nil)
 	if !l.blocked(second) || len(c.out) == 0 {
 		t.Fatalf("blocked %v, outputs %v", l.blocked(second), c.out)
@@ -68,8 +68,8 @@
 // The final record of a cancelled job is not written while an unfinished job needs it: every
 // controller derives from the cancelled header that the dependent is cancelled.
 func TestCancelledJobKeepsHeaderWhileNeeded(t *testing.T) {
-	c, l, first, second := chain(t)
-	c.headerChanged(first.id, &headerRecord{Job: first.spec, Cancelled: true, PerChunk: 10})
+	c, l, first, second := newDependentJobs(t)
+	c.headerChanged(first.id, &headerRecord{Job: first.spec, Cancelled: true, TasksPerChunk: 10})
 	if !second.cancelled || c.jobState(second.id).State != wire.StateCancelled {
 		t.Fatalf("state of the dependent: %v", c.jobState(second.id))
 	}
@@ -90,9 +90,9 @@
 // whose state can't be determined now gives 503. The header is written on the condition that the
 // needed jobs are unchanged since the lookup.
 func TestSubmissionsThatNeedOthers(t *testing.T) {
-	c, _, first, _ := chain(t)
-	serving(c)
-	members(c, firstVersionWithChains)
+	c, _, first, _ := newDependentJobs(t)
+	acceptSubmissions(c)
+	setMemberVersions(c, firstVersionWithDependencies)
 	submit := func(needs ...string) (answer *Answer, txn *StateCall) { return submitWithNeeds(c, nil, needs) }
 	if a, _ := submit("req-000077"); a == nil || a.Status != http.StatusUnprocessableEntity {
 		t.Errorf("submission that needs an unknown job: %+v", a)
@@ -103,15 +103,15 @@
 	if _, txn := submit(first.id, first.id); txn == nil || len(txn.Txn.If) != 3 || txn.Txn.If[2] != (wire.Cond{Key: headerKey(first.id), Version: 1}) {
 		t.Errorf("submission that needs an unfinished job: %+v", txn)
 	}
-	c.headerChanged(first.id, &headerRecord{Job: first.spec, Cancelled: true, PerChunk: 10})
+	c.headerChanged(first.id, &headerRecord{Job: first.spec, Cancelled: true, TasksPerChunk: 10})
 	if _, txn := submit(first.id); txn == nil || !decode[headerRecord](txn.Txn.Then[0].Value).Cancelled {
 		t.Errorf("submission that needs a cancelled job: %+v", txn)
 	}
-	c.control.memberVersions["n2"] = 0
+	c.watchCache.memberVersions["n2"] = 0
 	if a, _ := submit(first.id); a == nil || a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("submission while an earlier version may lead: %+v", a)
 	}
-	c.control.unreachable = true
+	c.watchCache.unreachable = true
 	if a, _ := submit(first.id); a == nil || a.Status != http.StatusServiceUnavailable {
 		t.Errorf("submission without the state service: %+v", a)
 	}
@@ -120,10 +120,10 @@
 // A header with a long list of needed jobs fits into the upcoming value size limit, or the
 // submission is refused permanently.
 func TestLongListsOfNeededJobs(t *testing.T) {
-	c, _, _, _ := chain(t)
+	c, _, _, _ := newDependentJobs(t)
 	kb, ops := 2.0, 5
 	c.cfg.Facts.State.Next.ValueKB, c.cfg.Facts.State.Next.TxnOps = &kb, &ops
-	serving(c)
+	acceptSubmissions(c)
 	spec := wire.Job{ID: "req-000099", Class: "a", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1, Image: "i"}
 	refused := 0
 	for refused == 0 && len(spec.Needs) < 1000 {
@@ -156,21 +156,21 @@
 // state service's limits. With one condition per needed job, a submission with more than 18 of them
 // got 503 on every attempt.
 func TestMoreNeededJobsThanConditions(t *testing.T) {
-	c, _, first, _ := chain(t)
-	serving(c)
+	c, _, first, _ := newDependentJobs(t)
+	acceptSubmissions(c)
 	ops := 5
 	c.cfg.Facts.State.Next.TxnOps = &ops
 	var needs []string
 	for n := range 40 {
 		spec := first.spec
 		spec.ID = fmt.Sprintf("req-%06d", 500+n)
-		c.headerChanged(spec.ID, &headerRecord{Job: spec, PerChunk: 10})
+		c.headerChanged(spec.ID, &headerRecord{Job: spec, TasksPerChunk: 10})
 		needs = append(needs, spec.ID)
 	}
 	if answer, txn := submitWithNeeds(c, nil, needs); txn == nil || len(txn.Txn.If) > 4*ops {
 		t.Errorf("submission that needs %d unfinished jobs: answer %+v, write %+v", len(needs), answer, txn)
 	}
-	members(c, firstVersionWithChains) // version 2 determines job states from headers alone
+	setMemberVersions(c, firstVersionWithDependencies) // version 2 determines job states from headers alone
 	if answer, txn := submitWithNeeds(c, nil, needs); answer == nil || answer.Status != http.StatusServiceUnavailable {
 		t.Errorf("submission while version 2 runs: answer %+v, write %+v", answer, txn)
 	}
@@ -183,21 +183,21 @@
 	cancelled := map[string]finalRecord{"req-000010": {Cancelled: true, Tasks: 1}}
 	for name, request := range map[string]UserRequest{
 		"poll":              {Req: 6, Op: UserPoll, Job: "req-000011"},
-		"repeat":            {Req: 6, Op: UserSubmit, Body: body("req-000011")},
+		"repeat":            {Req: 6, Op: UserSubmit, Body: jobBody("req-000011")},
 		"cancel":            {Req: 6, Op: UserAbort, Job: "req-000011"},
 		"poll of a later":   {Req: 6, Op: UserPoll, Job: "req-000012"},
-		"repeat of a later": {Req: 6, Op: UserSubmit, Body: body("req-000012")},
+		"repeat of a later": {Req: 6, Op: UserSubmit, Body: jobBody("req-000012")},
 	} {
-		c, _, first, second := chain(t)
-		serving(c)
+		c, _, first, second := newDependentJobs(t)
+		acceptSubmissions(c)
 		c.lead = nil // a controller that doesn't lead doesn't get outcomes unless it reads them
 		third := second.spec
 		third.ID, third.Needs = "req-000012", []string{second.id}
-		c.headerChanged(third.ID, &headerRecord{Job: third, PerChunk: 10})
+		c.headerChanged(third.ID, &headerRecord{Job: third, TasksPerChunk: 10})
 		c.headerChanged(first.id, nil)
 		c.out = nil
-		c.user(request)
-		answer, txn := (&stateStub{finals: cancelled}).serve(c)
+		c.handleUserRequest(request)
+		answer, txn := (&stateServiceStub{finals: cancelled}).serve(c)
 		if answer == nil || answer.Status != http.StatusOK || answer.Body.(wire.JobState).State != wire.StateCancelled {
 			t.Errorf("%s: answer %+v, write %+v", name, answer, txn)
 		}
@@ -207,14 +207,14 @@
 // No final record is read for a job that has running or done tasks. Otherwise a controller that has
 // just started would read the final records of all jobs that running jobs have needed.
 func TestStartedJobsNeedNoReads(t *testing.T) {
-	c, _, first, second := chain(t)
-	serving(c)
+	c, _, first, second := newDependentJobs(t)
+	acceptSubmissions(c)
 	c.lead = nil
 	c.headerChanged(first.id, nil)
 	readsFor := func(req uint64) int {
-		state := stateStub{finals: map[string]finalRecord{first.id: {Tasks: 1}}}
+		state := stateServiceStub{finals: map[string]finalRecord{first.id: {Tasks: 1}}}
 		c.out = nil
-		c.user(UserRequest{Req: req, Op: UserPoll, Job: second.id})
+		c.handleUserRequest(UserRequest{Req: req, Op: UserPoll, Job: second.id})
 		if answer, _ := state.serve(c); answer == nil || answer.Status != http.StatusOK {
 			t.Errorf("request %d: answer %+v", req, answer)
 		}
--- a/controller/cloud_listing.go
+++ b/controller/cloud_listing.go
@@ -26,10 +26,10 @@
 		s.typesAt = s.c.now
 		first := len(s.c.types) == 0
 		s.c.setTypes(r.Types.Types)
-		s.wantPlacement()
-		if first || s.c.control.versions[typesKey] == 0 {
+		s.schedulePlacement()
+		if first || s.c.watchCache.versions[typesKey] == 0 {
 			txn := wire.Txn{If: []wire.Cond{s.leadershipCondition()}, Then: []wire.Change{put(typesKey, r.Types)}}
-			s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(StateReply) {})
+			s.c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(StateReply) {})
 		}
 	})
 }
@@ -53,7 +53,7 @@
 			return
 		}
 		for _, m := range r.Page.Machines {
-			s.listed(m)
+			s.handleListed(m)
 		}
 		s.handleUnlisted(after, r.Page, requestedAt)
 		if n := len(r.Page.Machines); r.Page.More && n > 0 {
@@ -73,14 +73,14 @@
 		present[it.ID], last = true, it.ID
 	}
 	cutoff := requestedAt.Add(-config.Seconds(2*s.c.cfg.Facts.Cloud.ListLagS) - time.Second)
-	for _, m := range s.fleetOrder {
-		if m.id > after && (m.id <= last || !page.More) && !present[m.id] && !m.listed.IsZero() && m.listed.Before(cutoff) {
+	for _, m := range s.machinesByName {
+		if m.id > after && (m.id <= last || !page.More) && !present[m.id] && !m.expectedInListSince.IsZero() && m.expectedInListSince.Before(cutoff) {
 			s.release(m, releaseUnlisted)
 		}
 	}
 }
 
-func (s *autoscaler) listed(it wire.Machine) {
+func (s *autoscaler) handleListed(it wire.Machine) {
 	if at, ok := s.released[it.ID]; ok {
 		// Still listed long after its release: it came up late, or the release was lost.
 		if s.c.now.Sub(at) > 4*config.Seconds(s.c.cfg.Facts.Cloud.ListLagS)+30*time.Second {
@@ -91,11 +91,11 @@
 	m, known := s.machines[it.ID]
 	if !known {
 		m = s.machine(it.ID)
-		m.since = s.c.now.Add(-config.Seconds(it.AgeS))
+		m.knownSince = s.c.now.Add(-config.Seconds(it.AgeS))
 		s.c.log(slog.LevelInfo, "machine found in the list", "machine", it.ID, "type", it.Type, "state", it.State)
 	}
-	if m.listed.IsZero() {
-		m.listed = s.c.now
+	if m.expectedInListSince.IsZero() {
+		m.expectedInListSince = s.c.now
 	}
 	if !m.up && it.State == wire.MachineRunning && it.Addr != "" && m.addr != it.Addr {
 		s.probe(it.ID, it.Addr) // once; a machine that has failed does not answer
@@ -103,7 +103,7 @@
 	if !m.up {
 		m.typ, m.zone, m.spot, m.addr = it.Type, it.Zone, it.Spot, it.Addr
 	}
-	if it.State == wire.MachineFailed && (!m.up || s.failures.unresponsive(m)) {
+	if it.State == wire.MachineFailed && (!m.up || s.failureDetector.unresponsive(m)) {
 		s.release(m, releaseFailedMachine)
 	}
 }
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -16,10 +16,10 @@
 // heartbeatCommands returns the commands for the answer to a machine's heartbeat.
 func (l *leader) heartbeatCommands(m *machine) []wire.Command {
 	var commands []wire.Command
-	for _, a := range m.list {
+	for _, a := range m.attemptsInOrder {
 		if a.stopping {
 			commands = append(commands, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: a.grace})
-		} else if a.phase < attemptSeen && l.mayRun(a) {
+		} else if a.phase < attemptReported && l.mayRun(a) {
 			commands = append(commands, l.runCommand(a))
 		}
 	}
@@ -75,7 +75,7 @@
 // being written, the completion of that write ends it.
 func (l *leader) stop(a *attempt, grace float64) {
 	if w := a.job.write; a.phase < attemptSent && (w == nil || !slices.Contains(w.attempts, a)) {
-		l.gone(a, reduction.Reset, proofNeverSent)
+		l.removeAttempt(a, reduction.Reset, proofNeverSent)
 		return
 	}
 	if a.stopping && a.grace <= grace {
@@ -88,12 +88,12 @@
 	a.machine.snapshot = nil
 	if a.phase >= attemptSent {
 		a.machine.pendingStops = append(a.machine.pendingStops, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: grace})
-		l.hasToSend(a.machine)
+		l.enqueueForSending(a.machine)
 	}
 }
 
-// hasToSend adds a machine to those that sendCommands visits next.
-func (l *leader) hasToSend(m *machine) {
+// enqueueForSending adds a machine to those that sendCommands visits next.
+func (l *leader) enqueueForSending(m *machine) {
 	if !m.queuedToSend {
 		m.queuedToSend = true
 		l.toSend = append(l.toSend, m)
@@ -107,16 +107,16 @@
 	l.toSend = nil
 	for _, m := range ms {
 		m.queuedToSend = false
-		if m.callInFlight || len(m.outbox)+len(m.pendingStops) == 0 {
-			continue // a call in flight calls hasToSend again when it ends
+		if m.callInFlight || len(m.pendingRuns)+len(m.pendingStops) == 0 {
+			continue // a call in flight calls enqueueForSending again when it ends
 		}
 		commands := m.pendingStops
-		for _, a := range m.outbox {
-			if l.mayRun(a) && a.phase < attemptSeen && a.job.attempts[a.task] == a {
+		for _, a := range m.pendingRuns {
+			if l.mayRun(a) && a.phase < attemptReported && a.job.attempts[a.task] == a {
 				commands = append(commands, l.runCommand(a))
 			}
 		}
-		m.outbox, m.pendingStops = nil, nil
+		m.pendingRuns, m.pendingStops = nil, nil
 		if len(commands) > 0 && m.up && !m.releasing {
 			l.sendCommand(m, commands)
 		}
@@ -133,12 +133,12 @@
 	}
 	body := wire.Commands{Token: l.token, Session: m.session, Commands: commands}
 	sent, session, seq := l.c.now, m.session, m.seq
-	l.c.worker(WorkerCall{Machine: m.id, Addr: m.addr, Commands: body, Timeout: timeout}, func(r WorkerReply) {
+	l.c.callWorker(WorkerCall{Machine: m.id, Addr: m.addr, Commands: body, Timeout: timeout}, func(r WorkerReply) {
 		if l.c.lead != l || l.machines[m.id] != m {
 			return
 		}
 		m.callInFlight = false
-		l.hasToSend(m)
+		l.enqueueForSending(m)
 		m.lastCommandUnanswered = r.Status == 0
 		if r.Status == 0 || r.Report.Machine != m.id {
 			l.commandUnanswered(m, sent)
@@ -153,11 +153,11 @@
 			l.release(m, releaseRestarted)
 			return
 		}
-		l.failures.applyHeartbeat(m, &r.Report)
+		l.failureDetector.applyHeartbeat(m, &r.Report)
 		if r.Status == http.StatusConflict && r.Report.Token <= l.token {
 			// Refused because of an older token or session: what is still wanted is sent again.
-			m.outbox = append(m.outbox, m.list...)
-			l.hasToSend(m)
+			m.pendingRuns = append(m.pendingRuns, m.attemptsInOrder...)
+			l.enqueueForSending(m)
 		}
 	})
 }
@@ -170,7 +170,7 @@
 	}
 	// A command lost during a network partition is no evidence against the machine, and the first
 	// command after the partition may be lost too.
-	if m.unreachableSince.IsZero() || m.unreachableSince.Before(l.partitions.lastSeen[m.zone]) || m.unreachableSince.Before(l.partitions.lastSeen[allZones]) {
+	if m.unreachableSince.IsZero() || m.unreachableSince.Before(l.partitions.lastSuspected[m.zone]) || m.unreachableSince.Before(l.partitions.lastSuspected[allZones]) {
 		m.unreachableSince = sent
 	}
 	delay := min(max(l.c.now.Sub(m.unansweredSince)/4, tickEvery), leadCallTimeout)
@@ -182,12 +182,12 @@
 // status too. The authority is checked here because probe may be called on a delayed answer, when
 // the leader has lost its authority meanwhile.
 func (l *leader) probe(id, addr string) {
-	if at, ok := l.probedAt[id]; ok && l.c.now.Sub(at) < probePause || !l.c.entitled() {
+	if at, ok := l.probedAt[id]; ok && l.c.now.Sub(at) < probePause || !l.c.hasAuthority() {
 		return
 	}
 	l.probedAt[id] = l.c.now
 	body := wire.Commands{Token: l.token}
-	l.c.worker(WorkerCall{Machine: id, Addr: addr, Commands: body, Timeout: probeReportTimeout}, func(r WorkerReply) {
+	l.c.callWorker(WorkerCall{Machine: id, Addr: addr, Commands: body, Timeout: probeReportTimeout}, func(r WorkerReply) {
 		_, released := l.released[id]
 		if l.c.lead != l || released || r.Report.Token > l.token {
 			return
@@ -198,6 +198,6 @@
 		if r.Status == 0 || r.Report.Machine != id {
 			return
 		}
-		l.failures.applyHeartbeat(l.machine(id), &r.Report)
+		l.failureDetector.applyHeartbeat(l.machine(id), &r.Report)
 	})
 }
--- a/controller/consolidation.go
+++ b/controller/consolidation.go
@@ -36,23 +36,23 @@
 		return
 	}
 	if !s.fitsElsewhere(best) {
-		best.immovableAt = s.c.now
+		best.consolidationFailedAt = s.c.now
 		return
 	}
-	s.c.log(slog.LevelInfo, "emptying machine", "machine", best.id, "tasks", len(best.list))
+	s.c.log(slog.LevelInfo, "emptying machine", "machine", best.id, "tasks", len(best.attemptsInOrder))
 	best.consolidating = true
-	for _, a := range best.list {
+	for _, a := range best.attemptsInOrder {
 		s.stop(a, saveGraceS(&a.job.spec))
 	}
-	s.wantPlacement()
+	s.schedulePlacement()
 }
 
 // costliestConsolidatable is the consolidatable machine with the highest cost per replica, the first by name of equal
 // ones; nil if there is none.
 func (s *autoscaler) costliestConsolidatable() *machine {
 	var best *machine
-	costPerReplica := func(m *machine) float64 { return s.price(m) / float64(len(m.list)) }
-	for _, m := range s.fleetOrder {
+	costPerReplica := func(m *machine) float64 { return s.price(m) / float64(len(m.attemptsInOrder)) }
+	for _, m := range s.machinesByName {
 		if s.consolidatable(m) && (best == nil || costPerReplica(m) > costPerReplica(best)) {
 			best = m
 		}
@@ -65,39 +65,39 @@
 // replica is room for the next one, and moving the replica only costs that room, unless a machine boots in time for
 // the next replica.
 func (s *autoscaler) consolidatable(m *machine) bool {
-	if !s.usable(m) || len(m.list) == 0 || len(m.unknownAttempts) > 0 || s.c.now.Sub(m.immovableAt) < minReplicaRuntime {
+	if !s.usable(m) || len(m.attemptsInOrder) == 0 || len(m.unknownAttempts) > 0 || s.c.now.Sub(m.consolidationFailedAt) < minReplicaRuntime {
 		return false
 	}
 	used := 0.0
-	for _, a := range m.list {
-		if a.job.spec.Kind != wire.KindService || a.phase < attemptRunning || a.stopping || s.c.now.Sub(a.since) < minReplicaRuntime ||
+	for _, a := range m.attemptsInOrder {
+		if a.job.spec.Kind != wire.KindService || a.phase < attemptRunning || a.stopping || s.c.now.Sub(a.runningSince) < minReplicaRuntime ||
 			!s.fitsCheaper(&a.job.spec, m) && s.headroomShare(&a.job.spec) > 0 {
 			return false
 		}
-		used += s.c.measure.Of(jobEach(&a.job.spec))
+		used += s.c.measure.Of(taskResources(&a.job.spec))
 	}
-	return 2*used <= s.c.measure.Of(capOf(s.c.types[m.typ]))
+	return 2*used <= s.c.measure.Of(machineCapacity(s.c.types[m.typ]))
 }
 
 // fitsCheaper reports whether a task of a job could run on a machine type that costs less than that of a machine.
 func (s *autoscaler) fitsCheaper(j *wire.Job, m *machine) bool {
 	return slices.ContainsFunc(s.c.typesFor(j), func(t wire.MachineType) bool {
-		return t.Price < s.c.types[m.typ].Price && capOf(t).Fits(jobEach(j)) > 0
+		return t.Price < s.c.types[m.typ].Price && machineCapacity(t).Fits(taskResources(j)) > 0
 	})
 }
 
 // fitsElsewhere reports whether the other machines in use that have the images have room for all that a machine runs,
 // and whether all headroom still has room without the machine.
 func (s *autoscaler) fitsElsewhere(m *machine) bool {
-	machines := slices.DeleteFunc(s.view(true), func(o *scheduler.Machine) bool { return o.ID == m.id })
+	machines := slices.DeleteFunc(s.schedulerView(true), func(o *scheduler.Machine) bool { return o.ID == m.id })
 	moved := map[*job][]*attempt{}
-	for _, a := range m.list {
+	for _, a := range m.attemptsInOrder {
 		moved[a.job] = append(moved[a.job], a)
 	}
 	inUse := slices.DeleteFunc(slices.Clone(machines), func(o *scheduler.Machine) bool {
-		return o.Virtual || len(s.machines[o.ID].list) == 0
+		return o.Virtual || len(s.machines[o.ID].attemptsInOrder) == 0
 	})
-	for _, j := range s.order {
+	for _, j := range s.jobsByAcceptance {
 		movedAttempts := moved[j]
 		if len(movedAttempts) == 0 {
 			continue
--- a/controller/consolidation_test.go
+++ b/controller/consolidation_test.go
@@ -28,22 +28,22 @@
 		{"no type is cheaper", 2 * time.Minute, true, false, 1.5, 2, 0},
 		{"no type is cheaper, but one boots in time", 2 * time.Minute, true, false, 1.5, 20, 1},
 	} {
-		core, l, _ := leading(t)
+		core, l, _ := newLeadingCore(t)
 		core.types["t"] = wire.MachineType{Name: "t", CPUs: 8, Price: 1, BootS: 10}
 		core.types["s"] = wire.MachineType{Name: "s", CPUs: 2, Price: c.cheaper, BootS: 10}
 		core.cfg.Facts.Objectives = []config.Objective{{Kind: "guarantee", WithinS: c.within}}
 		core.cfg.Facts.Teams = []config.Team{{Name: "red", CPUs: 100, CPUsMax: 100}}
-		l.order, l.jobs = nil, map[string]*job{}
+		l.jobsByAcceptance, l.jobs = nil, map[string]*job{}
 		run := func(id, kind string, m *machine) *attempt {
-			j := l.addJob(id, &headerRecord{PerChunk: 10, Job: wire.Job{ID: id, Kind: kind, Team: "red", Priority: "prod", Tasks: 1, CPUs: 2, Image: "img"}})
-			a := place(l, j, 0, m)
-			a.phase, a.since, j.begun = attemptRunning, core.now.Add(-c.ran), true
+			j := l.addJob(id, &headerRecord{TasksPerChunk: 10, Job: wire.Job{ID: id, Kind: kind, Team: "red", Priority: "prod", Tasks: 1, CPUs: 2, Image: "img"}})
+			a := placeAttempt(l, j, 0, m)
+			a.phase, a.runningSince, j.hasStarted = attemptRunning, core.now.Add(-c.ran), true
 			return a
 		}
 		for i, n := range []int{3, 1} {
 			id := fmt.Sprintf("i-%d", i)
 			m := l.machine(id)
-			l.failures.applyHeartbeat(m, &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+			l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 			m.images["img"] = c.cached
 			for k := range n {
 				run(fmt.Sprintf("req-%d%d", i, k), wire.KindService, m)
@@ -55,7 +55,7 @@
 		l.autoscaler.consolidate()
 		stopping := 0
 		for _, m := range l.machines {
-			for _, a := range m.list {
+			for _, a := range m.attemptsInOrder {
 				if a.stopping {
 					stopping++
 				}
--- a/controller/control.go
+++ b/controller/control.go
@@ -10,20 +10,20 @@
 	"pumicefront/wire"
 )
 
-// The watch cache: every controller's copy of the records under controlPrefix.
+// The watch cache: every controller's copy of the records under watchedPrefix.
 
-// control is this controller's copy of the watched records as of a revision of the state service.
+// watchCache is this controller's copy of the watched records as of a revision of the state service.
 // Before a user request is answered from it, sync brings it up to date.
-type control struct {
+type watchCache struct {
 	loaded, loading bool
 	revision        uint64
 	versions        map[string]uint64
 	leader          *leaderRecord
 	token           uint64
 	headers         map[string]*headerRecord
-	cells           cellIndex
+	transfers       transferIndex
 	epoch           cells.Epoch // the last one allocated for a grant to another cell
-	gone            map[cells.Cell]goneRecord
+	declaredGone    map[cells.Cell]goneRecord
 	memberVersions  map[string]int // the software version that each member has recorded
 
 	syncing     bool
@@ -32,12 +32,12 @@
 	syncWaiters []func(ok bool)
 }
 
-func (k *control) init() {
-	k.versions = map[string]uint64{}
-	k.headers = map[string]*headerRecord{}
-	k.cells.init()
-	k.memberVersions = map[string]int{}
-	k.gone = map[cells.Cell]goneRecord{}
+func (w *watchCache) init() {
+	w.versions = map[string]uint64{}
+	w.headers = map[string]*headerRecord{}
+	w.transfers.init()
+	w.memberVersions = map[string]int{}
+	w.declaredGone = map[cells.Cell]goneRecord{}
 }
 
 // maxSyncWaiters is the maximum number of requests that wait for one sync.
@@ -45,9 +45,9 @@
 
 // load reads all watched records and then watches them.
 func (c *Core) load() {
-	c.control.loading = true
+	c.watchCache.loading = true
 	sent := c.now
-	c.readAll(controlPrefix, userCallTimeout, func(items []wire.Item, revision uint64, ok bool) {
+	c.readAll(watchedPrefix, userCallTimeout, func(items []wire.Item, revision uint64, ok bool) {
 		if !ok {
 			c.after(retryPause, c.load)
 			return
@@ -56,7 +56,7 @@
 		for _, it := range items {
 			keep[it.Key] = true
 		}
-		for key, v := range c.control.versions {
+		for key, v := range c.watchCache.versions {
 			if !keep[key] && v <= revision {
 				c.applyEvent(wire.Event{Delete: key, Version: revision})
 			}
@@ -64,8 +64,8 @@
 		for _, it := range items {
 			c.applyEvent(wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 		}
-		c.control.revision = max(c.control.revision, revision)
-		c.control.loaded, c.control.loading, c.control.unreachable = true, false, false
+		c.watchCache.revision = max(c.watchCache.revision, revision)
+		c.watchCache.loaded, c.watchCache.loading, c.watchCache.unreachable = true, false, false
 		c.noteRead(sent)
 		c.watchRecords()
 	})
@@ -78,7 +78,7 @@
 	revision := uint64(0)
 	var page func(after string)
 	page = func(after string) {
-		c.state(StateCall{Op: OpRange, Key: prefix, After: after, Timeout: timeout}, func(r StateReply) {
+		c.callStateService(StateCall{Op: OpRange, Key: prefix, After: after, Timeout: timeout}, func(r StateReply) {
 			if r.Status != http.StatusOK {
 				done(nil, 0, false)
 				return
@@ -99,10 +99,10 @@
 
 // watchRecords keeps one long-polling watch open.
 func (c *Core) watchRecords() {
-	call := StateCall{Op: OpWatch, Key: controlPrefix, Revision: c.control.revision, Wait: watchWait,
+	call := StateCall{Op: OpWatch, Key: watchedPrefix, Revision: c.watchCache.revision, Wait: watchWait,
 		Timeout: watchWait + userCallTimeout}
 	sent := c.now
-	c.state(call, func(r StateReply) {
+	c.callStateService(call, func(r StateReply) {
 		switch r.Status {
 		case http.StatusOK:
 			c.applyWatch(r.Watch)
@@ -120,7 +120,7 @@
 // arrive while a read is in flight share the next read. While the state service is unreachable,
 // sync fails at once.
 func (c *Core) sync(fn func(ok bool)) {
-	if c.control.unreachable {
+	if c.watchCache.unreachable {
 		fn(false)
 		return
 	}
@@ -129,13 +129,13 @@
 
 // forceSync is like sync, but tries to read even while the state service is unreachable.
 func (c *Core) forceSync(fn func(ok bool)) {
-	if !c.control.loaded || len(c.control.syncWaiters) >= maxSyncWaiters {
+	if !c.watchCache.loaded || len(c.watchCache.syncWaiters) >= maxSyncWaiters {
 		fn(false)
 		return
 	}
-	c.control.syncWaiters = append(c.control.syncWaiters, fn)
-	if !c.control.syncing {
-		c.control.syncing = true
+	c.watchCache.syncWaiters = append(c.watchCache.syncWaiters, fn)
+	if !c.watchCache.syncing {
+		c.watchCache.syncing = true
 		c.startSync()
 	}
 }
@@ -145,31 +145,31 @@
 		c.after(10*time.Millisecond, c.startSync)
 		return
 	}
-	waiters := c.control.syncWaiters
-	c.control.syncWaiters = nil
-	call := StateCall{Op: OpWatch, Key: controlPrefix, Revision: c.control.revision, Timeout: userCallTimeout}
+	waiters := c.watchCache.syncWaiters
+	c.watchCache.syncWaiters = nil
+	call := StateCall{Op: OpWatch, Key: watchedPrefix, Revision: c.watchCache.revision, Timeout: userCallTimeout}
 	sent := c.now
-	c.state(call, func(r StateReply) {
+	c.callStateService(call, func(r StateReply) {
 		ok := r.Status == http.StatusOK
-		c.control.unreachable = r.Status == 0 || r.Status == http.StatusServiceUnavailable
+		c.watchCache.unreachable = r.Status == 0 || r.Status == http.StatusServiceUnavailable
 		if ok {
 			c.applyWatch(r.Watch)
 			c.noteRead(sent)
-		} else if r.Status == http.StatusGone && !c.control.loading {
+		} else if r.Status == http.StatusGone && !c.watchCache.loading {
 			// The revision was compacted. The long-polling watch would detect this only when its
 			// wait ends, and until then no user request could be answered.
-			c.control.loaded = false
+			c.watchCache.loaded = false
 			c.load()
 		}
 		for _, fn := range waiters {
 			fn(ok)
 		}
-		if len(c.control.syncWaiters) > 0 {
+		if len(c.watchCache.syncWaiters) > 0 {
 			c.startSync()
 			return
 		}
-		c.control.syncing = false
-		if c.control.unreachable {
+		c.watchCache.syncing = false
+		if c.watchCache.unreachable {
 			c.after(retryPause, func() { c.forceSync(func(bool) {}) })
 		}
 	})
@@ -179,25 +179,25 @@
 	for _, e := range w.Events {
 		// An event up to the copy's revision is skipped: replaying a creation whose deletion was
 		// already applied would restore the key for a moment.
-		if e.Version > c.control.revision {
+		if e.Version > c.watchCache.revision {
 			c.applyEvent(e)
 		}
 	}
-	c.control.revision = max(c.control.revision, w.Revision)
+	c.watchCache.revision = max(c.watchCache.revision, w.Revision)
 }
 
 // noteRead records that the copy contains everything written before a read was sent.
 func (c *Core) noteRead(sent time.Time) {
-	if sent.After(c.control.lastRead) {
-		c.control.lastRead = sent
+	if sent.After(c.watchCache.lastRead) {
+		c.watchCache.lastRead = sent
 	}
 }
 
-// written applies a change made by this controller. If the watch has already reported this change
+// applyOwnChange applies a change made by this controller. If the watch has already reported this change
 // and later ones before the reply arrived, the change is skipped: applying it could restore a key
 // that has been deleted since.
-func (c *Core) written(e wire.Event) {
-	if e.Version > c.control.revision {
+func (c *Core) applyOwnChange(e wire.Event) {
+	if e.Version > c.watchCache.revision {
 		c.applyEvent(e)
 	}
 }
@@ -206,21 +206,21 @@
 // key: the long-polling watch and the reads of sync overlap.
 func (c *Core) applyEvent(e wire.Event) {
 	key := e.Put + e.Delete
-	if c.control.versions[key] >= e.Version {
+	if c.watchCache.versions[key] >= e.Version {
 		return
 	}
 	if e.Delete != "" {
-		delete(c.control.versions, key)
+		delete(c.watchCache.versions, key)
 	} else {
-		c.control.versions[key] = e.Version
+		c.watchCache.versions[key] = e.Version
 	}
 	switch {
 	case key == leaderKey:
-		c.control.leader = decode[leaderRecord](e.Value)
+		c.watchCache.leader = decode[leaderRecord](e.Value)
 		c.leaderChanged()
 	case key == tokenKey:
 		if t := decode[tokenRecord](e.Value); t != nil {
-			c.control.token = t.Token
+			c.watchCache.token = t.Token
 			c.tokenChanged()
 		}
 	case key == typesKey:
@@ -229,15 +229,15 @@
 		}
 	case strings.HasPrefix(key, gonePrefix):
 		if g := decode[goneRecord](e.Value); g != nil {
-			c.control.gone[cells.Cell(strings.TrimPrefix(key, gonePrefix))] = *g
+			c.watchCache.declaredGone[cells.Cell(strings.TrimPrefix(key, gonePrefix))] = *g
 		}
 	case key == epochKey:
 		if e := decode[epochRecord](e.Value); e != nil {
-			c.control.epoch = e.Epoch
+			c.watchCache.epoch = e.Epoch
 		}
 	case strings.HasPrefix(key, versionPrefix):
 		if v := decode[versionRecord](e.Value); v != nil {
-			c.control.memberVersions[strings.TrimPrefix(key, versionPrefix)] = v.Version
+			c.watchCache.memberVersions[strings.TrimPrefix(key, versionPrefix)] = v.Version
 		}
 	case strings.HasPrefix(key, headerPrefix):
 		c.headerChanged(strings.TrimPrefix(key, headerPrefix), decode[headerRecord](e.Value))
@@ -257,14 +257,14 @@
 
 // headerChanged applies a created, changed or deleted (nil) job header to all that is derived from it.
 func (c *Core) headerChanged(job string, h *headerRecord) {
-	previous := c.control.headers[job]
-	c.control.cells.changed(job, previous, h)
+	previous := c.watchCache.headers[job]
+	c.watchCache.transfers.update(job, previous, h)
 	switch {
 	case h != nil:
-		c.control.headers[job] = h
+		c.watchCache.headers[job] = h
 		c.addDependencies(job, h)
 	case previous != nil:
-		delete(c.control.headers, job)
+		delete(c.watchCache.headers, job)
 		delete(c.progress, job)
 		c.removeDependencies(job, previous)
 	}
@@ -279,7 +279,7 @@
 	for _, t := range types {
 		c.types[t.Name] = t
 		if t.GPUs > 0 {
-			all = all.Add(capOf(t), 1)
+			all = all.Add(machineCapacity(t), 1)
 		}
 	}
 	c.measure = 0
--- a/controller/core.go
+++ b/controller/core.go
@@ -49,13 +49,13 @@
 	reads  *rate.Limiter // requests to the state service for users
 	writes *rate.Limiter // changes in the state service for users
 
-	control  control
-	types    map[string]wire.MachineType
-	quotas   map[string]quota // by team
-	measure  scheduler.Measure
-	finals   finals
-	progress map[string]jobCount
-	chains   *reduction.DynamicGraph // unfinished jobs that need other jobs, and the jobs that they need
+	watchCache   watchCache
+	types        map[string]wire.MachineType
+	quotas       map[string]quota // by team
+	measure      scheduler.Measure
+	finals       finals
+	progress     map[string]jobCount
+	dependencies *reduction.DynamicGraph // unfinished jobs that need other jobs, and the jobs that they need
 
 	recordingVersion  bool // see recordVersion
 	rateRefusals      int  // see observeRateLimit
@@ -87,18 +87,18 @@
 	st := cfg.Facts.State
 	c := &Core{
 		cfg: cfg, op: op, rng: rng, now: now,
-		stateCalls:  map[uint64]func(StateReply){},
-		cloudCalls:  map[uint64]func(CloudReply){},
-		workerCalls: map[uint64]func(WorkerReply){},
-		cellCalls:   map[uint64]func(CellReply){},
-		reads:       readLimiter(st, share),
-		writes:      rate.NewLimiter(0, writeBurst(st)),
-		types:       map[string]wire.MachineType{},
-		quotas:      map[string]quota{},
-		progress:    map[string]jobCount{},
-		chains:      reduction.NewDynamicGraph(),
-		hints:       map[string]*mesh.Hint{},
-		rejected:    map[string]*wire.Job{},
+		stateCalls:   map[uint64]func(StateReply){},
+		cloudCalls:   map[uint64]func(CloudReply){},
+		workerCalls:  map[uint64]func(WorkerReply){},
+		cellCalls:    map[uint64]func(CellReply){},
+		reads:        readLimiter(st, share),
+		writes:       rate.NewLimiter(0, writeBurst(st)),
+		types:        map[string]wire.MachineType{},
+		quotas:       map[string]quota{},
+		progress:     map[string]jobCount{},
+		dependencies: reduction.NewDynamicGraph(),
+		hints:        map[string]*mesh.Hint{},
+		rejected:     map[string]*wire.Job{},
 		// IDs start at a random number: an answer to a request that an earlier process of this
 		// controller relayed over the mesh must not match a request of this process, or a worker would
 		// get the commands of another worker.
@@ -109,7 +109,7 @@
 	}
 	c.writes.SetLimitAt(now, c.userWriteRate())
 	c.finals.init()
-	c.control.init()
+	c.watchCache.init()
 	c.peerLease.processStarted = now
 	c.relays.init()
 	return c
@@ -123,7 +123,7 @@
 	c.dispatch(in)
 	c.runTimers()
 	c.campaign()
-	if c.entitled() {
+	if c.hasAuthority() {
 		c.lead.run()
 	}
 	return c.out
@@ -143,7 +143,7 @@
 func (c *Core) dispatch(in Input) {
 	switch in := in.(type) {
 	case Tick:
-		if !c.control.loaded && !c.control.loading {
+		if !c.watchCache.loaded && !c.watchCache.loading {
 			c.load()
 		}
 		c.recordVersion()
@@ -154,11 +154,11 @@
 	case WorkerReply:
 		resume(c.workerCalls, in.ID, in)
 	case UserRequest:
-		c.user(in)
+		c.handleUserRequest(in)
 	case ReportRequest:
 		c.answerHeartbeat(in)
 	case MeshMessage:
-		c.meshMessage(in.Envelope)
+		c.handleMeshMessage(in.Envelope)
 	case CellReply:
 		resume(c.cellCalls, in.ID, in)
 	case CellRequest:
@@ -210,7 +210,7 @@
 	c.emit(Event{level, text, attrs})
 }
 
-func (c *Core) state(call StateCall, fn func(StateReply)) {
+func (c *Core) callStateService(call StateCall, fn func(StateReply)) {
 	call.ID = c.id()
 	if call.Op == OpTxn {
 		callback := fn
@@ -223,13 +223,13 @@
 	c.emit(call)
 }
 
-func (c *Core) cloud(call CloudCall, fn func(CloudReply)) {
+func (c *Core) callCloud(call CloudCall, fn func(CloudReply)) {
 	call.ID, call.Timeout = c.id(), cloudCallTimeout
 	c.cloudCalls[call.ID] = fn
 	c.emit(call)
 }
 
-func (c *Core) worker(call WorkerCall, fn func(WorkerReply)) {
+func (c *Core) callWorker(call WorkerCall, fn func(WorkerReply)) {
 	call.ID = c.id()
 	c.workerCalls[call.ID] = fn
 	c.emit(call)
--- a/controller/demands.go
+++ b/controller/demands.go
@@ -15,8 +15,8 @@
 func (l *leader) demands() []*scheduler.Demand {
 	var ds []*scheduler.Demand
 	l.assignGuarantees()
-	for _, j := range l.order {
-		if j.cancelled || j.grant != nil || !l.cells.mayStart(j) || j.state.Count(reduction.Pending) == 0 || l.blocked(j) {
+	for _, j := range l.jobsByAcceptance {
+		if j.cancelled || j.grant != nil || !l.spillover.mayStart(j) || j.state.Count(reduction.Pending) == 0 || l.blocked(j) {
 			continue
 		}
 		verdict, frontier := reduction.Classify(j.graph, j.state)
@@ -36,11 +36,11 @@
 		if d.SpreadImages = l.fetchMissesStartObjective(&j.spec); d.SpreadImages || d.Service {
 			d.OtherClasses = l.otherClasses(d.Class)
 		}
-		d.WaitForBooting = d.Service && !j.begun && l.c.now.Sub(j.ready).Seconds() > l.startObjectiveS(&j.spec)
-		d.WithinGuarantee, d.AgeS, d.Avoid = !j.terms.Borrowed, l.c.now.Sub(j.ready).Seconds(), j.avoid
+		d.WaitForBooting = d.Service && !j.hasStarted && l.c.now.Sub(j.ready).Seconds() > l.startObjectiveS(&j.spec)
+		d.WithinGuarantee, d.AgeS, d.Avoid = !j.terms.Borrowed, l.c.now.Sub(j.ready).Seconds(), j.avoidedMachines
 		d.MissedObjectives, d.WorkS = j.missedObjectives(l.c.cfg.Facts.Objectives, l.c.now), j.workLeft(l.c.measure)
-		d.PreferNonSpot = d.Spot && j.delaysChain(l.c.chains)
-		d.Started, d.Aged = j.begun, j.hasAged(l.c.now) && j.origin == nil
+		d.PreferNonSpot = d.Spot && j.delaysChain(l.c.dependencies)
+		d.Started, d.Aged = j.hasStarted, j.hasAged(l.c.now) && j.origin == nil
 		for _, a := range j.attempts {
 			d.InZone[a.machine.zone]++
 		}
@@ -51,8 +51,8 @@
 
 // delaysChain reports whether a lost task of a job delays other jobs of a chain with a deadline, or uses up the time that
 // earlier jobs of the chain have left before the deadline.
-func (j *job) delaysChain(chains *reduction.DynamicGraph) bool {
-	return j.due.last != nil && (len(j.spec.Needs) > 0 || len(chains.Successors(j.id)) > 0)
+func (j *job) delaysChain(dependencies *reduction.DynamicGraph) bool {
+	return j.deadline.last != nil && (len(j.spec.Needs) > 0 || len(dependencies.Successors(j.id)) > 0)
 }
 
 // Ages beyond which a waiting job is placed before all others. Even the largest jobs must begin within four minutes,
@@ -68,7 +68,7 @@
 // hasAged reports whether a job has waited long enough to be placed before all others.
 func (j *job) hasAged(now time.Time) bool {
 	age := now.Sub(j.ready)
-	return !j.begun && age > unstartedAgingAfter || age > unfinishedAgingAfter
+	return !j.hasStarted && age > unstartedAgingAfter || age > unfinishedAgingAfter
 }
 
 // agingReserve is the size of the agingReserveShare that is not taken yet by running tasks of old batch jobs.
@@ -77,9 +77,9 @@
 	for _, m := range machines {
 		left += l.c.measure.Of(m.Cap) * agingReserveShare
 	}
-	for _, j := range l.order {
+	for _, j := range l.jobsByAcceptance {
 		if l.c.now.Sub(j.ready) > unfinishedAgingAfter && j.spec.Kind != wire.KindService {
-			left -= float64(len(j.attempts)) * l.c.measure.Of(jobEach(&j.spec))
+			left -= float64(len(j.attempts)) * l.c.measure.Of(taskResources(&j.spec))
 		}
 	}
 	return max(left, 0)
@@ -111,8 +111,8 @@
 // now, and whether the objective is about the job's finishing at all.
 func (j *job) finishObjective(o config.Objective, now time.Time) (within, age float64, applies bool) {
 	switch {
-	case o.Kind == "deadline" && j.due.last != nil && o.Class == j.due.last.Class:
-		return j.due.within(o.Times), now.Sub(j.due.from).Seconds(), true
+	case o.Kind == "deadline" && j.deadline.last != nil && o.Class == j.deadline.last.Class:
+		return j.deadline.within(o.Times), now.Sub(j.deadline.from).Seconds(), true
 	case o.Kind == "finished" && o.Class == j.spec.Class:
 		return o.WithinS, now.Sub(j.ready).Seconds(), true
 	}
@@ -124,7 +124,7 @@
 
 // sizeLeft is the total size of a job's unfinished tasks.
 func (j *job) sizeLeft(m scheduler.Measure) float64 {
-	return float64(j.tasksLeft()) * m.Of(jobEach(&j.spec))
+	return float64(j.tasksLeft()) * m.Of(taskResources(&j.spec))
 }
 
 // tasksLeft is the number of a job's unfinished tasks.
--- a/controller/draining.go
+++ b/controller/draining.go
@@ -7,22 +7,22 @@
 // drain stops those tasks on a machine that will be taken that lose nothing by it (services), can save a checkpoint, or
 // can't be expected to end within the seconds left: they start again elsewhere that much sooner.
 func (l *leader) drain(m *machine, leftS float64) {
-	for _, a := range m.list {
+	for _, a := range m.attemptsInOrder {
 		j := &a.job.spec
-		if j.Kind == wire.KindService || j.CheckpointS > 0 || l.remaining(a) > leftS {
+		if j.Kind == wire.KindService || j.CheckpointS > 0 || l.remainingS(a) > leftS {
 			l.stop(a, saveGraceS(j))
 		}
 	}
-	l.wantPlacement()
+	l.schedulePlacement()
 }
 
-// remaining estimates for how many more seconds an attempt will run. It is at least a quarter of the time run so far: a
+// remainingS estimates for how many more seconds an attempt will run. It is at least a quarter of the time run so far: a
 // task that exceeds its owner's estimate may do so for a while.
-func (l *leader) remaining(a *attempt) float64 {
+func (l *leader) remainingS(a *attempt) float64 {
 	if a.phase < attemptRunning {
 		return a.job.spec.EstimateS
 	}
-	ran := l.c.now.Sub(a.since).Seconds()
+	ran := l.c.now.Sub(a.runningSince).Seconds()
 	return max(a.job.spec.EstimateS-ran, ran/4)
 }
 
--- a/controller/election.go
+++ b/controller/election.go
@@ -14,20 +14,20 @@
 // leaderName returns the member that leads according to this controller's copy of the leader key,
 // or "" if there is none or it is this member.
 func (c *Core) leaderName() string {
-	if c.control.leader == nil || c.control.leader.Member == c.cfg.Member {
+	if c.watchCache.leader == nil || c.watchCache.leader.Member == c.cfg.Member {
 		return ""
 	}
-	return c.control.leader.Member
+	return c.watchCache.leader.Member
 }
 
 // campaign claims the leadership when there is no leader key. If the key names this
 // member, it was written by an earlier process or by a claim whose result is unknown, and its
 // lease is revoked.
 func (c *Core) campaign() {
-	if !c.control.loaded || c.claiming || c.lead != nil {
+	if !c.watchCache.loaded || c.claiming || c.lead != nil {
 		return
 	}
-	if l := c.control.leader; l != nil {
+	if l := c.watchCache.leader; l != nil {
 		if l.Member == c.cfg.Member && !c.now.Before(c.revokeAfter) {
 			c.revokeAfter = c.now.Add(2 * retryPause)
 			c.revokeLease(l.Lease)
@@ -39,7 +39,7 @@
 	}
 	c.claiming = true
 	sent := c.now
-	c.state(StateCall{Op: OpGrant, Life: c.op.LeaderLifetime(), Timeout: userCallTimeout}, func(r StateReply) {
+	c.callStateService(StateCall{Op: OpGrant, Life: c.op.LeaderLifetime(), Timeout: userCallTimeout}, func(r StateReply) {
 		if r.Status != http.StatusOK {
 			c.claimFailed()
 			return
@@ -49,7 +49,7 @@
 }
 
 func (c *Core) revokeLease(lease uint64) {
-	c.state(StateCall{Op: OpEnd, Lease: lease, Timeout: userCallTimeout}, func(StateReply) {})
+	c.callStateService(StateCall{Op: OpRevoke, Lease: lease, Timeout: userCallTimeout}, func(StateReply) {})
 }
 
 // claimFailed delays the next claim by retryPause with random jitter.
@@ -61,14 +61,14 @@
 // claim tries to become leader with a lease whose request was sent at sent, and allocates the next
 // fencing token in the same transaction.
 func (c *Core) claim(sent time.Time, lease uint64) {
-	token := c.control.token + 1
+	token := c.watchCache.token + 1
 	set := put(leaderKey, leaderRecord{c.cfg.Member, lease})
 	set.Lease = lease
 	txn := wire.Txn{
-		If:   []wire.Cond{{Key: leaderKey}, {Key: tokenKey, Version: c.control.versions[tokenKey]}},
+		If:   []wire.Cond{{Key: leaderKey}, {Key: tokenKey, Version: c.watchCache.versions[tokenKey]}},
 		Then: []wire.Change{set, put(tokenKey, tokenRecord{token})},
 	}
-	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(r StateReply) {
+	c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(r StateReply) {
 		if r.Status != http.StatusOK {
 			// The transaction may still be applied later. Revoking the lease removes the key then.
 			c.revokeLease(lease)
@@ -77,8 +77,8 @@
 		}
 		c.claiming = false
 		c.becomeLeader(sent, lease, token, r.Txn.Revision)
-		c.written(wire.Event{Put: tokenKey, Value: txn.Then[1].Value, Version: r.Txn.Revision})
-		c.written(wire.Event{Put: leaderKey, Value: set.Value, Version: r.Txn.Revision})
+		c.applyOwnChange(wire.Event{Put: tokenKey, Value: txn.Then[1].Value, Version: r.Txn.Revision})
+		c.applyOwnChange(wire.Event{Put: leaderKey, Value: set.Value, Version: r.Txn.Revision})
 	})
 }
 
@@ -88,14 +88,14 @@
 		c: c, term: newTerm(c.now, lease, token, version),
 		jobs: map[string]*job{}, machines: map[string]*machine{}, released: map[string]time.Time{},
 		budget:   newWriteBudget(writeBurst(c.cfg.Facts.State)),
-		probedAt: map[string]time.Time{}, progressSent: map[string]jobCount{}, partitions: partitions{lastSeen: map[string]time.Time{}},
+		probedAt: map[string]time.Time{}, progressSent: map[string]jobCount{}, partitions: partitions{lastSuspected: map[string]time.Time{}},
 	}
 	l.budget.setRate(c.now, c.writeRate())
 	l.autoscaler = newAutoscaler(l)
-	l.failures = newFailureDetector(l)
+	l.failureDetector = newFailureDetector(l)
 	l.writes = &writeQueue{leader: l}
 	l.zones = newZoneRecovery(l)
-	l.cells = newCellSide(l)
+	l.spillover = newSpilloverManager(l)
 	l.spreading = newSpreading(l)
 	c.lead = l
 	l.extend(sent, c.op.LeaderLifetime())
@@ -107,7 +107,7 @@
 // stepDown ends the term and discards the leader's state.
 func (c *Core) stepDown(why string) {
 	c.log(slog.LevelInfo, "no longer leading", "token", c.lead.token, "why", why)
-	c.lead.zones.handOver()
+	c.lead.zones.handOverRecoveries()
 	c.lead = nil
 	c.peerLease.until, c.peerLease.active, c.peerLease.rounds = time.Time{}, false, nil
 	c.claimAfter = c.now
@@ -119,7 +119,7 @@
 	if c.lead == nil {
 		return
 	}
-	if c.control.leader == nil || c.control.versions[leaderKey] != c.lead.version {
+	if c.watchCache.leader == nil || c.watchCache.versions[leaderKey] != c.lead.version {
 		c.stepDown("leader key changed")
 	}
 }
--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -25,7 +25,7 @@
 // failureScan is one pass over all machines.
 type failureScan struct {
 	*failureDetector
-	silentZones   map[string]bool      // see unheardZones
+	silentZones   map[string]bool      // see zonesWithoutHeartbeats
 	reconnected   bool                 // most machines of an earlier leader have sent heartbeats to this one
 	roomElsewhere []*scheduler.Machine // free capacity for tasks of released machines; nil: not computed yet
 }
@@ -33,8 +33,8 @@
 // releaseFailed decides for each suspected machine whether to release it now or to wait until its
 // lease expires.
 func (f *failureDetector) releaseFailed() {
-	scan := &failureScan{failureDetector: f, silentZones: f.unheardZones(), reconnected: f.mostMachinesReconnected()}
-	for _, m := range f.fleetOrder {
+	scan := &failureScan{failureDetector: f, silentZones: f.zonesWithoutHeartbeats(), reconnected: f.mostMachinesReconnected()}
+	for _, m := range f.machinesByName {
 		switch {
 		case m.releasing:
 		case m.up:
@@ -63,8 +63,8 @@
 	switch {
 	case s.faulty(m) && len(m.attempts) == 0:
 		s.release(m, releaseFaulty)
-	case m.notice && len(m.attempts)+len(m.unknownAttempts) == 0:
-		s.release(m, releaseNoticed)
+	case m.reclaimNotice && len(m.attempts)+len(m.unknownAttempts) == 0:
+		s.release(m, releaseReclaimed)
 	case s.failed(m):
 		s.release(m, releaseSilent)
 	case (s.heartbeatOverdue(m) || !m.unansweredSince.IsZero()) && !m.callInFlight && !s.c.now.Before(m.nextProbeAt):
@@ -93,7 +93,7 @@
 // all machines, for allZones), now or within the suspicion time before: right after a partition
 // some machines have not sent heartbeats again while others have.
 func (s *failureScan) reachable(zone string) bool {
-	return !s.silentZones[zone] && s.c.now.Sub(s.partitions.lastSeen[zone]) > s.suspectAfter()
+	return !s.silentZones[zone] && s.c.now.Sub(s.partitions.lastSuspected[zone]) > s.suspectAfter()
 }
 
 // canMove reports whether the tasks of the highest priority on a machine have room elsewhere. The
@@ -109,7 +109,7 @@
 // roomForTopPriority returns a view of the machines in which the resources of all tasks below the
 // highest priority count as free, as tasks of the highest priority preempt them.
 func (f *failureDetector) roomForTopPriority() []*scheduler.Machine {
-	machines := f.view(false)
+	machines := f.schedulerView(false)
 	for _, m := range machines {
 		for _, task := range m.Tasks {
 			if task.Rank > 0 {
@@ -127,7 +127,7 @@
 
 // sinceHeartbeat returns how long a machine has sent no heartbeat while the leader was listening.
 func (f *failureDetector) sinceHeartbeat(m *machine) time.Duration {
-	return f.listeningTimeSince(m.reported)
+	return f.listeningTimeSince(m.lastHeartbeat)
 }
 
 // heartbeatDue returns the time after a heartbeat by which the next one is due, plus slack.
@@ -186,7 +186,7 @@
 // canMove reports whether the tasks of the highest priority on a machine have room elsewhere now. If
 // not, releasing the machine early gains nothing over waiting until its lease expires.
 func (f *failureDetector) canMove(m *machine, machines []*scheduler.Machine) bool {
-	for _, a := range m.list {
+	for _, a := range m.attemptsInOrder {
 		d := f.c.demandOf(&a.job.spec)
 		d.Tasks, d.RoomInTeam = []int{a.task}, 1
 		if d.Rank == 0 && len(scheduler.Place(machines, d)) == 0 {
@@ -210,19 +210,19 @@
 	if m.typ == "" { // known only from an earlier leader's placements
 		return f.c.now.After(f.leaseExpiry(m)) && f.c.now.Sub(f.elected) > 3*config.Seconds(f.c.cfg.Facts.Cloud.ListLagS)
 	}
-	return f.c.now.Sub(m.since) > limit
+	return f.c.now.Sub(m.knownSince) > limit
 }
 
-// replacements returns the demands of the service replicas on silent machines. Replacement machines
+// replacementDemands returns the demands of the service replicas on silent machines. Replacement machines
 // for them boot while the leader waits for proof that the replicas have ended.
-func (f *failureDetector) replacements() []*scheduler.Demand {
+func (f *failureDetector) replacementDemands() []*scheduler.Demand {
 	var demands []*scheduler.Demand
-	for _, m := range f.fleetOrder {
+	for _, m := range f.machinesByName {
 		suspected := max(f.sinceHeartbeat(m), f.unreachableFor(m)) > f.suspectAfter() || f.partitions.active[m.zone] && f.unresponsive(m)
-		if !m.up || m.leaseOut || !suspected {
+		if !m.up || m.leaseExpired || !suspected {
 			continue
 		}
-		for _, a := range m.list {
+		for _, a := range m.attemptsInOrder {
 			if d := f.c.demandOf(&a.job.spec); d.Service && !a.job.cancelled {
 				d.Tasks, d.RoomInTeam = []int{a.task}, 1
 				demands = append(demands, d)
--- a/controller/failure_detector_test.go
+++ b/controller/failure_detector_test.go
@@ -11,11 +11,11 @@
 
 // A new leader must not release machines that have not had time to find it.
 func TestNewLeaderWaitsForMachines(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	m := l.machine("i-1")
-	m.typ, m.since = "small", c.now.Add(-time.Hour)
+	m.typ, m.knownSince = "small", c.now.Add(-time.Hour)
 	c.now = c.now.Add(3 * time.Second)
-	if l.failures.bootTimedOut(m) {
+	if l.failureDetector.bootTimedOut(m) {
 		t.Fatal("a machine counts as never up 3 s after the election")
 	}
 }
@@ -23,23 +23,23 @@
 // A machine whose heartbeats arrive but which answers no command gets no new work, and a further
 // heartbeat does not change that.
 func TestMachineWithUnansweredCommandsGetsNoWork(t *testing.T) {
-	c, l, j := leading(t)
+	c, l, j := newLeadingCore(t)
 	m := l.machine("i-1")
-	l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
+	l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	for i := range 8 {
 		o := l.machine(fmt.Sprintf("i-2%d", i))
-		l.failures.applyHeartbeat(o, &wire.Report{Machine: o.id, Session: 1, Seq: 1, Token: 7})
+		l.failureDetector.applyHeartbeat(o, &wire.Report{Machine: o.id, Session: 1, Seq: 1, Token: 7})
 	}
-	l.runCommand(place(l, j, 0, m))
+	l.runCommand(placeAttempt(l, j, 0, m))
 	call := func(status int) {
 		l.sendCommand(m, nil)
 		id := c.out[len(c.out)-1].(WorkerCall).ID
 		c.now = c.now.Add(time.Second)
-		resume(c.workerCalls, id, WorkerReply{Status: status, Report: *report(m, 7)})
+		resume(c.workerCalls, id, WorkerReply{Status: status, Report: *newReport(m, 7)})
 	}
 	call(0)
-	l.failures.applyHeartbeat(m, report(m, 7))
-	l.partitions.observe(l.c.now, l.failures.countSilent())
+	l.failureDetector.applyHeartbeat(m, newReport(m, 7))
+	l.partitions.observe(l.c.now, l.failureDetector.countSilent())
 	if l.usable(m) {
 		t.Fatal("a machine that answers no command is usable for new work")
 	}
@@ -52,17 +52,17 @@
 // lease, finds all machines silent and its commands unanswered. This is no evidence of failures:
 // time in which the leader did not process heartbeats must not get machines released or denied work.
 func TestPausedLeaderReleasesNoMachines(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	c.op.IdleS = 3600 // none is returned as idle
 	for i := range 20 {
 		id := fmt.Sprintf("i-%02d", i)
-		l.failures.applyHeartbeat(l.machine(id), &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+		l.failureDetector.applyHeartbeat(l.machine(id), &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 	}
 	c.types["t"] = wire.MachineType{Name: "t", CPUs: 4, BootS: 5}
 	step := func(d time.Duration) {
 		c.now = c.now.Add(d)
 		l.authority = c.now.Add(time.Second)
-		l.autoscaler.lookedAt = time.Time{}
+		l.autoscaler.releasesCheckedAt = time.Time{}
 		l.run()
 	}
 	releasing := func() int {
@@ -82,7 +82,7 @@
 	if n := releasing(); n > 0 {
 		t.Fatalf("%d machines released after the leader was paused", n)
 	}
-	if !l.usable(l.machines["i-01"]) && !l.machines["i-01"].leaseOut {
+	if !l.usable(l.machines["i-01"]) && !l.machines["i-01"].leaseExpired {
 		t.Fatal("a machine counts as silent for the time in which the leader was paused")
 	}
 	for range 200 {
@@ -97,27 +97,27 @@
 // recorded placements. One that does not answer a probe is released as soon as any other silent
 // machine; one that could not be probed gets more time, as it may still be looking for the leader.
 func TestMachinesSilentSinceElection(t *testing.T) {
-	c, l, j := leading(t)
+	c, l, j := newLeadingCore(t)
 	c.types["t"] = wire.MachineType{Name: "t", CPUs: 4, BootS: 5}
-	others := l.addJob("req-000002", &headerRecord{Job: wire.Job{ID: "req-000002", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, PerChunk: 20})
+	others := l.addJob("req-000002", &headerRecord{Job: wire.Job{ID: "req-000002", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, TasksPerChunk: 20})
 	for i := range 20 {
 		m := l.machine(fmt.Sprintf("i-%02d", i))
-		l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
-		place(l, others, i, m)
+		l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+		placeAttempt(l, others, i, m)
 	}
 	probed, unprobed := l.machine("j-0"), l.machine("j-1")
-	place(l, j, 0, probed)
-	place(l, j, 1, unprobed)
+	placeAttempt(l, j, 0, probed)
+	placeAttempt(l, j, 1, unprobed)
 	c.hints["j-0"] = &mesh.Hint{Machine: "j-0", Addr: "j-0"}
 	seq := uint64(1)
 	step := func() {
 		c.now = c.now.Add(250 * time.Millisecond)
 		l.authority = c.now.Add(time.Second)
-		l.autoscaler.lookedAt = time.Time{}
+		l.autoscaler.releasesCheckedAt = time.Time{}
 		seq++
 		for id, m := range l.machines {
 			if m.up {
-				l.failures.applyHeartbeat(m, &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: seq, Token: 7})
+				l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: seq, Token: 7})
 			}
 		}
 		l.run()
@@ -125,7 +125,7 @@
 			resume(c.workerCalls, id, WorkerReply{ID: id}) // no answer
 		}
 	}
-	for l.failures.listeningTimeSince(l.elected) <= l.failures.suspectAfter() {
+	for l.failureDetector.listeningTimeSince(l.elected) <= l.failureDetector.suspectAfter() {
 		step()
 	}
 	if probed.releasing || unprobed.releasing {
@@ -143,27 +143,27 @@
 // Resources of lower-priority work, which those tasks may preempt, count as room.
 func TestSilentMachineReleaseCountsRoomOfLowerPriorityWork(t *testing.T) {
 	for priority, want := range map[string]bool{"standard": true, "prod": false} {
-		c, l, _ := leading(t)
+		c, l, _ := newLeadingCore(t)
 		c.types["t"] = wire.MachineType{Name: "t", CPUs: 4, BootS: 5}
 		var ms []*machine
 		for i, p := range []string{"prod", priority, priority, priority} {
 			m := l.machine(fmt.Sprintf("i-%d", i))
-			l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
+			l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
 			id := fmt.Sprintf("req-1%d", i)
-			j := l.addJob(id, &headerRecord{PerChunk: 1, Job: wire.Job{ID: id, Kind: wire.KindService, Priority: p, Tasks: 1, CPUs: 4}})
-			a := place(l, j, 0, m)
+			j := l.addJob(id, &headerRecord{TasksPerChunk: 1, Job: wire.Job{ID: id, Kind: wire.KindService, Priority: p, Tasks: 1, CPUs: 4}})
+			a := placeAttempt(l, j, 0, m)
 			a.phase = attemptRunning
 			ms = append(ms, m)
 		}
-		l.failures.listening = listeningPeriod{began: c.now, lastLook: c.now}
-		c.now = c.now.Add(l.failures.suspectAfter() + time.Second)
-		l.authority, l.failures.listening.lastLook = c.now.Add(time.Second), c.now
+		l.failureDetector.listening = listeningPeriod{startedAt: c.now, lastObserved: c.now}
+		c.now = c.now.Add(l.failureDetector.suspectAfter() + time.Second)
+		l.authority, l.failureDetector.listening.lastObserved = c.now.Add(time.Second), c.now
 		for _, m := range ms[1:] {
-			l.failures.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 2, Token: 7,
-				Tasks: []wire.Task{{ID: m.list[0].taskID(), Attempt: 1, State: wire.TaskRunning}}})
+			l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 2, Token: 7,
+				Tasks: []wire.Task{{ID: m.attemptsInOrder[0].taskID(), Attempt: 1, State: wire.TaskRunning}}})
 		}
 		ms[0].lastCommandUnanswered = true
-		l.failures.releaseFailed()
+		l.failureDetector.releaseFailed()
 		if ms[0].releasing != want {
 			t.Errorf("beside %s work: released %v, want %v", priority, ms[0].releasing, want)
 		}
--- a/controller/finals.go
+++ b/controller/finals.go
@@ -21,12 +21,12 @@
 
 // finalLookup is a lookup that waits for a read of a job's final record.
 type finalLookup struct {
-	fn   func(known)
+	fn   func(lookupResult)
 	done bool
 }
 
 // complete completes the lookup, unless it has timed out.
-func (a *finalLookup) complete(k known) {
+func (a *finalLookup) complete(k lookupResult) {
 	if !a.done {
 		a.done = true
 		a.fn(k)
@@ -57,33 +57,33 @@
 	f.order = append(f.order, job)
 }
 
-// known is the state of a job according to the records in the state service.
-type known uint8
+// lookupResult is the state of a job according to the records in the state service.
+type lookupResult uint8
 
 const (
-	knownNot    known = iota // never accepted
-	knownUnsure              // the state service did not respond
-	knownActive
-	knownFinal
+	jobUnknown      lookupResult = iota // never accepted
+	jobUndetermined                     // the state service did not respond
+	jobUnfinished
+	jobFinal
 )
 
 // lookup determines the current state of a job from the records in the state service.
-func (c *Core) lookup(job string, fn func(known)) {
+func (c *Core) lookup(job string, fn func(lookupResult)) {
 	if _, ok := c.finals.jobs[job]; ok {
-		fn(knownFinal)
+		fn(jobFinal)
 		return
 	}
 	if !wire.ValidID(job) {
-		fn(knownNot)
+		fn(jobUnknown)
 		return
 	}
 	c.sync(func(ok bool) {
 		switch {
 		case !ok:
-			fn(knownUnsure)
-		case c.control.headers[job] != nil && c.control.headers[job].Origin != nil:
-			fn(knownNot) // granted by another cell, which answers the job's users
-		case c.control.headers[job] != nil:
+			fn(jobUndetermined)
+		case c.watchCache.headers[job] != nil && c.watchCache.headers[job].Origin != nil:
+			fn(jobUnknown) // granted by another cell, which answers the job's users
+		case c.watchCache.headers[job] != nil:
 			c.lookupOutcomes(job, fn)
 		default:
 			c.lookupFinal(job, fn)
@@ -97,18 +97,18 @@
 // Reads are made in order of arrival, even if the user no longer waits for the answer. If there are
 // more lookups than reads and some were refused at random, the same job could be refused every time
 // and would seem to be lost.
-func (c *Core) lookupFinal(job string, fn func(known)) {
+func (c *Core) lookupFinal(job string, fn func(lookupResult)) {
 	f := &c.finals
 	if len(f.pending[job]) == 0 {
 		if len(f.queue) >= maxPendingFinals {
-			fn(knownUnsure)
+			fn(jobUndetermined)
 			return
 		}
 		f.queue = append(f.queue, job)
 	}
 	pending := &finalLookup{fn: fn}
 	f.pending[job] = append(f.pending[job], pending)
-	c.after(finalReadTimeout, func() { pending.complete(knownUnsure) })
+	c.after(finalReadTimeout, func() { pending.complete(jobUndetermined) })
 	c.readFinals()
 }
 
@@ -121,15 +121,15 @@
 		f.queue = f.queue[1:]
 		lookups := f.pending[job]
 		delete(f.pending, job)
-		c.state(StateCall{Op: OpGet, Key: finalKey(job), Timeout: userCallTimeout}, func(r StateReply) {
+		c.callStateService(StateCall{Op: OpGet, Key: finalKey(job), Timeout: userCallTimeout}, func(r StateReply) {
 			rec := decode[finalRecord](r.Item.Value)
-			k := knownUnsure
+			k := jobUndetermined
 			switch {
 			case r.Status == http.StatusOK && rec != nil:
 				c.applyFinal(job, *rec)
-				k = knownFinal
+				k = jobFinal
 			case r.Status == http.StatusNotFound:
-				k = knownNot
+				k = jobUnknown
 			}
 			for _, a := range lookups {
 				a.complete(k)
--- a/controller/fixtures_test.go
+++ b/controller/fixtures_test.go
@@ -11,8 +11,8 @@
 	"pumicefront/wire"
 )
 
-// leading returns the core of a leader that has recovered and has one job of two tasks.
-func leading(t testing.TB) (*Core, *leader, *job) {
+// newLeadingCore returns the core of a leader that has recovered and has one job of two tasks.
+func newLeadingCore(t testing.TB) (*Core, *leader, *job) {
 	t.Helper()
 	var cfg config.Platform
 	cfg.Member = "n0"
@@ -28,11 +28,11 @@
 	l := c.lead
 	l.rebuild(nil, nil)
 	spec := wire.Job{ID: "req-000001", Kind: wire.KindArray, Priority: "standard", Tasks: 2, CPUs: 1}
-	return c, l, l.addJob(spec.ID, &headerRecord{Job: spec, PerChunk: 10})
+	return c, l, l.addJob(spec.ID, &headerRecord{Job: spec, TasksPerChunk: 10})
 }
 
-// place adds an active attempt like a placement round, in the phase after its record was written.
-func place(l *leader, j *job, task int, m *machine) *attempt {
+// placeAttempt adds an active attempt like a placement round, in the phase after its record was written.
+func placeAttempt(l *leader, j *job, task int, m *machine) *attempt {
 	j.chunks[0].lastAttempt++
 	a := &attempt{job: j, task: task, number: j.chunks[0].lastAttempt, machine: m, session: m.session, phase: attemptRecorded}
 	j.attempts[task] = a
@@ -41,15 +41,15 @@
 	return a
 }
 
-// report returns the next report of a machine with the given tasks.
-func report(m *machine, token uint64, tasks ...wire.Task) *wire.Report {
+// newReport returns the next report of a machine with the given tasks.
+func newReport(m *machine, token uint64, tasks ...wire.Task) *wire.Report {
 	return &wire.Report{Machine: m.id, Session: m.session, Seq: m.seq + 1, Token: token, Tasks: tasks}
 }
 
-// chain returns a leader with two jobs, of which the second needs the first.
-func chain(t *testing.T) (c *Core, l *leader, first, second *job) {
+// newDependentJobs returns a leader with two jobs, of which the second needs the first.
+func newDependentJobs(t *testing.T) (c *Core, l *leader, first, second *job) {
 	t.Helper()
-	c, l, _ = leading(t)
+	c, l, _ = newLeadingCore(t)
 	due := 100.0
 	specs := []wire.Job{
 		{ID: "req-000010", Kind: wire.KindArray, Class: "a", Priority: "best_effort", Tasks: 1, CPUs: 1, EstimateS: 10},
@@ -57,29 +57,29 @@
 	}
 	for i, spec := range specs {
 		spec := spec
-		c.control.versions[headerKey(spec.ID)] = uint64(i + 1)
-		c.headerChanged(spec.ID, &headerRecord{Job: spec, AcceptedMS: c.now.UnixMilli(), PerChunk: 10})
+		c.watchCache.versions[headerKey(spec.ID)] = uint64(i + 1)
+		c.headerChanged(spec.ID, &headerRecord{Job: spec, AcceptedMS: c.now.UnixMilli(), TasksPerChunk: 10})
 	}
 	return c, l, l.jobs["req-000010"], l.jobs["req-000011"]
 }
 
-// serving prepares a core to accept submissions of team red.
-func serving(c *Core) {
-	members(c, thisVersion)
+// acceptSubmissions prepares a core to accept submissions of team red.
+func acceptSubmissions(c *Core) {
+	setMemberVersions(c, thisVersion)
 	c.setTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 8, Zones: []string{"a"}}})
 	c.quotas["red"] = quotaOf(config.Team{Name: "red", CPUs: 8})
-	c.control.loaded = true
+	c.watchCache.loaded = true
 }
 
-// stateStub is a stub of the state service that contains some final records. Its watches return no
+// stateServiceStub is a stub of the state service that contains some final records. Its watches return no
 // events.
-type stateStub struct {
+type stateServiceStub struct {
 	finals map[string]finalRecord
 	reads  int // of final records
 }
 
 // serve executes the core's calls until the core answers a user or sends a transaction.
-func (s *stateStub) serve(c *Core) (answer *Answer, txn *StateCall) {
+func (s *stateServiceStub) serve(c *Core) (answer *Answer, txn *StateCall) {
 	for len(c.out) > 0 {
 		outputs := c.out
 		c.out = nil
@@ -98,14 +98,14 @@
 	return nil, nil
 }
 
-func (s *stateStub) reply(c *Core, call StateCall) StateReply {
+func (s *stateServiceStub) reply(c *Core, call StateCall) StateReply {
 	if call.Op == OpGet {
 		s.reads++
 	}
 	f, over := s.finals[strings.TrimPrefix(call.Key, finalPrefix)]
 	switch {
 	case call.Op == OpWatch:
-		return StateReply{Status: http.StatusOK, Watch: wire.Watch{Revision: c.control.revision}}
+		return StateReply{Status: http.StatusOK, Watch: wire.Watch{Revision: c.watchCache.revision}}
 	case call.Op == OpGet && over:
 		return StateReply{Status: http.StatusOK, Item: wire.Item{Key: call.Key, Value: wire.Marshal(f), Version: 1}}
 	}
@@ -117,7 +117,7 @@
 	spec := wire.Job{ID: "req-000099", Class: "a", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 1, CPUs: 1, Image: "i", Needs: needs}
 	c.out = nil
 	c.submit(UserRequest{Req: 5, Op: UserSubmit, Body: wire.Marshal(spec)})
-	return (&stateStub{finals: finals}).serve(c)
+	return (&stateServiceStub{finals: finals}).serve(c)
 }
 
-func body(id string) []byte { return wire.Marshal(wire.Job{ID: id}) }
+func jobBody(id string) []byte { return wire.Marshal(wire.Job{ID: id}) }
--- a/controller/headroom.go
+++ b/controller/headroom.go
@@ -43,7 +43,7 @@
 
 func (s *autoscaler) updatePeaks() {
 	current := map[string]float64{}
-	for _, j := range s.order {
+	for _, j := range s.jobsByAcceptance {
 		if j.cancelled || s.blocked(j) || j.grant != nil || j.origin != nil {
 			continue
 		}
@@ -72,8 +72,8 @@
 	at    time.Time
 }
 
-// arrived records that a job has become ready.
-func (s *autoscaler) arrived(j *job) {
+// recordArrival records that a job has become ready.
+func (s *autoscaler) recordArrival(j *job) {
 	s.arrivals = append(s.arrivals, arrival{j.spec.Class, j.spec.Tasks, j.ready})
 }
 
@@ -109,8 +109,8 @@
 	return ts
 }
 
-// soonestBoot is the shortest boot time of the machine types that a job may use, in seconds; infinite if there is none.
-func (c *Core) soonestBoot(j *wire.Job) float64 {
+// shortestBootForS is the shortest boot time of the machine types that a job may use, in seconds; infinite if there is none.
+func (c *Core) shortestBootForS(j *wire.Job) float64 {
 	boot := math.Inf(1)
 	for _, t := range c.typesFor(j) {
 		boot = math.Min(boot, t.BootS)
@@ -121,7 +121,7 @@
 // headroomShare is the share of a class's peak to keep as headroom. It grows with the boot time relative to the
 // tightest start objective; where a machine that is requested on demand boots in time, it is 0.
 func (s *autoscaler) headroomShare(j *wire.Job) float64 {
-	boot := s.c.soonestBoot(j)
+	boot := s.c.shortestBootForS(j)
 	within := s.startObjectiveS(j)
 	if math.IsInf(boot, 1) || math.IsInf(within, 1) {
 		return 0
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -16,7 +16,7 @@
 // answerHeartbeat answers a worker's heartbeat. Only a leader with authority may answer 200.
 func (c *Core) answerHeartbeat(r ReportRequest) {
 	l := c.lead
-	if !c.entitled() {
+	if !c.hasAuthority() {
 		c.redirectOrRelay(r)
 		return
 	}
@@ -41,19 +41,19 @@
 		// heartbeat with a token of this leader.
 		l.probe(m.id, heartbeat.Addr)
 	default:
-		l.failures.applyHeartbeat(m, &heartbeat)
+		l.failureDetector.applyHeartbeat(m, &heartbeat)
 	}
-	if l.failures.mustNotRenewLease(m, &heartbeat) {
+	if l.failureDetector.mustNotRenewLease(m, &heartbeat) {
 		c.retryLater(r.Req, "a cancelled task may still start")
 		return
 	}
 	// The answer renews the machine's lease, so the renewal is recorded before the answer is sent.
-	m.answered, m.leaseOut = c.now, false
+	m.leaseRenewedAt, m.leaseExpired = c.now, false
 	body := wire.ReportAnswer{Token: l.token}
 	if m.up {
 		body.Commands = l.heartbeatCommands(m)
 	} else {
-		body.Commands = l.failures.cancelledTasks(&heartbeat)
+		body.Commands = l.failureDetector.cancelledTasks(&heartbeat)
 	}
 	c.answer(r.Req, http.StatusOK, body)
 }
@@ -65,7 +65,7 @@
 	var commands []wire.Command
 	for _, t := range heartbeat.Tasks {
 		id, _, _ := wire.SplitTask(t.ID)
-		if f.c.withdrawn(id) && t.State != wire.TaskExited {
+		if f.c.effectivelyCancelled(id) && t.State != wire.TaskExited {
 			commands = append(commands, wire.Command{Op: wire.OpStop, Task: t.ID, Attempt: t.Attempt})
 		}
 	}
@@ -79,7 +79,7 @@
 // the token cannot be raised while the state service is unavailable. A task that the heartbeat
 // lists does not prevent the renewal, because its stop command is sent in the same answer.
 func (f *failureDetector) mustNotRenewLease(m *machine, heartbeat *wire.Report) bool {
-	for _, a := range m.list {
+	for _, a := range m.attemptsInOrder {
 		if a.job.cancelled && a.phase >= attemptSent && a.token >= f.token && !f.c.now.Before(a.job.cancelledAt.Add(f.c.cancellationWindow())) &&
 			!slices.ContainsFunc(heartbeat.Tasks, func(t wire.Task) bool { return t.ID == a.taskID() && t.Attempt == a.number }) {
 			return true
@@ -95,23 +95,23 @@
 		return
 	}
 	if !m.up {
-		c.log(slog.LevelInfo, "machine up", "machine", m.id, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "after", c.now.Sub(m.since))
-		m.idle = c.now // boot time does not count as idle time
+		c.log(slog.LevelInfo, "machine up", "machine", m.id, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "after", c.now.Sub(m.knownSince))
+		m.idleSince = c.now // boot time does not count as idle time
 		// The session may have started after this leader's election, so its lease is counted
 		// from now.
-		m.answered = c.now
-		f.wantPlacement()
+		m.leaseRenewedAt = c.now
+		f.schedulePlacement()
 	} else if heartbeat.Session > m.session {
 		c.log(slog.LevelInfo, "machine's lease ran out", "machine", m.id, "session", heartbeat.Session)
 		// The new session's lease started no later than now. Otherwise attempts placed in the new
 		// session would count as lost when the old session's lease expires.
-		m.answered = c.now
+		m.leaseRenewedAt = c.now
 	}
 	m.up, m.addr, m.typ, m.zone, m.spot = true, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
 	m.lastCommandUnanswered, m.snapshot = false, nil
-	m.session, m.seq, m.token, m.reported = heartbeat.Session, heartbeat.Seq, heartbeat.Token, c.now
-	if notice := heartbeat.NoticeS != nil; notice != m.notice {
-		m.notice = notice
+	m.session, m.seq, m.token, m.lastHeartbeat = heartbeat.Session, heartbeat.Seq, heartbeat.Token, c.now
+	if notice := heartbeat.NoticeS != nil; notice != m.reclaimNotice {
+		m.reclaimNotice = notice
 		if notice {
 			c.log(slog.LevelInfo, "machine will be taken", "machine", m.id)
 			f.drain(m, *heartbeat.NoticeS)
@@ -130,13 +130,13 @@
 			delete(m.runToken, k)
 		}
 	}
-	for _, a := range m.list {
+	for _, a := range m.attemptsInOrder {
 		if !listed[a.key()] {
 			f.attemptMissing(a)
 		}
 	}
 	if len(m.attempts)+len(m.unknownAttempts) > 0 {
-		m.idle = c.now
+		m.idleSince = c.now
 	}
 }
 
@@ -161,18 +161,18 @@
 	}
 	// The task is done, whichever of its attempts finished it.
 	if j := f.jobs[id]; ok && j != nil && t.Why == wire.WhyDone && n < j.spec.Tasks && j.spec.Kind != wire.KindService {
-		f.finish(j, n)
+		f.completeTask(j, n)
 	}
 }
 
 // adoptAttempt records that a heartbeat lists an attempt on its machine in a state other than exited.
 func (f *failureDetector) adoptAttempt(a *attempt, state string) {
-	a.advance(attemptSeen)
-	a.saving = state == wire.TaskSaving
+	a.advance(attemptReported)
+	a.savingCheckpoint = state == wire.TaskSaving
 	a.job.state.Start(a.task)
 	if state == wire.TaskRunning && a.phase < attemptRunning {
 		a.advance(attemptRunning)
-		a.since, a.job.begun = f.c.now, true
+		a.runningSince, a.job.hasStarted = f.c.now, true
 		a.machine.images[a.job.spec.Image] = true
 		f.zones.startSucceeded(a)
 		f.c.log(slog.LevelDebug, "task running", "job", a.job.id, "task", a.task, "attempt", a.number,
@@ -185,24 +185,24 @@
 	j, m := a.job, a.machine
 	switch {
 	case why == wire.WhyDone && j.spec.Kind != wire.KindService:
-		j.begun = true
+		j.hasStarted = true
 		m.images[j.spec.Image] = true
-		clear(m.faults)
-		delete(j.fails, a.task)
-		j.failures.Succeeded()
-		f.gone(a, reduction.Succeeded, proofFromHeartbeat(why))
+		clear(m.failedJobs)
+		delete(j.failureCounts, a.task)
+		j.failureClass.Succeeded()
+		f.removeAttempt(a, reduction.Succeeded, proofFromHeartbeat(why))
 		return
 	case why == wire.WhyError:
 		f.taskFailed(a)
 	}
 	if why != wire.WhyStopped {
 		// The task is retried with increasing backoff. Retries of an accepted job never end.
-		delay := j.failures.RetryDelay(j.fails[a.task])
-		j.fails[a.task]++
+		delay := j.failureClass.RetryDelay(j.failureCounts[a.task])
+		j.failureCounts[a.task]++
 		j.retryAt[a.task] = f.c.now.Add(delay)
-		f.c.after(delay, f.wantPlacement)
+		f.c.after(delay, f.schedulePlacement)
 	}
-	f.gone(a, reduction.Reset, proofFromHeartbeat(why))
+	f.removeAttempt(a, reduction.Reset, proofFromHeartbeat(why))
 }
 
 // attemptMissing handles an attempt that a heartbeat does not list. This proves that the attempt has
@@ -211,8 +211,8 @@
 func (f *failureDetector) attemptMissing(a *attempt) {
 	m := a.machine
 	if m.session > a.session || m.token > a.token && a.phase >= attemptSent {
-		f.gone(a, reduction.Reset, proofAbsent)
-	} else if a.phase >= attemptSeen {
+		f.removeAttempt(a, reduction.Reset, proofAbsent)
+	} else if a.phase >= attemptReported {
 		// An earlier heartbeat of the same agent epoch listed the attempt, none reported its end, and
 		// this one does not list it: the machine has restarted. Only a higher fencing token can
 		// prove that the attempt has ended.
--- a/controller/job.go
+++ b/controller/job.go
@@ -23,32 +23,32 @@
 	cancelled bool
 	// Earliest time at which the cancellation can have been confirmed to a user: the leader's copy of
 	// the headers didn't contain it before.
-	cancelledAt    time.Time
-	accepted       time.Time
-	ready          time.Time // when all jobs that it needs were done; its times count from then
-	due            deadline
-	graph          *reduction.Graph
-	state          *reduction.State
-	attempts       map[int]*attempt
-	tasksPerRecord int
-	chunks         []chunk
-	divided        bool     // chunks are smaller than the header specifies, see divide
-	undividedKeys  []string // keys of the undivided records, which stay until the job is finished
-	retryAt        map[int]time.Time
-	fails          map[int]int
-	avoid          map[string]bool
-	failures       failureclass.Job // classifies whether the job fails on every machine
-	dirty          bool             // chunks differ from their records, or the final record is due
-	dirtyAt        time.Time
-	urgent         bool // its write starts tasks or is the final one; one that only records completed tasks can wait
-	write          *write
-	holdUntil      time.Time
-	ended          bool // the final record is written
-	terms          *scheduler.PreemptionTerms
-	begun          bool          // a task has run at some time
-	disrupted      bool          // lost a reported attempt to a failure or a preemption; has precedence in placement
-	grant          *grantRecord  // the job is granted to another cell and must not run in this one
-	origin         *originRecord // the job belongs to another cell
+	cancelledAt     time.Time
+	accepted        time.Time
+	ready           time.Time // when all jobs that it needs were done; its times count from then
+	deadline        deadline
+	graph           *reduction.Graph
+	state           *reduction.State
+	attempts        map[int]*attempt
+	tasksPerRecord  int
+	chunks          []chunk
+	divided         bool     // chunks are smaller than the header specifies, see divide
+	undividedKeys   []string // keys of the undivided records, which stay until the job is finished
+	retryAt         map[int]time.Time
+	failureCounts   map[int]int
+	avoidedMachines map[string]bool
+	failureClass    failureclass.Job // classifies whether the job fails on every machine
+	dirty           bool             // chunks differ from their records, or the final record is due
+	dirtyAt         time.Time
+	urgent          bool // its write starts tasks or is the final one; one that only records completed tasks can wait
+	write           *write
+	holdUntil       time.Time
+	ended           bool // the final record is written
+	terms           *scheduler.PreemptionTerms
+	hasStarted      bool          // a task has run at some time
+	disrupted       bool          // lost a reported attempt to a failure or a preemption; has precedence in placement
+	grant           *grantRecord  // the job is granted to another cell and must not run in this one
+	origin          *originRecord // the job belongs to another cell
 }
 
 // chunk is a range of consecutive tasks that share a task record.
@@ -58,18 +58,18 @@
 	dirty       bool
 }
 
-func jobEach(j *wire.Job) scheduler.Resources {
+func taskResources(j *wire.Job) scheduler.Resources {
 	return scheduler.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 }
 
-func capOf(t wire.MachineType) scheduler.Resources {
+func machineCapacity(t wire.MachineType) scheduler.Resources {
 	return scheduler.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
 // demandOf returns a demand with the fields that follow from the job's specification.
 func (c *Core) demandOf(j *wire.Job) *scheduler.Demand {
 	return &scheduler.Demand{
-		Job: j.ID, Class: j.Class, Team: j.Team, Total: j.Tasks, TaskResources: jobEach(j), Measure: c.measure, Types: j.Types, Zone: j.Zone,
+		Job: j.ID, Class: j.Class, Team: j.Team, Total: j.Tasks, TaskResources: taskResources(j), Measure: c.measure, Types: j.Types, Zone: j.Zone,
 		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: j.Image,
 		Rank: slices.Index(wire.Priorities, j.Priority), Service: j.Kind == wire.KindService, Gang: j.Kind == wire.KindGang,
 		InZone: map[string]int{},
@@ -78,26 +78,26 @@
 
 // addJob adds an unfinished job to the leader's state by its header.
 func (l *leader) addJob(id string, h *headerRecord) *job {
-	per := max(1, h.PerChunk)
+	per := max(1, h.TasksPerChunk)
 	g := reduction.Independent(h.Job.Tasks)
 	j := &job{
 		id: id, spec: h.Job, accepted: time.UnixMilli(h.AcceptedMS), ready: time.UnixMilli(h.AcceptedMS),
 		graph: g, state: reduction.NewState(g), attempts: map[int]*attempt{}, tasksPerRecord: per,
 		chunks:  make([]chunk, (h.Job.Tasks+per-1)/per),
-		retryAt: map[int]time.Time{}, fails: map[int]int{}, avoid: map[string]bool{},
+		retryAt: map[int]time.Time{}, failureCounts: map[int]int{}, avoidedMachines: map[string]bool{},
 	}
 	j.terms = &scheduler.PreemptionTerms{Job: id, Team: h.Job.Team, Rank: slices.Index(wire.Priorities, h.Job.Priority),
-		TaskResources: jobEach(&h.Job), CheckpointS: h.Job.CheckpointS}
+		TaskResources: taskResources(&h.Job), CheckpointS: h.Job.CheckpointS}
 	j.grant, j.origin = h.Grant, h.Origin
 	if j.origin != nil { // below all of this cell's own jobs
 		j.terms.Rank, j.terms.Borrowed = len(wire.Priorities)-1, true
 	}
 	if j.spec.DeadlineS != nil {
-		j.due = deadline{last: &j.spec, from: j.accepted}
+		j.deadline = deadline{last: &j.spec, from: j.accepted}
 	}
-	l.guaranteesAt = time.Time{}
+	l.guaranteesAssignedAt = time.Time{}
 	l.jobs[id] = j
-	for _, s := range l.c.chains.Successors(id) { // their headers may have arrived first
+	for _, s := range l.c.dependencies.Successors(id) { // their headers may have arrived first
 		if later := l.jobs[s]; later != nil {
 			l.inheritUrgency(later)
 		}
@@ -106,13 +106,13 @@
 	if !l.blocked(j) {
 		l.markReady(j)
 	}
-	at, _ := slices.BinarySearchFunc(l.order, j, func(a, b *job) int {
+	at, _ := slices.BinarySearchFunc(l.jobsByAcceptance, j, func(a, b *job) int {
 		if n := a.accepted.Compare(b.accepted); n != 0 {
 			return n
 		}
 		return strings.Compare(a.id, b.id)
 	})
-	l.order = slices.Insert(l.order, at, j)
+	l.jobsByAcceptance = slices.Insert(l.jobsByAcceptance, at, j)
 	return j
 }
 
@@ -126,15 +126,15 @@
 	case j == nil: // it may be cancelled already: a full reload skips intermediate versions
 		j = l.addJob(id, h)
 		l.c.log(slog.LevelInfo, "job accepted", "job", id, "class", h.Job.Class, "team", h.Job.Team, "tasks", h.Job.Tasks)
-		l.wantPlacement()
+		l.schedulePlacement()
 	}
 	if (h.Grant == nil) != (j.grant == nil) {
-		l.granted(j, h.Grant)
+		l.applyGrant(j, h.Grant)
 	}
-	if l.c.withdrawn(id) && !j.cancelled {
+	if l.c.effectivelyCancelled(id) && !j.cancelled {
 		l.c.log(slog.LevelInfo, "job cancelled", "job", id)
 		l.cancel(j)
-		l.settle(j)
+		l.finalizeIfSettled(j)
 	}
 }
 
@@ -160,8 +160,8 @@
 	return as
 }
 
-// touch marks the chunk of a task as dirty.
-func (j *job) touch(task int, now time.Time) {
+// markTaskDirty marks the chunk of a task as dirty.
+func (j *job) markTaskDirty(task int, now time.Time) {
 	j.chunks[task/j.tasksPerRecord].dirty = true
 	j.markDirty(now)
 }
@@ -172,45 +172,45 @@
 	}
 }
 
-// gone removes an active attempt that the caller has proved to have ended, and applies its outcome to
+// removeAttempt removes an active attempt that the caller has proved to have ended, and applies its outcome to
 // the task.
-func (l *leader) gone(a *attempt, o reduction.Outcome, why proof) {
+func (l *leader) removeAttempt(a *attempt, o reduction.Outcome, why terminationProof) {
 	j := a.job
 	if j.attempts[a.task] != a {
 		return
 	}
 	delete(j.attempts, a.task)
 	a.machine.remove(a)
-	l.zones.startOver(a, o, why)
-	j.disrupted = j.disrupted || a.phase >= attemptSeen && o == reduction.Reset
+	l.zones.recordAttemptEnd(a, o, why)
+	j.disrupted = j.disrupted || a.phase >= attemptReported && o == reduction.Reset
 	j.state.Accumulate(a.task, o)
 	if !j.ended {
-		j.touch(a.task, l.c.now)
+		j.markTaskDirty(a.task, l.c.now)
 	}
 	level := slog.LevelDebug
 	if o != reduction.Succeeded && !j.cancelled {
 		level = slog.LevelInfo
 	}
 	l.c.log(level, "attempt gone", "job", j.id, "task", a.task, "attempt", a.number, "machine", a.machine.id, "why", why)
-	l.settle(j)
-	l.wantPlacement()
+	l.finalizeIfSettled(j)
+	l.schedulePlacement()
 }
 
-// finish marks a task as completed after a worker reported it.
-func (l *leader) finish(j *job, task int) {
+// completeTask marks a task as completed after a worker reported it.
+func (l *leader) completeTask(j *job, task int) {
 	if j.state.Status(task) == reduction.Completed || j.cancelled {
 		return
 	}
 	j.state.Accumulate(task, reduction.Succeeded)
-	j.touch(task, l.c.now)
+	j.markTaskDirty(task, l.c.now)
 	if a := j.attempts[task]; a != nil { // another attempt completed the task
 		l.stop(a, 0)
 	}
-	l.settle(j)
+	l.finalizeIfSettled(j)
 }
 
-// settle makes the job's final record due if no task is pending or running and no attempt is active.
-func (l *leader) settle(j *job) {
+// finalizeIfSettled makes the job's final record due if no task is pending or running and no attempt is active.
+func (l *leader) finalizeIfSettled(j *job) {
 	if j.ended || len(j.attempts) > 0 {
 		return
 	}
@@ -231,12 +231,12 @@
 			l.obsoleteKeys = append(l.obsoleteKeys, j.chunkKey(n))
 		}
 	}
-	l.order = slices.DeleteFunc(l.order, func(o *job) bool { return o == j })
+	l.jobsByAcceptance = slices.DeleteFunc(l.jobsByAcceptance, func(o *job) bool { return o == j })
 	if j.origin == nil { // a job of another cell has no final record here
 		l.c.applyFinal(j.id, f)
 	}
 	delete(l.progressSent, j.id)
-	l.cells.forget(j.id)
+	l.spillover.dropJob(j.id)
 	if f.Cancelled {
 		l.c.log(slog.LevelInfo, "job ended", "job", j.id, "state", "cancelled")
 	} else {
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -13,27 +13,27 @@
 	c         *Core
 	recovered bool // the records of earlier leaders have been read
 
-	jobs         map[string]*job
-	order        []*job // by acceptance time
-	machines     map[string]*machine
-	fleetOrder   []*machine // machines sorted by name
-	toSend       []*machine // machines that may have commands to be sent
-	failures     *failureDetector
-	writes       *writeQueue
-	scratch      []scheduler.Machine // buffer reused by every view
-	guaranteesAt time.Time           // see assignGuarantees
-	released     map[string]time.Time
-	obsoleteKeys []string // records to delete, such as task records of finished jobs
-	budget       writeBudget
-	placeAt      time.Time            // when the next placement round is due; zero if none is
-	probedAt     map[string]time.Time // when each machine was last asked for a report
-	partitions   partitions
+	jobs                 map[string]*job
+	jobsByAcceptance     []*job // by acceptance time
+	machines             map[string]*machine
+	machinesByName       []*machine // machines sorted by name
+	toSend               []*machine // machines that may have commands to be sent
+	failureDetector      *failureDetector
+	writes               *writeQueue
+	scratch              []scheduler.Machine // buffer reused by every view
+	guaranteesAssignedAt time.Time           // see assignGuarantees
+	released             map[string]time.Time
+	obsoleteKeys         []string // records to delete, such as task records of finished jobs
+	budget               writeBudget
+	placementDueAt       time.Time            // when the next placement round is due; zero if none is
+	probedAt             map[string]time.Time // when each machine was last asked for a report
+	partitions           partitions
 
 	progressSentAt time.Time
 	allHintsSentAt time.Time
 	progressSent   map[string]jobCount
-	zones          *zoneRecovery // nil if zone recovery is off
-	cells          *cellSide     // nil if there are no links to other cells
+	zones          *zoneRecovery     // nil if zone recovery is off
+	spillover      *spilloverManager // nil if there are no links to other cells
 	autoscaler     *autoscaler
 	spreading      *spreading // nil if load spreading is off
 }
@@ -43,14 +43,14 @@
 	if !l.recovered {
 		return
 	}
-	l.failures.listening.observe(l.c.now)
-	l.failures.checkLeaseExpiry()
+	l.failureDetector.listening.observe(l.c.now)
+	l.failureDetector.checkLeaseExpiry()
 	l.zones.run()
-	l.cells.run()
+	l.spillover.reconcile()
 	l.spreading.run()
-	l.place()
+	l.runPlacementRound()
 	l.writes.flush()
-	l.zones.keepRecords()
+	l.zones.saveRecords()
 	l.sendCommands()
 	l.autoscaler.run()
 	l.broadcastProgress()
--- a/controller/lease_expiry.go
+++ b/controller/lease_expiry.go
@@ -13,18 +13,18 @@
 // again.
 
 // A proof is the reason for which an attempt is known to have ended, as written to the log.
-type proof string
+type terminationProof string
 
 // The proofs other than an exit reason that a worker's heartbeat reports.
 const (
-	proofNeverSent       proof = "never sent"         // the run command was not sent and will not be
-	proofMachineReleased proof = "machine released"   // the cloud has confirmed it
-	proofLeaseExpired    proof = "lease ran out"      // counted from the last answer that may have renewed it, with allowance for clock drift
-	proofAbsent          proof = "not on its machine" // in a heartbeat after which no copy of the run command can take effect
+	proofNeverSent       terminationProof = "never sent"         // the run command was not sent and will not be
+	proofMachineReleased terminationProof = "machine released"   // the cloud has confirmed it
+	proofLeaseExpired    terminationProof = "lease ran out"      // counted from the last answer that may have renewed it, with allowance for clock drift
+	proofAbsent          terminationProof = "not on its machine" // in a heartbeat after which no copy of the run command can take effect
 )
 
 // proofFromHeartbeat returns the proof for an attempt that a heartbeat reports as exited.
-func proofFromHeartbeat(why string) proof { return proof(why) }
+func proofFromHeartbeat(why string) terminationProof { return terminationProof(why) }
 
 // leaseCheckInterval is how often the leases of all machines are checked for expiry.
 const leaseCheckInterval = 100 * time.Millisecond
@@ -33,7 +33,7 @@
 // expired.
 func (f *failureDetector) leaseExpiry(m *machine) time.Time {
 	lease := config.Seconds(f.c.cfg.Facts.Workers.LeaseS * (1 + 2*clockDrift))
-	return m.answered.Add(lease + 200*time.Millisecond)
+	return m.leaseRenewedAt.Add(lease + 200*time.Millisecond)
 }
 
 // checkLeaseExpiry ends the attempts on machines whose lease has expired. It raises the fencing
@@ -46,23 +46,23 @@
 	}
 	f.leasesCheckedAt = now
 	f.partitions.observe(f.c.now, f.countSilent())
-	for _, m := range f.fleetOrder {
-		if !m.leaseOut && now.After(f.leaseExpiry(m)) {
-			m.leaseOut = true
+	for _, m := range f.machinesByName {
+		if !m.leaseExpired && now.After(f.leaseExpiry(m)) {
+			m.leaseExpired = true
 			if len(m.attempts) > 0 {
 				f.c.log(slog.LevelInfo, "machine lost", "machine", m.id, "tasks", len(m.attempts))
 			}
-			for _, a := range m.list {
-				f.gone(a, reduction.Reset, proofLeaseExpired)
+			for _, a := range m.attemptsInOrder {
+				f.removeAttempt(a, reduction.Reset, proofLeaseExpired)
 			}
 		}
 		for k, since := range m.endedAttempts {
-			if m.runToken[k] >= f.token && now.Sub(since) > raiseToForgetAfter {
+			if m.runToken[k] >= f.token && now.Sub(since) > endedAttemptRaiseDelay {
 				f.raiseToken("ended attempts to forget")
 			}
 		}
-		for _, a := range m.list {
-			if a.stopping && a.phase < attemptSeen && now.Sub(a.stoppedAt) > raiseForStoppedAfter && a.token >= f.token {
+		for _, a := range m.attemptsInOrder {
+			if a.stopping && a.phase < attemptReported && now.Sub(a.stoppedAt) > stoppedAttemptRaiseDelay && a.token >= f.token {
 				f.raiseToken("stopped attempt in doubt")
 			}
 		}
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -21,36 +21,36 @@
 // the cloud's list, or known only from an earlier leader's placements.
 type machine struct {
 	id, addr, typ, zone   string
-	part                  string // the controller that the machine is assigned to by hash
+	shard                 string // the controller that the machine is assigned to by hash
 	spot                  bool
 	up                    bool // has sent a heartbeat or an answer to this leader
 	session, seq, token   uint64
-	since                 time.Time // when the machine became known; earlier by its listed age where the cloud's list showed it first
-	rented                time.Time // when this leader rented it; zero: rented by an earlier leader
-	reported              time.Time // when its last heartbeat or answer arrived
-	answered              time.Time // when this leader last answered 200, which may have renewed its lease
-	idle                  time.Time // the last time it was known to have tasks or to be booting
-	notice                bool      // the cloud has announced that it will reclaim the machine
-	listed                time.Time // from when on the cloud's list must show it; zero: not known
+	knownSince            time.Time // when the machine became known; earlier by its listed age where the cloud's list showed it first
+	rentedAt              time.Time // when this leader rented it; zero: rented by an earlier leader
+	lastHeartbeat         time.Time // when its last heartbeat or answer arrived
+	leaseRenewedAt        time.Time // when this leader last answered 200, which may have renewed its lease
+	idleSince             time.Time // the last time it was known to have tasks or to be booting
+	reclaimNotice         bool      // the cloud has announced that it will reclaim the machine
+	expectedInListSince   time.Time // from when on the cloud's list must show it; zero: not known
 	releasing             bool
 	consolidating         bool      // its replicas are being moved to other machines, and it gets no new work
-	immovableAt           time.Time // when its replicas last had no room elsewhere
-	leaseOut              bool
+	consolidationFailedAt time.Time // when its replicas last had no room elsewhere
+	leaseExpired          bool
 	lastCommandUnanswered bool      // the last command or probe got no answer, and no heartbeat has arrived since
 	unansweredSince       time.Time // when the first command of the current series of unanswered ones was sent; zero: the last one was answered
 	unreachableSince      time.Time // the same, but without commands sent during a network partition
 	nextProbeAt           time.Time // when to probe again after an unanswered command
 
 	attempts        map[taskKey]*attempt
-	list            []*attempt            // the same ordered by job and task; copied on each change, so that it can change during an iteration
+	attemptsInOrder []*attempt            // the same ordered by job and task; copied on each change, so that it can change during an iteration
 	snapshot        *scheduler.Machine    // the machine as the scheduler uses it; nil: to be rebuilt
 	runToken        map[taskKey]uint64    // highest fencing token that each attempt's run command was sent with
 	endedAttempts   map[taskKey]time.Time // when a heartbeat first reported the attempt as exited
 	unknownAttempts map[taskKey]bool      // running attempts that are not on record
 	images          map[string]bool
-	imagesTold      int             // how many of the images the other controllers were last notified of; -1: not notified yet
-	faults          map[string]bool // jobs with a task that failed on this machine
-	outbox          []*attempt      // attempts whose run commands are to be sent directly
+	imagesAnnounced int             // how many of the images the other controllers were last notified of; -1: not notified yet
+	failedJobs      map[string]bool // jobs with a task that failed on this machine
+	pendingRuns     []*attempt      // attempts whose run commands are to be sent directly
 	pendingStops    []wire.Command
 	queuedToSend    bool // in leader.toSend
 	callInFlight    bool // a direct command waits for its answer
@@ -59,17 +59,17 @@
 // add adds an attempt to its machine. The attempt stays there until it is proved to have ended.
 func (m *machine) add(a *attempt) {
 	m.attempts[a.key()] = a
-	at, _ := slices.BinarySearchFunc(m.list, a, func(x, y *attempt) int {
+	at, _ := slices.BinarySearchFunc(m.attemptsInOrder, a, func(x, y *attempt) int {
 		return cmp.Or(cmp.Compare(x.job.id, y.job.id), cmp.Compare(x.task, y.task))
 	})
-	m.list = slices.Insert(slices.Clone(m.list), at, a)
+	m.attemptsInOrder = slices.Insert(slices.Clone(m.attemptsInOrder), at, a)
 	m.snapshot = nil
 }
 
 // remove removes an attempt that has ended from its machine.
 func (m *machine) remove(a *attempt) {
 	delete(m.attempts, a.key())
-	m.list = slices.DeleteFunc(slices.Clone(m.list), func(o *attempt) bool { return o == a })
+	m.attemptsInOrder = slices.DeleteFunc(slices.Clone(m.attemptsInOrder), func(o *attempt) bool { return o == a })
 	m.snapshot = nil
 }
 
@@ -78,19 +78,19 @@
 	m := l.machines[id]
 	if m == nil {
 		m = &machine{
-			id: id, part: scheduler.ShardOf(id, l.c.members()), since: l.c.now, idle: l.c.now, answered: l.elected,
+			id: id, shard: scheduler.ShardOf(id, l.c.members()), knownSince: l.c.now, idleSince: l.c.now, leaseRenewedAt: l.elected,
 			attempts: map[taskKey]*attempt{}, runToken: map[taskKey]uint64{}, endedAttempts: map[taskKey]time.Time{},
-			unknownAttempts: map[taskKey]bool{}, images: map[string]bool{}, faults: map[string]bool{},
+			unknownAttempts: map[taskKey]bool{}, images: map[string]bool{}, failedJobs: map[string]bool{},
 		}
 		if h := l.c.hints[id]; h != nil {
 			for _, image := range h.Images {
 				m.images[image] = true
 			}
 		}
-		m.imagesTold = -1
+		m.imagesAnnounced = -1
 		l.machines[id] = m
-		at, _ := slices.BinarySearchFunc(l.fleetOrder, id, func(o *machine, id string) int { return cmp.Compare(o.id, id) })
-		l.fleetOrder = slices.Insert(l.fleetOrder, at, m)
+		at, _ := slices.BinarySearchFunc(l.machinesByName, id, func(o *machine, id string) int { return cmp.Compare(o.id, id) })
+		l.machinesByName = slices.Insert(l.machinesByName, at, m)
 	}
 	return m
 }
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -16,8 +16,8 @@
 
 // partitions are the network partitions that a leader suspects, by zone.
 type partitions struct {
-	active   map[string]bool      // suspected now
-	lastSeen map[string]time.Time // when each was last suspected
+	active        map[string]bool      // suspected now
+	lastSuspected map[string]time.Time // when each was last suspected
 }
 
 // any reports whether any partition is suspected now.
@@ -58,36 +58,36 @@
 		// A quarter of all machines may well have failed or hang: they are waited for only where
 		// their zone is cut off, or where most of all machines are silent.
 		if active && (zone != allZones || 2*silent[allZones] > all[allZones]) {
-			p.lastSeen[zone] = now
+			p.lastSuspected[zone] = now
 		}
 	}
 }
 
-// unheardZones lists the zones, and allZones for all machines, from which far too few heartbeats have arrived in the
-// latest part of a heartbeat interval. Where all machines fall silent at once, those that were due first are suspected
+// zonesWithoutHeartbeats lists the zones, and allZones for all machines, from which far too few heartbeats have
+// arrived in the latest part of a heartbeat interval. Where all machines fall silent at once, those that were due first are suspected
 // before a quarter of all is overdue: without this check, a leader that has just lost its connection to the workers
 // would release those machines.
-func (f *failureDetector) unheardZones() map[string]bool {
+func (f *failureDetector) zonesWithoutHeartbeats() map[string]bool {
 	const (
 		windowsPerInterval = 4 // the window is one heartbeat interval divided by this
 		minDue             = 2 // heartbeats that must have been due in the window
 	)
 	window := config.Seconds(f.c.cfg.Facts.Workers.ReportS / windowsPerInterval)
-	all, heard := map[string]int{}, map[string]int{}
+	all, recent := map[string]int{}, map[string]int{}
 	for _, m := range f.machines {
 		if !m.up {
 			continue
 		}
 		for _, zone := range [...]string{m.zone, allZones} {
 			all[zone]++
-			if f.c.now.Sub(m.reported) <= window {
-				heard[zone]++
+			if f.c.now.Sub(m.lastHeartbeat) <= window {
+				recent[zone]++
 			}
 		}
 	}
-	unheard := map[string]bool{}
+	lacking := map[string]bool{}
 	for zone, n := range all {
-		unheard[zone] = n >= minDue*windowsPerInterval && 3*heard[zone] < n/windowsPerInterval
+		lacking[zone] = n >= minDue*windowsPerInterval && 3*recent[zone] < n/windowsPerInterval
 	}
-	return unheard
+	return lacking
 }
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -33,12 +33,12 @@
 	}
 }
 
-// meshMessage handles a message from another controller.
-func (c *Core) meshMessage(e *mesh.Envelope) {
+// handleMeshMessage handles a message from another controller.
+func (c *Core) handleMeshMessage(e *mesh.Envelope) {
 	switch body := e.Body.(type) {
 	case *mesh.Envelope_Progress:
 		for _, p := range body.Progress.Jobs {
-			if c.control.headers[p.Job] != nil {
+			if c.watchCache.headers[p.Job] != nil {
 				c.progress[p.Job] = jobCount{int(p.Done), int(p.Running)}
 			}
 		}
@@ -62,8 +62,8 @@
 	case *mesh.Envelope_Relayed:
 		c.handleRelayAnswer(body.Relayed)
 	case *mesh.Envelope_Ask:
-		c.promiseAsked(e.From, body.Ask)
+		c.handlePeerLeaseRequest(e.From, body.Ask)
 	case *mesh.Envelope_Promise:
-		c.promiseAnswered(e.From, body.Promise)
+		c.handlePeerLeaseResponse(e.From, body.Promise)
 	}
 }
--- a/controller/placement.go
+++ b/controller/placement.go
@@ -18,28 +18,28 @@
 // the same processor also handles the reports of all machines.
 const placementDelayPerMachine = 40 * time.Microsecond
 
-// wantPlacement schedules a placement round, unless one is scheduled already.
-func (l *leader) wantPlacement() {
-	if l.placeAt.IsZero() {
+// schedulePlacement schedules a placement round, unless one is scheduled already.
+func (l *leader) schedulePlacement() {
+	if l.placementDueAt.IsZero() {
 		pause := placementDelay + time.Duration(len(l.machines))*placementDelayPerMachine
-		l.placeAt = l.c.now.Add(pause)
+		l.placementDueAt = l.c.now.Add(pause)
 		l.c.after(pause, func() {})
 	}
 }
 
-// place runs a placement round if one is due and the leader has authority: it lists the demands of all jobs, orders
-// them, and places them one by one.
-func (l *leader) place() {
-	if l.placeAt.IsZero() || l.c.now.Before(l.placeAt) || len(l.c.types) == 0 || !l.c.now.Before(l.authority) {
+// runPlacementRound runs a placement round if one is due and the leader has authority: it lists the demands of all
+// jobs, orders them, and places them one by one.
+func (l *leader) runPlacementRound() {
+	if l.placementDueAt.IsZero() || l.c.now.Before(l.placementDueAt) || len(l.c.types) == 0 || !l.c.now.Before(l.authority) {
 		return
 	}
-	l.placeAt = time.Time{}
+	l.placementDueAt = time.Time{}
 	demands := l.demands()
 	if len(demands) == 0 {
 		return
 	}
 	limits := l.zones.limitStarts(demands)
-	all := l.view(true)
+	all := l.schedulerView(true)
 	machines := slices.DeleteFunc(slices.Clone(all), func(m *scheduler.Machine) bool { return m.Virtual })
 	demands = scheduler.OrderWithAging(demands, l.agingReserve(machines))
 	l.spreading.setBalance(demands, machines)
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	l.zones.noteHeldBack(limits)
+	l.zones.recordThrottledStarts(limits)
 }
 
 // placeTasks places as many tasks of a demand as fit, removes them from the demand, and returns their number. Tasks
@@ -158,11 +158,11 @@
 // startAttempt puts an attempt in force; its run command is sent once the job's record is written.
 func (l *leader) startAttempt(j *job, p scheduler.Assignment, number uint64) *attempt {
 	m := l.machines[p.Machine.ID]
-	a := &attempt{job: j, task: p.Task, number: number, machine: m, session: m.session, placed: l.c.now, fetches: !m.images[j.spec.Image]}
+	a := &attempt{job: j, task: p.Task, number: number, machine: m, session: m.session, placed: l.c.now, needsFetch: !m.images[j.spec.Image]}
 	j.attempts[p.Task] = a
 	m.add(a)
 	j.state.Start(p.Task)
-	j.touch(p.Task, l.c.now)
+	j.markTaskDirty(p.Task, l.c.now)
 	j.urgent = true
 	l.c.log(slog.LevelDebug, "placed", "job", j.id, "task", p.Task, "attempt", a.number, "machine", m.id,
 		"cached", m.images[j.spec.Image], "part", p.Machine.Shard)
@@ -176,7 +176,7 @@
 		return 0 // running tasks may end in time, and then no work is lost
 	}
 	if l.zones.recovering() {
-		machines = slices.DeleteFunc(slices.Clone(machines), func(m *scheduler.Machine) bool { return l.zones.limitedZone(m.Zone) })
+		machines = slices.DeleteFunc(slices.Clone(machines), func(m *scheduler.Machine) bool { return l.zones.startsLimited(m.Zone) })
 	}
 	victims, room := scheduler.Preempt(machines, d, min(missing, 32), excess, l.c.now)
 	for _, v := range victims {
@@ -199,5 +199,5 @@
 		return 0
 	}
 	spec := &l.jobs[d.Job].spec
-	return (l.startObjectiveS(spec) - l.slowestFetch(spec)) / 4
+	return (l.startObjectiveS(spec) - l.slowestFetchS(spec)) / 4
 }
--- a/controller/progress.go
+++ b/controller/progress.go
@@ -24,7 +24,7 @@
 	}
 	l.progressSentAt = l.c.now
 	var jobs []*mesh.JobProgress
-	for _, j := range l.order {
+	for _, j := range l.jobsByAcceptance {
 		n := jobCount{done: j.state.Count(reduction.Completed)}
 		for _, a := range j.attempts {
 			if a.phase == attemptRunning {
@@ -53,11 +53,11 @@
 		l.allHintsSentAt = l.c.now
 	}
 	var hs []*mesh.Hint
-	for _, m := range l.fleetOrder {
-		if !m.up || !all && len(m.images) == m.imagesTold {
+	for _, m := range l.machinesByName {
+		if !m.up || !all && len(m.images) == m.imagesAnnounced {
 			continue
 		}
-		m.imagesTold = len(m.images)
+		m.imagesAnnounced = len(m.images)
 		h := &mesh.Hint{Machine: m.id, Addr: m.addr, Images: slices.Sorted(maps.Keys(m.images))}
 		l.c.hints[m.id] = h
 		hs = append(hs, h)
--- a/controller/promises.go
+++ b/controller/promises.go
@@ -51,7 +51,7 @@
 // after that process granted a peer lease.
 func (c *Core) mustHoldOff() bool {
 	p := &c.peerLease
-	return c.now.Before(p.noClaimBefore) || c.control.token > 0 && c.now.Before(p.processStarted.Add(peerLeaseHoldOff))
+	return c.now.Before(p.noClaimBefore) || c.watchCache.token > 0 && c.now.Before(p.processStarted.Add(peerLeaseHoldOff))
 }
 
 // peerLeaseHoldOff is how long a controller makes no claim after it granted a peer lease: the lease's
@@ -70,12 +70,12 @@
 	r := &peerLeaseRound{token: l.token, sent: c.now, granted: map[string]bool{}}
 	p.rounds = map[uint64]*peerLeaseRound{p.lastRound: r, p.lastRound - 1: p.rounds[p.lastRound-1]}
 	c.broadcast(&mesh.Envelope{Body: &mesh.Envelope_Ask{Ask: &mesh.PromiseAsk{
-		Token: l.token, Round: p.lastRound, LifeMs: uint64(peerLeaseDuration.Milliseconds()), Revision: c.control.revision}}})
+		Token: l.token, Round: p.lastRound, LifeMs: uint64(peerLeaseDuration.Milliseconds()), Revision: c.watchCache.revision}}})
 }
 
-// promiseAsked handles a peer lease request from a leader that can't reach the state service. It
+// handlePeerLeaseRequest handles a peer lease request from a leader that can't reach the state service. It
 // grants the lease only if a read by this controller fails as well.
-func (c *Core) promiseAsked(from string, ask *mesh.PromiseAsk) {
+func (c *Core) handlePeerLeaseRequest(from string, ask *mesh.PromiseAsk) {
 	answer := func(granted bool) {
 		p := &mesh.Promise{Token: ask.Token, Round: ask.Round, Granted: granted}
 		if granted {
@@ -86,13 +86,13 @@
 	}
 	// A former leader that lost access to the state service first may not have learned that another
 	// one was elected before the outage became general. The newer token in the request shows it.
-	if c.lead != nil && !c.entitled() && ask.Token > c.lead.token {
+	if c.lead != nil && !c.hasAuthority() && ask.Token > c.lead.token {
 		c.stepDown("another one leads")
 	}
 	mayGrant := func() bool {
-		predatesElection := !c.control.loaded || c.control.token < ask.Token // the copy predates the election
-		return c.lead == nil && !c.claiming && c.control.token <= ask.Token &&
-			(predatesElection || c.control.leader != nil && c.control.leader.Member == from) &&
+		predatesElection := !c.watchCache.loaded || c.watchCache.token < ask.Token // the copy predates the election
+		return c.lead == nil && !c.claiming && c.watchCache.token <= ask.Token &&
+			(predatesElection || c.watchCache.leader != nil && c.watchCache.leader.Member == from) &&
 			ask.LifeMs <= uint64(peerLeaseDuration.Milliseconds())
 	}
 	if !mayGrant() {
@@ -114,8 +114,8 @@
 // is in this list or in the leader's own copy.
 func (c *Core) cancelledSince(revision uint64) []string {
 	var jobs []string
-	for id, h := range c.control.headers {
-		if h.Cancelled && c.control.versions[headerKey(id)] > revision {
+	for id, h := range c.watchCache.headers {
+		if h.Cancelled && c.watchCache.versions[headerKey(id)] > revision {
 			jobs = append(jobs, id)
 		}
 	}
@@ -123,13 +123,13 @@
 	return jobs
 }
 
-// promiseAnswered handles a peer's response to a peer lease request. Authority is extended only if
+// handlePeerLeaseResponse handles a peer's response to a peer lease request. Authority is extended only if
 // no other controller can have led meanwhile: if there is a gap since the previous authority,
 // every other controller must have been running throughout the gap, and know no newer token.
 // Likewise, a round is equivalent to a read of the headers if every other controller has been
 // running since the leader's last read and reports the cancellations that it knows: no other
 // process can have confirmed a cancellation to a user.
-func (c *Core) promiseAnswered(from string, a *mesh.Promise) {
+func (c *Core) handlePeerLeaseResponse(from string, a *mesh.Promise) {
 	p, l := &c.peerLease, c.lead
 	r := p.rounds[a.Round]
 	if l == nil || r == nil || r.token != a.Token || l.token != a.Token || !a.Granted {
@@ -166,7 +166,7 @@
 // service, which is as durable as if this controller had read it. It reports whether this
 // controller has the job's header.
 func (c *Core) applyPeerCancellation(id string) bool {
-	h := c.control.headers[id]
+	h := c.watchCache.headers[id]
 	if h == nil {
 		return false
 	}
@@ -184,6 +184,6 @@
 	if p.active {
 		p.active = false
 		l.c.log(slog.LevelInfo, "state service reached again", "token", l.token)
-		l.wantPlacement()
+		l.schedulePlacement()
 	}
 }
--- a/controller/quota.go
+++ b/controller/quota.go
@@ -57,8 +57,8 @@
 // teamUse sums, by team, the resources of all attempts not yet proved to have ended and of jobs granted to other cells.
 func (l *leader) teamUse() map[string]scheduler.Resources {
 	used := map[string]scheduler.Resources{}
-	for _, j := range l.order {
-		used[j.spec.Team] = used[j.spec.Team].Add(jobEach(&j.spec), float64(len(j.attempts))).Add(grantedUse(j), 1)
+	for _, j := range l.jobsByAcceptance {
+		used[j.spec.Team] = used[j.spec.Team].Add(taskResources(&j.spec), float64(len(j.attempts))).Add(grantedResources(j), 1)
 	}
 	return used
 }
@@ -69,7 +69,7 @@
 	for team, q := range l.c.quotas {
 		e[team] = q.idleExcess()
 	}
-	for _, j := range l.order {
+	for _, j := range l.jobsByAcceptance {
 		for _, a := range j.attempts {
 			if !a.stopping {
 				e.Add(j.terms)
@@ -86,7 +86,7 @@
 // fitsGuarantee reports whether a job fits into its team's guarantee together with the team's jobs that come before it,
 // and adds the job to their sum.
 func (l *leader) fitsGuarantee(j *job, earlier map[string]scheduler.Resources) bool {
-	sum := earlier[j.spec.Team].Add(jobEach(&j.spec), float64(j.tasksLeft()))
+	sum := earlier[j.spec.Team].Add(taskResources(&j.spec), float64(j.tasksLeft()))
 	earlier[j.spec.Team] = sum
 	return l.c.quotas[j.spec.Team].guarantee.Fits(sum) > 0
 }
@@ -97,18 +97,18 @@
 // assignGuarantees marks the jobs beyond their team's guarantee as borrowed. A team's guarantee goes to its jobs in the
 // order in which they are served: fewest missed objectives first, then least work left.
 func (l *leader) assignGuarantees() {
-	if l.c.now.Sub(l.guaranteesAt) < guaranteesInterval {
+	if l.c.now.Sub(l.guaranteesAssignedAt) < guaranteesInterval {
 		return
 	}
-	l.guaranteesAt = l.c.now
+	l.guaranteesAssignedAt = l.c.now
 	earlier := map[string]scheduler.Resources{}
 	type ranked struct {
 		*job
 		missed int
 		work   float64
 	}
-	order := make([]ranked, 0, len(l.order))
-	for _, j := range l.order {
+	order := make([]ranked, 0, len(l.jobsByAcceptance))
+	for _, j := range l.jobsByAcceptance {
 		if !j.cancelled && !l.blocked(j) && j.origin == nil {
 			order = append(order, ranked{j, j.missedObjectives(l.c.cfg.Facts.Objectives, l.c.now), j.workLeft(l.c.measure)})
 		}
--- a/controller/quota_test.go
+++ b/controller/quota_test.go
@@ -35,7 +35,7 @@
 
 // Admission, the room of a team, its guarantee and its excess must treat unspecified resources alike.
 func TestGPUTeamIsAcceptedPlacedAndGuaranteed(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	c.quotas["red"] = quotaOf(config.Team{GPUs: 3, GPUsMax: 7})
 	c.setTypes([]wire.MachineType{{Name: "g", CPUs: 12, GPUs: 2, MemoryGB: 72, Zones: []string{"a"}}})
 	spec := wire.Job{ID: "req-000002", Class: "train", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 4, CPUs: 5, GPUs: 1, MemoryGB: 27}
@@ -50,14 +50,14 @@
 		t.Errorf("room for %d tasks with 5 of 7 GPUs used, want 2", room)
 	}
 	earlier := map[string]scheduler.Resources{}
-	first, second := l.addJob("req-000002", &headerRecord{Job: spec, PerChunk: 10}), l.addJob("req-000003", &headerRecord{Job: spec, PerChunk: 10})
+	first, second := l.addJob("req-000002", &headerRecord{Job: spec, TasksPerChunk: 10}), l.addJob("req-000003", &headerRecord{Job: spec, TasksPerChunk: 10})
 	first.spec.Tasks = 3
 	if !l.fitsGuarantee(first, earlier) || l.fitsGuarantee(second, earlier) {
 		t.Error("a guarantee of 3 GPUs must fit a job of 3 tasks and no other")
 	}
 	for n := range 4 {
-		a := place(l, second, n, l.machine("i-1"))
-		a.phase = attemptSeen
+		a := placeAttempt(l, second, n, l.machine("i-1"))
+		a.phase = attemptReported
 	}
 	if e := l.excess()["red"]; e.GPUs != 1 {
 		t.Errorf("excess of %v with 4 GPUs used and 3 guaranteed, want 1 GPU", e)
--- a/controller/rate_limits_test.go
+++ b/controller/rate_limits_test.go
@@ -14,7 +14,7 @@
 // The state service may lower its rate limits at an unannounced time. Reads for users observe the
 // upcoming limit from the start, and changes once refusals show that it is in effect.
 func TestUpcomingRateLimits(t *testing.T) {
-	template, _, _ := leading(t)
+	template, _, _ := newLeadingCore(t)
 	cfg := *template.cfg
 	requests, changes := 30.0, 12.0
 	cfg.Facts.State.Next.RPS, cfg.Facts.State.Next.WriteRPS = &requests, &changes
--- a/controller/records.go
+++ b/controller/records.go
@@ -10,10 +10,10 @@
 // The records stored in the state service. Their keys and fields must stay readable by earlier
 // versions, see versions_test.go.
 
-// Keys in the state service. Every controller watches everything under controlPrefix. Task and
+// Keys in the state service. Every controller watches everything under watchedPrefix. Task and
 // rental records are read only by a new leader.
 const (
-	controlPrefix = "c/"
+	watchedPrefix = "c/"
 	leaderKey     = "c/leader"
 	tokenKey      = "c/token"
 	typesKey      = "c/types"
@@ -42,10 +42,10 @@
 // headerRecord is the header of an unfinished job. Any controller may create it or mark it as
 // cancelled; only the leader deletes it.
 type headerRecord struct {
-	Job        wire.Job `cbor:"j"`
-	Cancelled  bool     `cbor:"x,omitempty"`
-	AcceptedMS int64    `cbor:"t"`
-	PerChunk   int      `cbor:"per"` // number of tasks in each of its task records
+	Job           wire.Job `cbor:"j"`
+	Cancelled     bool     `cbor:"x,omitempty"`
+	AcceptedMS    int64    `cbor:"t"`
+	TasksPerChunk int      `cbor:"per"` // number of tasks in each of its task records
 
 	Grant  *grantRecord  `cbor:"g,omitempty"` // the job is granted to another cell and must not run in this one
 	Origin *originRecord `cbor:"o,omitempty"` // the job belongs to another cell, which granted it to this one
@@ -111,9 +111,9 @@
 // active attempt takes up to 75 characters as JSON.
 func tasksPerRecord(valueKB float64) int { return max(1, int(valueKB*1024/80)) }
 
-// headerRoom is the number of characters that a new header leaves free within the value size limit,
+// headerReserve is the number of characters that a new header leaves free within the value size limit,
 // since a cancellation adds to it.
-const headerRoom = 64
+const headerReserve = 64
 
 // fits reports whether a value and the given number of additional characters are within the state
 // service's size limit, which applies to the JSON form.
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -50,11 +50,11 @@
 	})
 }
 
-// findOut reads a key, with retries until the state service responds, for example after a write
+// getWithRetry reads a key, with retries until the state service responds, for example after a write
 // whose result is unknown. fn gets nil if the key doesn't exist. The retries end when this
 // controller no longer leads.
-func (l *leader) findOut(key string, fn func(*wire.Item)) {
-	l.c.state(StateCall{Op: OpGet, Key: key, Timeout: leadCallTimeout}, func(r StateReply) {
+func (l *leader) getWithRetry(key string, fn func(*wire.Item)) {
+	l.c.callStateService(StateCall{Op: OpGet, Key: key, Timeout: leadCallTimeout}, func(r StateReply) {
 		switch {
 		case l.c.lead != l:
 		case r.Status == http.StatusOK:
@@ -64,7 +64,7 @@
 		default:
 			l.c.after(retryPause, func() {
 				if l.c.lead == l {
-					l.findOut(key, fn)
+					l.getWithRetry(key, fn)
 				}
 			})
 		}
@@ -84,11 +84,11 @@
 	if l.zones != nil {
 		kinds = append(kinds, optionalRecords{zonePrefix, l.zones.restoreZones})
 	}
-	if l.cells != nil {
-		kinds = append(kinds, optionalRecords{floorPrefix, l.cells.restoreFloors}, optionalRecords{fencePrefix, l.cells.restoreFences})
+	if l.spillover != nil {
+		kinds = append(kinds, optionalRecords{floorPrefix, l.spillover.restoreFloors}, optionalRecords{fencePrefix, l.spillover.restoreFences})
 	}
 	if l.spreading != nil {
-		kinds = append(kinds, optionalRecords{movesKey, l.spreading.restoreMoves})
+		kinds = append(kinds, optionalRecords{movesKey, l.spreading.restoreMovesRecord})
 	}
 	var next func(i int)
 	next = func(i int) {
@@ -108,7 +108,7 @@
 // but can't be placed until their recorded attempt is proved to have ended.
 func (l *leader) rebuild(tasks, rentals []wire.Item) {
 	c := l.c
-	for id, h := range c.control.headers {
+	for id, h := range c.watchCache.headers {
 		l.addJob(id, h)
 	}
 	for _, it := range tasks {
@@ -124,12 +124,12 @@
 		}
 		l.restore(j, n, rec, it.Version)
 	}
-	for _, j := range l.order {
+	for _, j := range l.jobsByAcceptance {
 		reduction.Recover(j.state)
-		if c.withdrawn(j.id) {
+		if c.effectivelyCancelled(j.id) {
 			l.cancel(j)
 		}
-		l.settle(j)
+		l.finalizeIfSettled(j)
 	}
 	l.autoscaler.restore(rentals)
 	l.recovered = true
@@ -141,7 +141,7 @@
 			l.probe(id, c.hints[id].Addr)
 		}
 	}
-	l.wantPlacement()
+	l.schedulePlacement()
 }
 
 // restore applies the record of chunk n: its completed tasks, and its attempts as active ones.
@@ -159,7 +159,7 @@
 	for _, r := range rec.Done {
 		for t := r[0]; t <= r[1] && t < j.spec.Tasks; t++ {
 			j.state.Accumulate(t, reduction.Succeeded)
-			j.begun = true
+			j.hasStarted = true
 		}
 	}
 	for _, p := range rec.Placed {
