--- a/controller/scale_in.go
+++ b/controller/scale_in.go
@@ -32,9 +32,9 @@
 	if s.releaseInFlight {
 		return
 	}
-	s.failures.releaseFailed()
+	s.failureDetector.releaseFailed()
 	var names []string
-	for _, m := range s.fleetOrder {
+	for _, m := range s.machinesByName {
 		if m.releasing && len(names) < maxMachinesPerRelease {
 			names = append(names, m.id)
 		}
@@ -65,7 +65,7 @@
 	releaseFailedMachine       releaseReason = "failed"
 	releaseFaulty              releaseReason = "faulty"
 	releaseNeverUp             releaseReason = "never came up"
-	releaseNoticed             releaseReason = "will be taken"
+	releaseReclaimed           releaseReason = "will be taken"
 	releaseRestarted           releaseReason = "has begun again"
 )
 
@@ -75,7 +75,7 @@
 		return
 	}
 	m.releasing = true
-	l.zones.noteReleased(m, reason)
+	l.zones.recordSilentRelease(m, reason)
 	l.c.log(slog.LevelInfo, "releasing machine", "machine", m.id, "why", reason, "tasks", len(m.attempts))
 }
 
@@ -86,28 +86,28 @@
 		return
 	}
 	s.released[id] = s.c.now
-	for _, a := range m.list {
-		s.gone(a, reduction.Reset, proofMachineReleased)
+	for _, a := range m.attemptsInOrder {
+		s.removeAttempt(a, reduction.Reset, proofMachineReleased)
 	}
 	delete(s.machines, id)
-	s.fleetOrder = slices.DeleteFunc(s.fleetOrder, func(o *machine) bool { return o == m })
+	s.machinesByName = slices.DeleteFunc(s.machinesByName, func(o *machine) bool { return o == m })
 }
 
 // unneededMachines lists idle machines that neither pending work nor the headroom needs: those that stay empty when all
 // of it is placed on the fullest machines first.
 func (s *autoscaler) unneededMachines() []*machine {
 	var idle []*machine
-	for _, m := range s.fleetOrder {
+	for _, m := range s.machinesByName {
 		// A machine is charged for a minute at least: releasing it sooner saves nothing.
-		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || s.c.now.Sub(m.rented) >= minCharge &&
-			s.c.now.Sub(m.idle) >= config.Seconds(s.c.op.IdleS)) && !s.failures.unresponsive(m) {
+		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || s.c.now.Sub(m.rentedAt) >= minCharge &&
+			s.c.now.Sub(m.idleSince) >= config.Seconds(s.c.op.IdleS)) && !s.failureDetector.unresponsive(m) {
 			idle = append(idle, m)
 		}
 	}
 	if len(s.c.types) == 0 || len(idle) == 0 {
 		return nil
 	}
-	machines := s.view(true)
+	machines := s.schedulerView(true)
 	demands := append(s.backlog(), s.headroom()...)
 	scheduler.Order(demands)
 	needed := map[string]bool{}
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -34,10 +34,10 @@
 
 // callCloud calls the cloud if the leader has authority and the rate limit allows it, and reports whether it did.
 func (s *autoscaler) callCloud(call CloudCall, fn func(CloudReply)) bool {
-	if !s.c.entitled() || !s.cloudLimiter.AllowN(s.c.now, 1) {
+	if !s.c.hasAuthority() || !s.cloudLimiter.AllowN(s.c.now, 1) {
 		return false
 	}
-	s.c.cloud(call, func(r CloudReply) {
+	s.c.callCloud(call, func(r CloudReply) {
 		if s.c.lead == s.leader {
 			fn(r)
 		}
@@ -111,11 +111,11 @@
 			continue
 		}
 		m := s.machine(id)
-		if m.listed.IsZero() {
-			m.listed = s.c.now // it exists by now: a list made later shows it
+		if m.expectedInListSince.IsZero() {
+			m.expectedInListSince = s.c.now // it exists by now: a list made later shows it
 		}
 		if !m.up {
-			m.typ, m.zone, m.spot, m.rented = req.spec.Type, req.spec.Zone, req.spec.Spot, req.since
+			m.typ, m.zone, m.spot, m.rentedAt = req.spec.Type, req.spec.Zone, req.spec.Spot, req.since
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		If:   []wire.Cond{s.leadershipCondition(), {Key: key, Version: req.version}},
 		Then: []wire.Change{put(key, rentalRecord{req.spec, req.answered, req.machines})},
 	}
-	s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	s.c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if s.c.lead == s.leader {
 			done(r)
 		}
@@ -173,10 +173,10 @@
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				at, refused := s.refusedAt[offerKey{name, zone, spot}]
-				if refused && s.c.now.Sub(at) < refusalRetention || s.zones.rentable(zone, 1) == 0 {
+				if refused && s.c.now.Sub(at) < refusalRetention || s.zones.limitRentals(zone, 1) == 0 {
 					continue
 				}
-				out = append(out, scheduler.Offer{Type: name, Zone: zone, Spot: spot, Cap: capOf(t), Price: priceOf(t, spot)})
+				out = append(out, scheduler.Offer{Type: name, Zone: zone, Spot: spot, Cap: machineCapacity(t), Price: priceOf(t, spot)})
 			}
 		}
 	}
--- a/controller/scale_out_test.go
+++ b/controller/scale_out_test.go
@@ -14,7 +14,7 @@
 // The cloud allows few calls a second. A new leader sends again only the instance requests that have no recorded
 // answer, and none is sent whose offer was just refused.
 func TestInstanceRequestsAreSentOnce(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	rent := func(name string) wire.Rent { return wire.Rent{Request: name, Type: "t", Zone: "a", Count: 2} }
 	item := func(r rentalRecord) wire.Item {
 		return wire.Item{Key: rentalPrefix + r.Rent.Request, Value: wire.Marshal(r), Version: 5}
@@ -55,7 +55,7 @@
 // be accepted, machines would otherwise boot only after the last of them. Once the job is accepted, or is not
 // submitted again, its hint no longer counts.
 func TestRejectedSubmissionsAreScaledOutFor(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	c.setTypes([]wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 8, Zones: []string{"a"}}})
 	c.quotas["red"] = quotaOf(config.Team{CPUs: 100, CPUsMax: 100})
 	job := wire.Job{ID: "req-000007", Team: "red", Kind: wire.KindService, Priority: "prod", Tasks: 3, CPUs: 2}
@@ -68,16 +68,16 @@
 		}
 		return n
 	}
-	c.meshMessage(&mesh.Envelope{From: "n1", Body: &mesh.Envelope_DemandHints{DemandHints: &mesh.DemandHints{Jobs: [][]byte{wire.Marshal(job)}}}})
+	c.handleMeshMessage(&mesh.Envelope{From: "n1", Body: &mesh.Envelope_DemandHints{DemandHints: &mesh.DemandHints{Jobs: [][]byte{wire.Marshal(job)}}}})
 	if n := hintedTasks(); n != 3 {
 		t.Errorf("demand for %d tasks of a submission of 3 that another controller rejected", n)
 	}
-	l.addJob(job.ID, &headerRecord{Job: job, PerChunk: 10})
+	l.addJob(job.ID, &headerRecord{Job: job, TasksPerChunk: 10})
 	if n := hintedTasks(); n != 3 {
 		t.Errorf("demand for %d tasks of an accepted submission of 3 that was rejected before", n)
 	}
 	delete(l.jobs, job.ID)
-	l.order = nil
+	l.jobsByAcceptance = nil
 	c.rejectSubmission(UserRequest{Req: 1}, &job)
 	c.sendDemandHints()
 	if n := hintedTasks(); n != 3 {
@@ -93,7 +93,7 @@
 // before the machine was listed. The machine is released, which is the proof; its silence would be noticed only after a
 // report interval.
 func TestUnlistedMachineIsReleased(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	lag := config.Seconds(c.cfg.Facts.Cloud.ListLagS)
 	page := func(more bool, ids ...string) wire.MachinePage {
 		p := wire.MachinePage{More: more}
@@ -103,7 +103,7 @@
 		return p
 	}
 	for _, it := range page(false, "i-1", "i-2", "i-3", "i-4").Machines {
-		l.autoscaler.listed(it)
+		l.autoscaler.handleListed(it)
 	}
 	l.machine("i-5") // never listed: may be too new for the list
 	c.now = c.now.Add(lag)
@@ -124,14 +124,14 @@
 // work will take. When it did, nothing was requested as long as as much work arrived as ended, and the last tasks of
 // arrays waited for a minute.
 func TestFreedRoomIsNotCountedTwice(t *testing.T) {
-	c, l, running := leading(t)
+	c, l, running := newLeadingCore(t)
 	c.quotas["red"] = quotaOf(config.Team{CPUs: 100, CPUsMax: 100})
 	c.setTypes([]wire.MachineType{{Name: "t", CPUs: 2, MemoryGB: 8, BootS: 30, Zones: []string{"a"}}})
-	running.spec.EstimateS, running.attempts[0] = 10, &attempt{job: running, machine: l.machine("i-1"), phase: attemptRunning, since: c.now}
+	running.spec.EstimateS, running.attempts[0] = 10, &attempt{job: running, machine: l.machine("i-1"), phase: attemptRunning, runningSince: c.now}
 	running.state.Start(0)
 	running.state.Start(1)
 	spec := wire.Job{ID: "req-000002", Class: "train", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 1, CPUs: 1}
-	l.addJob(spec.ID, &headerRecord{Job: spec, PerChunk: 10, AcceptedMS: c.now.UnixMilli()})
+	l.addJob(spec.ID, &headerRecord{Job: spec, TasksPerChunk: 10, AcceptedMS: c.now.UnixMilli()})
 	for arrivals, want := range map[int]int{0: 0, 6: 1} {
 		l.autoscaler.arrivals = nil
 		for range arrivals {
@@ -152,7 +152,7 @@
 // as booting until its boot time has passed: nothing would be requested meanwhile. Nor may the writes of task counts,
 // which never end, keep those records from being deleted.
 func TestMachinesOfOldRequestsAreNotCountedAsBooting(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	l.autoscaler.restore([]wire.Item{{Key: "h/r-1-1", Version: 3, Value: wire.Marshal(rentalRecord{
 		Rent: wire.Rent{Request: "r-1-1", Type: "t", Zone: "a", Count: 1}, Answered: true, Machines: []string{"i-9"}})}})
 	c.now = c.now.Add(config.Seconds(2*c.cfg.Facts.Cloud.ListLagS) + 2*time.Second)
@@ -164,12 +164,12 @@
 	l.autoscaler.sendInstanceRequests()
 	for n := range 200 {
 		id := fmt.Sprintf("req-1%05d", n)
-		l.addJob(id, &headerRecord{PerChunk: 10, Job: wire.Job{ID: id, Kind: wire.KindArray, Priority: "standard", Tasks: 2, CPUs: 1}})
+		l.addJob(id, &headerRecord{TasksPerChunk: 10, Job: wire.Job{ID: id, Kind: wire.KindArray, Priority: "standard", Tasks: 2, CPUs: 1}})
 	}
 	for range 20 {
 		c.now = c.now.Add(100 * time.Millisecond)
 		l.authority = c.now.Add(time.Second)
-		for _, j := range l.order {
+		for _, j := range l.jobsByAcceptance {
 			j.chunks[0].dirty, j.dirty, j.urgent, j.dirtyAt, j.write = true, true, false, c.now.Add(-time.Minute), nil
 		}
 		l.writes.flush()
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -94,7 +94,7 @@
 	s.c.log(level, "move", "job", change.Job, "task", change.Index, "from", change.From, "to", change.To,
 		"phase", change.Phase, "outcome", string(change.Outcome), "room_given_up", string(change.ReleaseReason), "after", s.c.now.Sub(change.StartedAt))
 	s.c.emit(MoveChanged{change, s.electedToken, s.c.now})
-	s.wantPlacement()
+	s.schedulePlacement()
 }
 
 // beginMove reserves room for a task at its destination, and stops the attempt that is moved.
@@ -106,22 +106,22 @@
 	s.stop(a, saveGraceS(&a.job.spec))
 }
 
-// heldOn is the room that is reserved on a machine.
-func (s *spreading) heldOn(machine string) scheduler.Resources {
+// reservedResources is the room that is reserved on a machine.
+func (s *spreading) reservedResources(machine string) scheduler.Resources {
 	if s == nil || s.tracker.Len() == 0 {
 		return scheduler.Resources{}
 	}
 	return s.tracker.ReservedOn(machine)
 }
 
-// fetching lists the images that a machine is fetching for active attempts.
-func (s *spreading) fetching(m *machine) map[string]bool {
+// imagesBeingFetched lists the images that a machine is fetching for active attempts.
+func (s *spreading) imagesBeingFetched(m *machine) map[string]bool {
 	if s == nil {
 		return nil
 	}
 	var images map[string]bool
-	for _, a := range m.list {
-		if a.fetches && a.starting() {
+	for _, a := range m.attemptsInOrder {
+		if a.needsFetch && a.starting() {
 			if images == nil {
 				images = map[string]bool{}
 			}
@@ -275,7 +275,7 @@
 
 // stoppedByEarlierLeader reports whether an attempt was reported as saving that this leader has not stopped: an earlier
 // leader has.
-func (a *attempt) stoppedByEarlierLeader() bool { return a.saving && !a.stopping }
+func (a *attempt) stoppedByEarlierLeader() bool { return a.savingCheckpoint && !a.stopping }
 
 // allReplicasRunning reports whether all tasks of a service run, and none of them is being stopped.
 func (j *job) allReplicasRunning() bool {
@@ -283,7 +283,7 @@
 		return false
 	}
 	for _, a := range j.attempts {
-		if a.phase < attemptRunning || a.stopping || a.saving {
+		if a.phase < attemptRunning || a.stopping || a.savingCheckpoint {
 			return false
 		}
 	}
--- a/controller/spreading_bench_test.go
+++ b/controller/spreading_bench_test.go
@@ -36,7 +36,7 @@
 		advance(l, time.Second)
 		l.spreading.tracker = balance.NewMoveTracker(*l.spreading.settings(), l.c.now.Add(-time.Second)) // the allowance of one second has accrued
 		l.spreading.plannedAt = time.Time{}
-		machines := l.view(false)
+		machines := l.schedulerView(false)
 		fleet := l.spreading.fleetState(machines)
 		l.spreading.moveBlock()
 		l.spreading.listMovableTasks(&fleet)
@@ -58,9 +58,9 @@
 			added = append(added, addRunningJob(l, wire.Job{ID: fmt.Sprintf("req-9%05d", n), Class: "new", Kind: wire.KindArray, Tasks: 40}))
 			n++
 		}
-		l.placeAt = l.c.now
+		l.placementDueAt = l.c.now
 		b.StartTimer()
-		l.place()
+		l.runPlacementRound()
 		b.StopTimer()
 		for _, j := range added {
 			for _, a := range j.sortedAttempts() {
@@ -69,7 +69,7 @@
 			}
 			delete(l.jobs, j.id)
 		}
-		l.order = l.order[:len(l.order)-len(added)]
+		l.jobsByAcceptance = l.jobsByAcceptance[:len(l.jobsByAcceptance)-len(added)]
 		b.StartTimer()
 	}
 }
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -30,7 +30,7 @@
 	if s.block = s.moveBlock(); s.block != balance.NotBlocked {
 		return
 	}
-	machines := s.view(false)
+	machines := s.schedulerView(false)
 	fleet := s.fleetState(machines)
 	others, listed := s.stoppedByEarlierLeaders(), len(fleet.Machines)
 	allowance := s.tracker.Allowance(s.c.now, listed, others)
@@ -67,7 +67,7 @@
 		return balance.HeadroomShort
 	case s.workWaiting():
 		return balance.WorkPending
-	case s.budget.left(s.c.now)*freeBackgroundDivisor < s.budget.burst():
+	case s.budget.available(s.c.now)*freeBackgroundDivisor < s.budget.burst():
 		return balance.WriteBudgetShort
 	}
 	return balance.NotBlocked
@@ -77,10 +77,10 @@
 // attempts has reported to it.
 func (s *spreading) allReported() bool {
 	now := s.c.now
-	if now.Sub(s.elected) <= s.findsLeaderWithin() || now.Sub(s.failures.listening.began) <= s.failures.heartbeatDue(time.Second) {
+	if now.Sub(s.elected) <= s.reconnectTimeout() || now.Sub(s.failureDetector.listening.startedAt) <= s.failureDetector.heartbeatDue(time.Second) {
 		return false
 	}
-	return !slices.ContainsFunc(s.fleetOrder, func(m *machine) bool { return len(m.attempts) > 0 && !m.up })
+	return !slices.ContainsFunc(s.machinesByName, func(m *machine) bool { return len(m.attempts) > 0 && !m.up })
 }
 
 // workWaiting reports whether tasks wait to be placed, apart from those that are being moved and those that wait because
@@ -99,8 +99,8 @@
 // stoppedByEarlierLeaders counts the tasks that an earlier leader has stopped: it may have been moving them.
 func (s *spreading) stoppedByEarlierLeaders() int {
 	count := 0
-	for _, m := range s.fleetOrder {
-		for _, a := range m.list {
+	for _, m := range s.machinesByName {
+		for _, a := range m.attemptsInOrder {
 			if a.stoppedByEarlierLeader() {
 				count++
 			}
@@ -148,7 +148,7 @@
 func (s *spreading) demandOfMove(id balance.TaskID) *scheduler.Demand {
 	j := s.jobs[id.Job]
 	d := s.c.demandOf(&j.spec)
-	d.Avoid, d.RoomInTeam, d.CachedOnly = j.avoid, 1, d.Service
+	d.Avoid, d.RoomInTeam, d.CachedOnly = j.avoidedMachines, 1, d.Service
 	for task, a := range j.attempts {
 		if task != id.Index {
 			d.InZone[a.machine.zone]++
@@ -172,7 +172,7 @@
 		if m.Share() <= hot {
 			continue
 		}
-		for _, a := range s.machines[m.ID].list {
+		for _, a := range s.machines[m.ID].attemptsInOrder {
 			if reason, cost := tolerances.check(a); reason == balance.Movable {
 				m.Tasks = append(m.Tasks, a.movableTask(cost))
 			}
--- a/controller/spreading_record.go
+++ b/controller/spreading_record.go
@@ -32,9 +32,9 @@
 	movesRecordRenewMargin = 20 * time.Second
 )
 
-// restoreMoves restores the record of earlier leaders. The tasks that they placed may have moved until the recorded
+// restoreMovesRecord restores the record of earlier leaders. The tasks that they placed may have moved until the recorded
 // time, and stay for as long as tasks that have moved.
-func (s *spreading) restoreMoves(items []wire.Item) {
+func (s *spreading) restoreMovesRecord(items []wire.Item) {
 	for _, it := range items {
 		if it.Key != movesKey {
 			continue
@@ -74,7 +74,7 @@
 		If:   []wire.Cond{s.leadershipCondition(), {Key: movesKey, Version: s.record.version}},
 		Then: []wire.Change{put(movesKey, movesRecord{until.UnixMilli()})},
 	}
-	s.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	s.c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		switch {
 		case s.c.lead != s.leader:
 		case r.Status == http.StatusOK:
@@ -90,7 +90,7 @@
 	if s.c.lead != s.leader {
 		return
 	}
-	s.findOut(movesKey, func(it *wire.Item) {
+	s.getWithRetry(movesKey, func(it *wire.Item) {
 		s.record.writing, s.record.version = false, 0
 		if it != nil {
 			s.record.version = it.Version
--- a/controller/spreading_status.go
+++ b/controller/spreading_status.go
@@ -25,7 +25,7 @@
 // spreadStatus answers with what this controller knows: the whole status if it leads.
 func (c *Core) spreadStatus(r SpreadStatusRequest) {
 	status := balance.Status{Member: c.cfg.Member, Leader: c.leaderName()}
-	if l := c.lead; l != nil && l.recovered && l.spreading != nil && c.entitled() {
+	if l := c.lead; l != nil && l.recovered && l.spreading != nil && c.hasAuthority() {
 		l.spreading.describe(&status)
 		status.Leading, status.Leader = true, c.cfg.Member
 	}
@@ -34,7 +34,7 @@
 
 // describe fills in what the leader knows.
 func (s *spreading) describe(status *balance.Status) {
-	fleet := s.fleetState(s.view(false))
+	fleet := s.fleetState(s.schedulerView(false))
 	status.Distribution = balance.NewDistribution(fleet.Machines)
 	status.HotShare = s.settings().HotShare(status.Distribution.Mean)
 	status.Block, status.Counts = s.block, s.tracker.Counts()
@@ -73,7 +73,7 @@
 		for image := range m.images {
 			survey.AddImage(image, hot)
 		}
-		for _, a := range m.list {
+		for _, a := range m.attemptsInOrder {
 			survey.AddTask(m.id, hot, a.job.spec.Team, a.job.spec.Image, s.c.measure.Of(a.job.terms.TaskResources))
 		}
 	}
@@ -86,11 +86,11 @@
 // in the machine for explainStaying.
 func (t *moveTolerances) describe(m *balance.Machine, hot float64, list bool) balance.MachineStatus {
 	known := t.machines[m.ID]
-	status := balance.MachineStatus{ID: m.ID, Zone: known.zone, Share: m.Share(), Hot: m.Share() > hot, Tasks: len(known.list)}
+	status := balance.MachineStatus{ID: m.ID, Zone: known.zone, Share: m.Share(), Hot: m.Share() > hot, Tasks: len(known.attemptsInOrder)}
 	if !status.Hot {
 		return status
 	}
-	for _, a := range known.list {
+	for _, a := range known.attemptsInOrder {
 		reason, cost := t.check(a)
 		if reason == balance.Movable {
 			status.Movable++
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -16,20 +16,20 @@
 // spreadingLeader returns a leader that spreads load over the given number of eight-core machines, which are all up.
 func spreadingLeader(t testing.TB, machines int) (*Core, *leader) {
 	t.Helper()
-	c, l, j := leading(t)
+	c, l, j := newLeadingCore(t)
 	delete(l.jobs, j.id)
-	l.order = nil
+	l.jobsByAcceptance = nil
 	c.op.Spreading = &config.LoadSpreading{Settings: balance.DefaultSettings()}
 	c.op.Spreading.KeepIdle = true
 	l.spreading = newSpreading(l)
-	serving(c)
+	acceptSubmissions(c)
 	c.quotas["red"] = quotaOf(config.Team{Name: "red", CPUs: 80000})
 	for i := range machines {
 		m := l.machine(fmt.Sprintf("m%04d", i))
 		m.up, m.typ, m.zone, m.session, m.seq, m.images["image"] = true, "small", "a", 1, 1, true
 	}
 	l.authority = c.now.Add(time.Hour)
-	l.c.control.lastRead = c.now.Add(time.Hour)
+	l.c.watchCache.lastRead = c.now.Add(time.Hour)
 	advance(l, time.Minute)
 	return c, l
 }
@@ -38,21 +38,21 @@
 func advance(l *leader, d time.Duration) {
 	l.c.now = l.c.now.Add(d)
 	for _, m := range l.machines {
-		m.reported, m.answered = l.c.now, l.c.now
+		m.lastHeartbeat, m.leaseRenewedAt = l.c.now, l.c.now
 	}
-	l.renewed, l.failures.listening.lastLook = l.c.now, l.c.now
+	l.renewed, l.failureDetector.listening.lastObserved = l.c.now, l.c.now
 }
 
 // addRunningJob adds a job whose tasks run on the given machines.
 func addRunningJob(l *leader, spec wire.Job, machines ...string) *job {
 	spec.Team, spec.Priority, spec.Image, spec.CPUs, spec.MemoryGB = "red", "standard", "image", 2, 0.1
 	spec.Tasks = max(spec.Tasks, len(machines))
-	l.c.control.versions[headerKey(spec.ID)] = 3
-	l.c.control.headers[spec.ID] = &headerRecord{Job: spec, PerChunk: 100, AcceptedMS: l.c.now.UnixMilli()}
-	j := l.addJob(spec.ID, l.c.control.headers[spec.ID])
+	l.c.watchCache.versions[headerKey(spec.ID)] = 3
+	l.c.watchCache.headers[spec.ID] = &headerRecord{Job: spec, TasksPerChunk: 100, AcceptedMS: l.c.now.UnixMilli()}
+	j := l.addJob(spec.ID, l.c.watchCache.headers[spec.ID])
 	for i, id := range machines {
-		a := place(l, j, i, l.machines[id])
-		a.phase, a.since = attemptRunning, l.c.now
+		a := placeAttempt(l, j, i, l.machines[id])
+		a.phase, a.runningSince = attemptRunning, l.c.now
 	}
 	return j
 }
@@ -91,7 +91,7 @@
 		"no lease":                        {func(l *leader) { l.authority = l.c.now }, balance.NoLease},
 		"late renewals":                   {func(l *leader) { l.renewed = l.c.now.Add(-time.Second) }, balance.NoLease},
 		"a new leader":                    {func(l *leader) { l.elected = l.c.now.Add(-2 * time.Second) }, balance.MachinesNotReported},
-		"a pause of the leader":           {func(l *leader) { l.failures.listening.began = l.c.now.Add(-2 * time.Second) }, balance.MachinesNotReported},
+		"a pause of the leader":           {func(l *leader) { l.failureDetector.listening.startedAt = l.c.now.Add(-2 * time.Second) }, balance.MachinesNotReported},
 		"a machine that has not reported": {func(l *leader) { l.machines["m0000"].up = false }, balance.MachinesNotReported},
 		"a partition":                     {func(l *leader) { l.partitions.active = map[string]bool{"a": true} }, balance.NetworkFault},
 		"a zone recovery":                 {recoverZone, balance.ZoneRecovering},
@@ -147,11 +147,11 @@
 		"a gang":                            {spec: with(func(s *wire.Job) { s.Kind = wire.KindGang }), want: balance.Gang},
 		"another cell's":                    {spec: saves, change: func(_ *leader, j *job) { j.origin = &originRecord{} }, want: balance.OwnedByOtherCell},
 		"being stopped":                     {spec: service, change: func(_ *leader, j *job) { j.attempts[0].stopping = true }, want: balance.BeingStopped},
-		"stopped by an earlier leader":      {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].saving = true }, want: balance.BeingStopped},
+		"stopped by an earlier leader":      {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].savingCheckpoint = true }, want: balance.BeingStopped},
 		"cancelled":                         {spec: saves, change: func(_ *leader, j *job) { j.cancelled = true }, want: balance.BeingStopped},
-		"not seen running":                  {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].phase = attemptSeen }, want: balance.NotRunning},
-		"started recently":                  {spec: service, change: func(l *leader, j *job) { j.attempts[0].since = l.c.now.Add(-59 * time.Second) }, want: balance.RecentlyStarted},
-		"another replica starts":            {spec: service, change: func(_ *leader, j *job) { j.attempts[1].phase = attemptSeen }, want: balance.ReplicaNotUp},
+		"not seen running":                  {spec: saves, change: func(_ *leader, j *job) { j.attempts[0].phase = attemptReported }, want: balance.NotRunning},
+		"started recently":                  {spec: service, change: func(l *leader, j *job) { j.attempts[0].runningSince = l.c.now.Add(-59 * time.Second) }, want: balance.RecentlyStarted},
+		"another replica starts":            {spec: service, change: func(_ *leader, j *job) { j.attempts[1].phase = attemptReported }, want: balance.ReplicaNotUp},
 		"another replica stops":             {spec: service, change: func(_ *leader, j *job) { j.attempts[1].stopping = true }, want: balance.ReplicaNotUp},
 		"another replica is missing":        {spec: service, change: func(_ *leader, j *job) { delete(j.attempts, 1) }, want: balance.ReplicaNotUp},
 		"has moved":                         {spec: service, change: hasMoved, want: balance.RecentlyMoved},
@@ -203,7 +203,7 @@
 		t.Fatalf("%+v, team uses %v", e, l.teamUse()["red"])
 	}
 	free := func(id string) float64 {
-		for _, m := range l.view(true) {
+		for _, m := range l.schedulerView(true) {
 			if m.ID == id {
 				return m.Free.CPUs
 			}
@@ -217,22 +217,22 @@
 		t.Error("a task with an active attempt is demanded again")
 	}
 	var tasks []wire.Task
-	for _, a := range from.list {
+	for _, a := range from.attemptsInOrder {
 		state, why := wire.TaskRunning, ""
 		if a.job == j {
 			state, why = wire.TaskExited, wire.WhyStopped
 		}
 		tasks = append(tasks, wire.Task{ID: a.taskID(), Attempt: a.number, State: state, Why: why})
 	}
-	rep := report(from, l.token, tasks...)
+	rep := newReport(from, l.token, tasks...)
 	rep.Addr, rep.Type, rep.Zone = from.addr, from.typ, from.zone
-	l.failures.applyHeartbeat(from, rep)
+	l.failureDetector.applyHeartbeat(from, rep)
 	l.spreading.run()
 	if ds := l.spreading.withoutReserved(l.demands()); len(ds) != 1 || len(ds[0].Tasks) != 0 {
 		t.Errorf("machines would be requested for a task with reserved room: %+v", ds)
 	}
 	c.now = c.now.Add(time.Second)
-	l.place()
+	l.runPlacementRound()
 	if a := j.attempts[0]; a == nil || a.machine.id != e.To || a.phase != attemptPlanned || free(e.To) != 6 {
 		t.Errorf("placed as %+v, %v cores are free there", a, free(e.To))
 	}
@@ -263,13 +263,13 @@
 		t.Error("no moves after the record is written")
 	}
 	next := newSpreading(l)
-	next.restoreMoves([]wire.Item{{Key: movesKey, Value: call.Txn.Then[0].Value, Version: 9}})
+	next.restoreMovesRecord([]wire.Item{{Key: movesKey, Value: call.Txn.Then[0].Value, Version: 9}})
 	until := next.record.restoredStayUntil.Sub(c.now)
 	if stay := l.spreading.settings().Stay; until < stay || until > stay+movesRecordHorizon || next.record.version != 9 || !next.record.until.IsZero() {
 		t.Errorf("a new leader does not move restored tasks for %v: %+v", until, next.record)
 	}
 	ahead := wire.Marshal(movesRecord{c.now.Add(24 * time.Hour).UnixMilli()})
-	next.restoreMoves([]wire.Item{{Key: movesKey, Value: ahead, Version: 9}})
+	next.restoreMovesRecord([]wire.Item{{Key: movesKey, Value: ahead, Version: 9}})
 	if until := next.record.restoredStayUntil.Sub(c.now); until > l.spreading.settings().Stay+movesRecordHorizon {
 		t.Errorf("a clock that was ahead delays moves for %v", until)
 	}
@@ -278,7 +278,7 @@
 // Moves that an earlier leader has begun count as in progress.
 func TestMovesOfAnEarlierLeaderCount(t *testing.T) {
 	_, l, jobs := skewedLeader(t)
-	jobs[0].attempts[0].saving = true
+	jobs[0].attempts[0].savingCheckpoint = true
 	if moves := runUntilPlanned(l); len(moves) > 0 {
 		t.Errorf("moves %+v begin in addition to one of an earlier leader", moves)
 	}
@@ -294,7 +294,7 @@
 	for range 50 {
 		l.autoscaler.arrivals = append(l.autoscaler.arrivals, arrival{"web", 3, c.now.Add(30 * time.Second)})
 	}
-	if before := l.spreading.headroomPlaced(l.view(false), nil); before != 3 {
+	if before := l.spreading.headroomPlaced(l.schedulerView(false), nil); before != 3 {
 		t.Fatalf("room for %d tasks of headroom, want 3", before)
 	}
 	if moves := runUntilPlanned(l); len(moves) > 0 || l.spreading.block != balance.HeadroomShort {
@@ -304,7 +304,7 @@
 
 // Without the operators' settings for it, load spreading does nothing.
 func TestSpreadingOff(t *testing.T) {
-	_, l, _ := leading(t)
+	_, l, _ := newLeadingCore(t)
 	read := false
 	l.readOptional(func(string, func([]wire.Item)) { read = true }, func() {})
 	if l.spreading != nil || read || l.spreading.keepsIdleMachines() || l.spreading.moving() {
@@ -322,16 +322,16 @@
 	}{
 		"as it is":                  {func(*leader, balance.ActiveMove) {}, true},
 		"its team is at its limit":  {func(l *leader, _ balance.ActiveMove) { l.c.quotas["red"] = quotaOf(config.Team{CPUsMax: 6}) }, false},
-		"its job avoids it now":     {func(l *leader, e balance.ActiveMove) { l.jobs[e.Job].avoid[e.To] = true }, false},
-		"the destination is silent": {func(l *leader, e balance.ActiveMove) { l.machines[e.To].reported = l.c.now.Add(-time.Minute) }, false},
+		"its job avoids it now":     {func(l *leader, e balance.ActiveMove) { l.jobs[e.Job].avoidedMachines[e.To] = true }, false},
+		"the destination is silent": {func(l *leader, e balance.ActiveMove) { l.machines[e.To].lastHeartbeat = l.c.now.Add(-time.Minute) }, false},
 	} {
 		_, l, _ := skewedLeader(t)
 		e := runUntilPlanned(l)[0]
-		l.gone(l.jobs[e.Job].attempts[0], reduction.Reset, proofAbsent)
+		l.removeAttempt(l.jobs[e.Job].attempts[0], reduction.Reset, proofAbsent)
 		c.change(l, e)
 		l.spreading.run()
-		l.placeAt = l.c.now
-		l.place()
+		l.placementDueAt = l.c.now
+		l.runPlacementRound()
 		a := l.jobs[e.Job].attempts[0]
 		if placed := a != nil && a.machine.id == e.To; placed != c.placed {
 			t.Errorf("%s: placed in reserved room is %v", name, placed)
@@ -361,9 +361,9 @@
 		addRunningJob(l, wire.Job{ID: "req-000200", Kind: wire.KindService}, "m0000")
 		j := addRunningJob(l, c.spec)
 		j.terms.Borrowed = true
-		l.guaranteesAt = l.c.now
-		l.placeAt = l.c.now
-		l.place()
+		l.guaranteesAssignedAt = l.c.now
+		l.placementDueAt = l.c.now
+		l.runPlacementRound()
 		left := 0
 		for _, e := range l.spreading.tracker.ActiveMoves() {
 			if e.Reserved {
@@ -393,11 +393,11 @@
 		"as it is":                      {spec: service, fits: true},
 		"other moves fill it":           {spec: service, change: func(_ *leader, _ *job, to *balance.Machine) { to.Used.CPUs += 7 }},
 		"a spot machine":                {spec: with(func(s *wire.Job) { s.Spot = true }), change: onSpot},
-		"one that the job avoids":       {spec: service, change: func(l *leader, j *job, _ *balance.Machine) { j.avoid["m0003"] = true }},
+		"one that the job avoids":       {spec: service, change: func(l *leader, j *job, _ *balance.Machine) { j.avoidedMachines["m0003"] = true }},
 		"one without the image":         {spec: service, change: func(l *leader, _ *job, _ *balance.Machine) { delete(l.machines["m0003"].images, "image") }},
 		"an array needs no image":       {spec: with(func(s *wire.Job) { s.Kind = wire.KindArray }), change: func(l *leader, _ *job, _ *balance.Machine) { delete(l.machines["m0003"].images, "image") }, fits: true},
 		"spread, the last of its zone":  {spec: with(func(s *wire.Job) { s.Spread, s.Tasks = true, 2 }), fits: true},
-		"spread, another one there too": {spec: with(func(s *wire.Job) { s.Spread, s.Tasks = true, 2 }), change: func(l *leader, j *job, _ *balance.Machine) { place(l, j, 1, l.machines["m0001"]) }},
+		"spread, another one there too": {spec: with(func(s *wire.Job) { s.Spread, s.Tasks = true, 2 }), change: func(l *leader, j *job, _ *balance.Machine) { placeAttempt(l, j, 1, l.machines["m0001"]) }},
 		"one zone, and it is another":   {spec: with(func(s *wire.Job) { s.OneZone, s.Tasks = true, 2 }), change: otherZone},
 		"restricted to another zone":    {spec: with(func(s *wire.Job) { s.Zone = "b" })},
 		"another type":                  {spec: with(func(s *wire.Job) { s.Types = []string{"big"} })},
@@ -407,7 +407,7 @@
 		l.machines["m0003"].snapshot = nil
 		var to *balance.Machine
 		prepare := func() balance.FleetSnapshot {
-			fleet := l.spreading.fleetState(l.view(false))
+			fleet := l.spreading.fleetState(l.schedulerView(false))
 			to = &fleet.Machines[3]
 			return fleet
 		}
@@ -429,7 +429,7 @@
 func onSpot(l *leader, _ *job, _ *balance.Machine) { l.machines["m0003"].spot = true }
 
 func otherZone(l *leader, j *job, _ *balance.Machine) {
-	place(l, j, 1, l.machines["m0001"])
+	placeAttempt(l, j, 1, l.machines["m0001"])
 	l.machines["m0003"].zone = "b"
 }
 
@@ -439,7 +439,7 @@
 	for _, j := range jobs[:2] {
 		l.stop(j.attempts[0], 0)
 	}
-	for _, m := range l.spreading.fleetState(l.view(false)).Machines {
+	for _, m := range l.spreading.fleetState(l.schedulerView(false)).Machines {
 		if want := map[string]float64{"m0000": 0.5}[m.ID]; m.Share() != want {
 			t.Errorf("%s has a share of %v, want %v", m.ID, m.Share(), want)
 		}
@@ -455,7 +455,7 @@
 		advance(l, 30*time.Minute)
 		l.autoscaler.scaleIn()
 		released := 0
-		for _, m := range l.fleetOrder {
+		for _, m := range l.machinesByName {
 			if m.releasing {
 				released++
 			}
@@ -475,7 +475,7 @@
 	if l.autoscaler.consolidate(); !l.autoscaler.consolidatedAt.IsZero() {
 		t.Error("machines are emptied while a move is under way")
 	}
-	l.gone(l.jobs[e.Job].attempts[0], reduction.Reset, proofAbsent)
+	l.removeAttempt(l.jobs[e.Job].attempts[0], reduction.Reset, proofAbsent)
 	for _, d := range l.autoscaler.backlog() {
 		if d.Job == e.Job && len(d.Tasks) > 0 {
 			t.Errorf("machines are requested for tasks %v of %s", d.Tasks, d.Job)
@@ -489,7 +489,7 @@
 	c, l, jobs := skewedLeader(t)
 	l.spreading.record.until = time.Time{}
 	for _, j := range jobs {
-		j.avoid["m0001"], j.avoid["m0002"], j.avoid["m0003"] = true, true, true
+		j.avoidedMachines["m0001"], j.avoidedMachines["m0002"], j.avoidedMachines["m0003"] = true, true, true
 	}
 	l.spreading.run()
 	for _, o := range c.out {
@@ -499,11 +499,11 @@
 	}
 	// Two jobs failed on this machine and succeeded elsewhere, so the machine is suspected.
 	for _, j := range jobs[:2] {
-		l.machines["m0001"].faults[j.id] = true
-		j.failures.Succeeded()
+		l.machines["m0001"].failedJobs[j.id] = true
+		j.failureClass.Succeeded()
 	}
 	l.machines["m0001"].snapshot = nil
-	for _, m := range l.spreading.fleetState(l.view(false)).Machines {
+	for _, m := range l.spreading.fleetState(l.schedulerView(false)).Machines {
 		if m.ID == "m0001" {
 			t.Error("a faulty machine is in the fleet state")
 		}
@@ -518,7 +518,7 @@
 	for _, m := range []string{"m0001", "m0002", "m0003"} {
 		delete(l.machines[m].images, "image")
 	}
-	jobs[0].attempts[0].since = l.c.now
+	jobs[0].attempts[0].runningSince = l.c.now
 	ask := func() balance.Status {
 		c.out = nil
 		c.spreadStatus(SpreadStatusRequest{Req: 4})
--- a/controller/spreading_tolerance.go
+++ b/controller/spreading_tolerance.go
@@ -24,9 +24,9 @@
 
 // check returns why an attempt's task must not be moved, or what the move costs in seconds of its time.
 func (t *moveTolerances) check(a *attempt) (balance.Reason, float64) {
-	spec, ran := &a.job.spec, t.c.now.Sub(a.since)
+	spec, ran := &a.job.spec, t.c.now.Sub(a.runningSince)
 	switch {
-	case a.stopping || a.saving || a.job.cancelled:
+	case a.stopping || a.savingCheckpoint || a.job.cancelled:
 		return balance.BeingStopped, 0
 	case a.phase < attemptRunning:
 		return balance.NotRunning, 0
@@ -34,7 +34,7 @@
 		return balance.Gang, 0
 	case a.job.origin != nil:
 		return balance.OwnedByOtherCell, 0
-	case a.job.due.last != nil && (len(spec.Needs) > 0 || len(t.c.chains.Successors(a.job.id)) > 0):
+	case a.job.deadline.last != nil && (len(spec.Needs) > 0 || len(t.c.dependencies.Successors(a.job.id)) > 0):
 		return balance.DeadlineChain, 0
 	case t.movedLately(a):
 		return balance.RecentlyMoved, 0
@@ -73,7 +73,7 @@
 	case spec.EstimateS <= 0:
 		return balance.NoEstimate, 0
 	}
-	cost := spec.SaveS + t.slowestFetch(spec) + min(spec.CheckpointS, t.maxRunTime(a).Seconds())
+	cost := spec.SaveS + t.slowestFetchS(spec) + min(spec.CheckpointS, t.maxRunTime(a).Seconds())
 	left := spec.EstimateS - t.maxRunTime(a).Seconds()
 	switch {
 	case cost > left*t.settings().CostShare:
@@ -90,14 +90,14 @@
 	if a.restored || a.job.disrupted {
 		return t.c.now.Sub(a.job.ready)
 	}
-	return t.c.now.Sub(a.since)
+	return t.c.now.Sub(a.runningSince)
 }
 
 // wouldBeLate reports whether a task that loses the given seconds may miss its deadline or an objective on its job's
 // finishing.
 func (t *moveTolerances) wouldBeLate(a *attempt, cost float64) bool {
-	left := t.remaining(a) + cost
-	if due := a.job.due; due.last != nil && t.c.now.Add(config.Seconds(left)).After(due.at()) {
+	left := t.remainingS(a) + cost
+	if due := a.job.deadline; due.last != nil && t.c.now.Add(config.Seconds(left)).After(due.at()) {
 		return true
 	}
 	return slices.ContainsFunc(t.c.cfg.Facts.Objectives, func(o config.Objective) bool {
--- a/controller/term.go
+++ b/controller/term.go
@@ -43,5 +43,5 @@
 // mayRaiseToken reports whether the token may be raised now. Raises are rate limited because each
 // one is a write and is reported back by every worker.
 func (t *term) mayRaiseToken(now time.Time) bool {
-	return !t.raisingToken && now.Sub(t.tokenRaisedAt) >= raisePause
+	return !t.raisingToken && now.Sub(t.tokenRaisedAt) >= tokenRaiseInterval
 }
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -19,7 +19,7 @@
 	if leadership.authority != until || leadership.renewed != now {
 		t.Errorf("a late reply moved the end of authority from %v to %v", until, leadership.authority)
 	}
-	if leadership.mayRaiseToken(now.Add(raisePause-time.Millisecond)) || !leadership.mayRaiseToken(now.Add(raisePause)) {
+	if leadership.mayRaiseToken(now.Add(tokenRaiseInterval-time.Millisecond)) || !leadership.mayRaiseToken(now.Add(tokenRaiseInterval)) {
 		t.Error("the minimum time between two token raises is not observed")
 	}
 	leadership.raisingToken = true
@@ -33,8 +33,8 @@
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	var p listeningPeriod
 	p.observe(start)
-	p.observe(start.Add(listenGap))
-	if got := p.elapsed(start.Add(listenGap), start.Add(-time.Hour)); got != listenGap {
+	p.observe(start.Add(maxListenGap))
+	if got := p.elapsed(start.Add(maxListenGap), start.Add(-time.Hour)); got != maxListenGap {
 		t.Errorf("listened for %v, want listenGap", got)
 	}
 	resumed := start.Add(10 * time.Second)
--- a/controller/user_requests.go
+++ b/controller/user_requests.go
@@ -10,15 +10,15 @@
 // User requests. Any controller answers them, from a state service read made after the request
 // arrived.
 
-// user handles a user request.
-func (c *Core) user(r UserRequest) {
+// handleUserRequest handles a user request.
+func (c *Core) handleUserRequest(r UserRequest) {
 	switch r.Op {
 	case UserReady:
 		c.answerReady(r)
 	case UserSubmit:
 		c.submit(r)
 	case UserPoll:
-		c.lookup(r.Job, func(k known) { c.answerJobState(r, k, http.StatusNotFound) })
+		c.lookup(r.Job, func(k lookupResult) { c.answerJobState(r, k, http.StatusNotFound) })
 	case UserAbort:
 		c.cancelJob(r, 3)
 	}
@@ -38,15 +38,15 @@
 
 // answerJobState answers with the job's state, or with notFoundStatus for a job that was not
 // submitted.
-func (c *Core) answerJobState(r UserRequest, k known, notFoundStatus int) {
+func (c *Core) answerJobState(r UserRequest, k lookupResult, notFoundStatus int) {
 	switch k {
-	case knownNot:
+	case jobUnknown:
 		if notFoundStatus == http.StatusServiceUnavailable {
 			c.retryLater(r.Req, "can't decide yet")
 			return
 		}
 		c.answer(r.Req, notFoundStatus, wire.Error{Error: "no such job"})
-	case knownUnsure:
+	case jobUndetermined:
 		c.retryLater(r.Req, "state service not reached")
 	default:
 		c.answer(r.Req, http.StatusOK, c.jobState(r.Job))
@@ -68,7 +68,7 @@
 	if n.running > 0 {
 		s.State = wire.StateRunning
 	}
-	if c.withdrawn(job) {
+	if c.effectivelyCancelled(job) {
 		s.State = wire.StateCancelled
 	}
 	return s
@@ -79,28 +79,28 @@
 func (c *Core) submit(r UserRequest) {
 	job, id, err := wire.ParseJob(r.Body)
 	r.Job = id
-	if _, over := c.finals.jobs[id]; over || c.control.headers[id] != nil {
-		c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
+	if _, over := c.finals.jobs[id]; over || c.watchCache.headers[id] != nil {
+		c.lookup(id, func(k lookupResult) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
 		return // a repeated submission uses none of the write budget
 	}
 	limits := c.cfg.Facts.State.Tightest()
-	header := headerRecord{Job: job, AcceptedMS: c.now.UnixMilli(), PerChunk: tasksPerRecord(limits.ValueKB)}
-	tooBig := !fits(wire.Marshal(header), headerRoom, limits.ValueKB)
+	header := headerRecord{Job: job, AcceptedMS: c.now.UnixMilli(), TasksPerChunk: tasksPerRecord(limits.ValueKB)}
+	tooBig := !fits(wire.Marshal(header), headerReserve, limits.ValueKB)
 	switch {
 	case err != nil || tooBig:
-		c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusBadRequest) })
+		c.lookup(id, func(k lookupResult) { c.answerJobState(r, k, http.StatusBadRequest) })
 	case len(c.types) == 0:
-		c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
+		c.lookup(id, func(k lookupResult) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
 	case !c.canRun(&job):
-		c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusUnprocessableEntity) })
-	case !c.control.loaded || c.control.unreachable:
+		c.lookup(id, func(k lookupResult) { c.answerJobState(r, k, http.StatusUnprocessableEntity) })
+	case !c.watchCache.loaded || c.watchCache.unreachable:
 		c.retryLater(r.Req, "state service not reached")
 	case len(job.Needs) == 0:
 		c.createJobRecord(r, header, nil)
-	case !c.allRun(firstVersionWithChains):
+	case !c.allMembersRun(firstVersionWithDependencies):
 		c.retryLater(r.Req, "an earlier version may still run")
 	default:
-		c.needs(r, &job, func(cancelled bool, conds []wire.Cond) {
+		c.checkNeededJobs(r, &job, func(cancelled bool, conds []wire.Cond) {
 			header.Cancelled = cancelled
 			c.createJobRecord(r, header, conds)
 		})
@@ -120,17 +120,17 @@
 		If:   append([]wire.Cond{{Key: headerKey(id)}, {Key: finalKey(id)}}, conds...),
 		Then: []wire.Change{{Put: headerKey(id), Value: raw}},
 	}
-	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(reply StateReply) {
+	c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(reply StateReply) {
 		switch reply.Status {
 		case http.StatusOK:
-			c.written(wire.Event{Put: headerKey(id), Value: raw, Version: reply.Txn.Revision})
+			c.applyOwnChange(wire.Event{Put: headerKey(id), Value: raw, Version: reply.Txn.Revision})
 			state := wire.JobState{ID: id, State: wire.StateQueued}
 			if header.Cancelled {
 				state.State = wire.StateCancelled
 			}
 			c.answer(r.Req, http.StatusCreated, state)
 		case http.StatusConflict: // submitted meanwhile, or a job that it needs has changed
-			c.lookup(id, func(k known) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
+			c.lookup(id, func(k lookupResult) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
 		case http.StatusTooManyRequests:
 			c.rejectSubmission(r, &header.Job)
 		default:
@@ -141,7 +141,7 @@
 
 // canRun reports whether a job could ever run.
 func (c *Core) canRun(j *wire.Job) bool {
-	need := jobEach(j)
+	need := taskResources(j)
 	if j.Kind != wire.KindArray {
 		need = scheduler.Resources{}.Add(need, float64(j.Tasks))
 	}
@@ -151,7 +151,7 @@
 	d := c.demandOf(j)
 	for _, t := range c.types {
 		for _, zone := range t.Zones {
-			if d.Allows(t.Name, zone, false) && capOf(t).Fits(d.TaskResources) > 0 {
+			if d.Allows(t.Name, zone, false) && machineCapacity(t).Fits(d.TaskResources) > 0 {
 				return true
 			}
 		}
@@ -162,9 +162,9 @@
 // cancelJob cancels a job with a compare-and-swap on its record, so that the record's version
 // decides a race with the job's completion.
 func (c *Core) cancelJob(r UserRequest, attemptsLeft int) {
-	c.lookup(r.Job, func(k known) {
-		header := c.control.headers[r.Job]
-		if k != knownActive || c.withdrawn(r.Job) {
+	c.lookup(r.Job, func(k lookupResult) {
+		header := c.watchCache.headers[r.Job]
+		if k != jobUnfinished || c.effectivelyCancelled(r.Job) {
 			c.answerJobState(r, k, http.StatusNotFound)
 			return
 		}
@@ -193,10 +193,10 @@
 // version that this controller knows, and calls fn with the status of the reply.
 func (c *Core) updateHeader(id string, raw []byte, fn func(status int)) {
 	key := headerKey(id)
-	txn := wire.Txn{If: []wire.Cond{{Key: key, Version: c.control.versions[key]}}, Then: []wire.Change{{Put: key, Value: raw}}}
-	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(reply StateReply) {
+	txn := wire.Txn{If: []wire.Cond{{Key: key, Version: c.watchCache.versions[key]}}, Then: []wire.Change{{Put: key, Value: raw}}}
+	c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(reply StateReply) {
 		if reply.Status == http.StatusOK {
-			c.written(wire.Event{Put: key, Value: raw, Version: reply.Txn.Revision})
+			c.applyOwnChange(wire.Event{Put: key, Value: raw, Version: reply.Txn.Revision})
 		}
 		fn(reply.Status)
 	})
--- a/controller/user_requests_test.go
+++ b/controller/user_requests_test.go
@@ -13,21 +13,21 @@
 // When lookups exceed the read rate, no lookup may be refused forever: reads are made first come,
 // first served, also for users who have stopped waiting.
 func TestFinalRecordReadsAreFirstComeFirstServed(t *testing.T) {
-	c, _, _ := leading(t)
-	c.lead, c.control.loaded = nil, true
+	c, _, _ := newLeadingCore(t)
+	c.lead, c.watchCache.loaded = nil, true
 	c.reads = rate.NewLimiter(1, 1)
 	c.reads.AllowN(c.now, 1)
-	results := []known{}
-	c.lookupFinal("req-000001", func(k known) { results = append(results, k) })
+	results := []lookupResult{}
+	c.lookupFinal("req-000001", func(k lookupResult) { results = append(results, k) })
 	c.now = c.now.Add(finalReadTimeout + time.Millisecond)
 	c.runTimers()
-	if len(results) != 1 || results[0] != knownUnsure {
+	if len(results) != 1 || results[0] != jobUndetermined {
 		t.Fatalf("results of the lookup that timed out: %v, want only knownUnsure", results)
 	}
 	read := c.out[len(c.out)-1].(StateCall)
 	resume(c.stateCalls, read.ID, StateReply{Status: 200, Item: wire.Item{Value: wire.Marshal(finalRecord{Tasks: 1})}})
-	c.lookup("req-000001", func(k known) { results = append(results, k) })
-	if results[len(results)-1] != knownFinal {
+	c.lookup("req-000001", func(k lookupResult) { results = append(results, k) })
+	if results[len(results)-1] != jobFinal {
 		t.Fatal("the result of the read made after its user had timed out is not used for later lookups")
 	}
 }
@@ -35,8 +35,8 @@
 // While the state service is unreachable, requests are refused without waiting. The first successful
 // read ends this.
 func TestUnreachableStateServiceRefusesAtOnce(t *testing.T) {
-	c, _, _ := leading(t)
-	c.lead, c.control.loaded = nil, true
+	c, _, _ := newLeadingCore(t)
+	c.lead, c.watchCache.loaded = nil, true
 	c.sync(func(bool) {})
 	first := c.out[len(c.out)-1].(StateCall)
 	resume(c.stateCalls, first.ID, StateReply{})
@@ -49,7 +49,7 @@
 	c.runTimers()
 	again := c.out[len(c.out)-1].(StateCall)
 	resume(c.stateCalls, again.ID, StateReply{Status: 200})
-	if c.control.unreachable {
+	if c.watchCache.unreachable {
 		t.Fatal("requests are still refused after a successful read")
 	}
 }
@@ -59,7 +59,7 @@
 func TestProcessesStartFromDifferentIDs(t *testing.T) {
 	ids := map[uint64]bool{}
 	for seed := range uint64(20) {
-		c, _, _ := leading(t)
+		c, _, _ := newLeadingCore(t)
 		c = New(c.cfg, c.op, rand.New(rand.NewPCG(seed, 1)), c.now)
 		ids[c.id()] = true
 	}
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -19,10 +19,10 @@
 
 // Versions of the records and messages, named after the feature that each introduced.
 const (
-	firstVersionWithChains   = 2
-	firstVersionWithOutcomes = 3 // looks up how needed jobs ended before it answers about a job
-	thisVersion              = firstVersionWithOutcomes
-	firstVersionWithCells    = 4 // supports grants of jobs to other cells; recorded only if that is enabled
+	firstVersionWithDependencies = 2
+	firstVersionWithOutcomes     = 3 // looks up how needed jobs ended before it answers about a job
+	thisVersion                  = firstVersionWithOutcomes
+	firstVersionWithCells        = 4 // supports grants of jobs to other cells; recorded only if that is enabled
 )
 
 // version returns the version that this process records for its member.
@@ -35,27 +35,27 @@
 
 // recordVersion records this process's version unless it or a later one is already recorded.
 func (c *Core) recordVersion() {
-	if !c.control.loaded || c.recordingVersion || c.control.memberVersions[c.cfg.Member] >= c.version() {
+	if !c.watchCache.loaded || c.recordingVersion || c.watchCache.memberVersions[c.cfg.Member] >= c.version() {
 		return
 	}
 	c.recordingVersion = true
 	key := versionPrefix + c.cfg.Member
 	set := put(key, versionRecord{c.version()})
-	txn := wire.Txn{If: []wire.Cond{{Key: key, Version: c.control.versions[key]}}, Then: []wire.Change{set}}
-	c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(r StateReply) {
+	txn := wire.Txn{If: []wire.Cond{{Key: key, Version: c.watchCache.versions[key]}}, Then: []wire.Change{set}}
+	c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: userCallTimeout}, func(r StateReply) {
 		if r.Status == http.StatusOK {
-			c.written(wire.Event{Put: key, Value: set.Value, Version: r.Txn.Revision})
+			c.applyOwnChange(wire.Event{Put: key, Value: set.Value, Version: r.Txn.Revision})
 		}
 		c.after(time.Second, func() { c.recordingVersion = false })
 	})
 }
 
-// allRun reports whether every member has recorded the version or a later one, so that no process
+// allMembersRun reports whether every member has recorded the version or a later one, so that no process
 // of an earlier version can run any more.
-func (c *Core) allRun(version int) bool {
-	least := c.control.memberVersions[c.cfg.Member]
+func (c *Core) allMembersRun(version int) bool {
+	least := c.watchCache.memberVersions[c.cfg.Member]
 	for _, o := range c.cfg.Others {
-		least = min(least, c.control.memberVersions[o.Member])
+		least = min(least, c.watchCache.memberVersions[o.Member])
 	}
 	return least >= version
 }
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -50,7 +50,7 @@
 // upcoming limits far below those under which the records were written.
 func recoverFixture(t *testing.T, name string) (*Core, *leader, fixture) {
 	t.Helper()
-	c, _, _ := leading(t)
+	c, _, _ := newLeadingCore(t)
 	p := readFixture(t, name)
 	st := &c.cfg.Facts.State
 	kb, ops := 2.0, 5
@@ -66,7 +66,7 @@
 			tasks = append(tasks, wire.Item{Key: key, Value: raw, Version: version})
 		case strings.HasPrefix(key, rentalPrefix):
 			rentals = append(rentals, wire.Item{Key: key, Value: raw, Version: version})
-		case strings.HasPrefix(key, controlPrefix) && key != leaderKey && key != tokenKey:
+		case strings.HasPrefix(key, watchedPrefix) && key != leaderKey && key != tokenKey:
 			c.applyEvent(wire.Event{Put: key, Value: raw, Version: version})
 		}
 	}
@@ -76,10 +76,10 @@
 	return c, c.lead, p
 }
 
-// members sets the recorded version of every member.
-func members(c *Core, version int) {
+// setMemberVersions sets the recorded version of every member.
+func setMemberVersions(c *Core, version int) {
 	for _, m := range c.members() {
-		c.control.memberVersions[m] = version
+		c.watchCache.memberVersions[m] = version
 	}
 }
 
@@ -110,18 +110,18 @@
 	c, l, _ := recoverFixture(t, version1Fixture)
 	j := l.jobs["req-000001"]
 	end := func(task int) {
-		l.gone(j.attempts[task], reduction.Succeeded, proofFromHeartbeat(wire.WhyDone))
+		l.removeAttempt(j.attempts[task], reduction.Succeeded, proofFromHeartbeat(wire.WhyDone))
 		j.urgent = true
 	}
 	end(150)
-	members(c, thisVersion)
-	c.control.memberVersions["n2"] = 0 // not upgraded yet
+	setMemberVersions(c, thisVersion)
+	c.watchCache.memberVersions["n2"] = 0 // not upgraded yet
 	w := l.writes.compose(j)
 	if j.divided || len(w.txn.Then) != 1 || w.txn.Then[0].Put != chunkKey(j.id, 0) {
 		t.Fatalf("divided %v, writes %+v", j.divided, w.txn.Then)
 	}
 	j.markUnwritten(w)
-	members(c, thisVersion)
+	setMemberVersions(c, thisVersion)
 	var changes []wire.Change
 	for w = l.writes.compose(j); w != nil; w = l.writes.compose(j) {
 		if len(w.txn.Then) > 5 {
@@ -179,8 +179,8 @@
 	if first == nil || first.state.Count(reduction.Completed) != 2 || len(first.attempts) != 1 || l.blocked(first) {
 		t.Fatalf("first job of the chain: %+v", first)
 	}
-	if first.terms.Rank != 1 || first.due.last == nil || first.due.last.ID != "req-000012" {
-		t.Errorf("first job has rank %d and deadline %+v", first.terms.Rank, first.due)
+	if first.terms.Rank != 1 || first.deadline.last == nil || first.deadline.last.ID != "req-000012" {
+		t.Errorf("first job has rank %d and deadline %+v", first.terms.Rank, first.deadline)
 	}
 	for _, id := range []string{"req-000011", "req-000012", "req-000015"} {
 		if j := l.jobs[id]; j == nil || !l.blocked(j) || j.cancelled {
@@ -277,13 +277,13 @@
 func TestVersion1ReadsNewRecords(t *testing.T) {
 	job := wire.Job{ID: "req-000009", Class: "batch", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 30, CPUs: 1,
 		Image: "img-0", Needs: []string{"req-000001"}}
-	h := decode[oldHeader](wire.Marshal(headerRecord{Job: job, AcceptedMS: 5, PerChunk: 25}))
+	h := decode[oldHeader](wire.Marshal(headerRecord{Job: job, AcceptedMS: 5, TasksPerChunk: 25}))
 	if h == nil || h.Job != (oldJob{"req-000009", "batch", "red", 30}) || h.PerChunk != 25 || h.AcceptedMS != 5 || h.Cancelled {
 		t.Errorf("header: %+v", h)
 	}
 	big := job
 	big.Types = strings.Split(strings.Repeat("some-machine-type ", 200), " ")
-	raw := cancelledHeader(headerRecord{Job: big, PerChunk: 204}, 2)
+	raw := cancelledHeader(headerRecord{Job: big, TasksPerChunk: 204}, 2)
 	if h := decode[oldHeader](raw); h == nil || !h.Cancelled || h.Job.Tasks != 30 || h.Job.Team != "red" || wire.Size(raw) > 2048 {
 		t.Errorf("cancelled header of %d bytes: %+v", len(raw), h)
 	}
--- a/controller/write_budget.go
+++ b/controller/write_budget.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// left returns how many background changes can be made now.
-func (b *writeBudget) left(now time.Time) int {
+// available returns how many background changes can be made now.
+func (b *writeBudget) available(now time.Time) int {
 	return int(min(b.all.TokensAt(now), b.background.TokensAt(now)))
 }
 
--- a/controller/write_budget_test.go
+++ b/controller/write_budget_test.go
@@ -15,15 +15,15 @@
 		t.Error("more than a burst is allowed")
 	}
 	b.spend(now, 6, false)
-	if b.left(now) != 4 || b.allows(now, 5, true) || !b.allows(now, 4, false) {
-		t.Errorf("%d left after 6 of 10 changes", b.left(now))
+	if b.available(now) != 4 || b.allows(now, 5, true) || !b.allows(now, 4, false) {
+		t.Errorf("%d left after 6 of 10 changes", b.available(now))
 	}
 	b.spend(now, 4, false)
 	now = now.Add(250 * time.Millisecond) // adds 4.25 changes, of which 2 may be background
 	if !b.allows(now, 4, true) || b.allows(now, 5, true) {
 		t.Error("urgent changes after a quarter of a second: want 4")
 	}
-	if n := b.left(now); n != 2 || !b.allows(now, 2, false) || b.allows(now, 3, false) {
+	if n := b.available(now); n != 2 || !b.allows(now, 2, false) || b.allows(now, 3, false) {
 		t.Errorf("%d background changes after a quarter of a second, want 2", n)
 	}
 	if b.pausedUntil = now.Add(time.Millisecond); !b.paused(now) || b.paused(now.Add(time.Millisecond)) {
--- a/controller/write_queue.go
+++ b/controller/write_queue.go
@@ -70,7 +70,7 @@
 // are dirty.
 func (q *writeQueue) dueWrites() []*job {
 	var due []*job
-	for _, j := range q.order {
+	for _, j := range q.jobsByAcceptance {
 		ready := j.urgent || q.c.now.Sub(j.dirtyAt) >= progressWriteDelay
 		if j.dirty && ready && j.write == nil && !q.c.now.Before(j.holdUntil) {
 			due = append(due, j)
@@ -118,14 +118,14 @@
 // compose returns the write that is due for a job and marks its chunks as clean, or returns nil if
 // none is due.
 func (q *writeQueue) compose(j *job) *write {
-	if !j.divided && j.tasksPerRecord > q.tasksPerRecord() && (q.c.allRun(firstVersionWithChains) || q.c.valueLimitLowered) {
+	if !j.divided && j.tasksPerRecord > q.tasksPerRecord() && (q.c.allMembersRun(firstVersionWithDependencies) || q.c.valueLimitLowered) {
 		q.divide(j)
 	}
 	w := &write{id: q.c.rng.Uint64() >> 1} // random, so that no other leader's write has the same ID
-	w.txn.If = []wire.Cond{q.leadershipCondition(), {Key: headerKey(j.id), Version: q.c.control.versions[headerKey(j.id)]}}
+	w.txn.If = []wire.Cond{q.leadershipCondition(), {Key: headerKey(j.id), Version: q.c.watchCache.versions[headerKey(j.id)]}}
 	verdict, _ := reduction.Classify(j.graph, j.state)
 	switch {
-	case verdict == reduction.Settled && len(j.attempts) == 0 && (!j.cancelled || len(q.c.chains.Successors(j.id)) == 0):
+	case verdict == reduction.Settled && len(j.attempts) == 0 && (!j.cancelled || len(q.c.dependencies.Successors(j.id)) == 0):
 		q.composeFinal(j, w)
 		return w
 	case j.cancelled:
@@ -157,7 +157,7 @@
 // composeFinal composes the transaction that replaces a job's header by its final record.
 func (q *writeQueue) composeFinal(j *job, w *write) {
 	if j.origin != nil {
-		q.composeEnd(j, w)
+		q.composeFence(j, w)
 		return
 	}
 	w.final = &finalRecord{Cancelled: j.cancelled, Tasks: j.spec.Tasks, EndedMS: q.c.now.UnixMilli()}
@@ -190,7 +190,7 @@
 // copies with the same conditions, at most one is applied.
 func (q *writeQueue) send(j *job) {
 	c, w := q.c, j.write
-	c.state(StateCall{Op: OpTxn, Txn: w.txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	c.callStateService(StateCall{Op: OpTxn, Txn: w.txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if c.lead != q.leader || j.write != w {
 			return
 		}
@@ -230,8 +230,8 @@
 	j.write = nil
 	if w.final != nil {
 		q.removeJob(j, *w.final)
-		if j.origin != nil && q.cells != nil {
-			q.cells.rereadFence(fenceKey(j.origin.Home, j.id))
+		if j.origin != nil && q.spillover != nil {
+			q.spillover.rereadFence(fenceKey(j.origin.Home, j.id))
 		}
 		return
 	}
@@ -244,7 +244,7 @@
 	}
 	if clean {
 		j.dirty = false
-		q.settle(j)
+		q.finalizeIfSettled(j)
 	} else {
 		j.dirtyAt = q.c.now
 	}
@@ -253,10 +253,10 @@
 		switch {
 		case j.attempts[a.task] != a:
 		case j.cancelled || a.stopping:
-			q.gone(a, reduction.Reset, proofNeverSent)
+			q.removeAttempt(a, reduction.Reset, proofNeverSent)
 		default:
-			a.machine.outbox = append(a.machine.outbox, a)
-			q.hasToSend(a.machine)
+			a.machine.pendingRuns = append(a.machine.pendingRuns, a)
+			q.enqueueForSending(a.machine)
 		}
 	}
 }
@@ -278,9 +278,9 @@
 	q.c.after(retryPause/2, func() {})
 	if j.cancelled {
 		q.cancel(j)
-		q.settle(j)
+		q.finalizeIfSettled(j)
 	} else if j.grant != nil {
-		q.granted(j, j.grant)
+		q.applyGrant(j, j.grant)
 	}
 }
 
@@ -318,7 +318,7 @@
 // discards it otherwise.
 func (q *writeQueue) resolve(j *job, items []wire.Item) {
 	w := j.write
-	if w.final != nil && q.c.control.headers[j.id] == nil {
+	if w.final != nil && q.c.watchCache.headers[j.id] == nil {
 		q.confirm(j, 0)
 		return
 	}
@@ -340,7 +340,7 @@
 func (q *writeQueue) deleteObsolete() {
 	// No more than the budget has left: a transaction larger than its burst would never be allowed,
 	// and no record would ever be deleted.
-	n := min(len(q.obsoleteKeys), q.c.cfg.Facts.State.Tightest().TxnOps, q.budget.left(q.c.now))
+	n := min(len(q.obsoleteKeys), q.c.cfg.Facts.State.Tightest().TxnOps, q.budget.available(q.c.now))
 	if n <= 0 {
 		return
 	}
@@ -351,7 +351,7 @@
 	for _, key := range batch {
 		txn.Then = append(txn.Then, wire.Change{Delete: key})
 	}
-	q.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	q.c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if q.c.lead == q.leader && r.Status != http.StatusOK && r.Status != http.StatusConflict {
 			q.obsoleteKeys = append(q.obsoleteKeys, batch...)
 		}
--- a/controller/write_queue_test.go
+++ b/controller/write_queue_test.go
@@ -12,10 +12,10 @@
 
 // A write that the budget doesn't allow must stay due. If it were lost, its tasks would never start.
 func TestRefusedWriteStaysDirty(t *testing.T) {
-	c, l, j := leading(t)
+	c, l, j := newLeadingCore(t)
 	m := l.machine("i-1")
-	place(l, j, 0, m).phase = attemptPlanned
-	j.touch(0, c.now)
+	placeAttempt(l, j, 0, m).phase = attemptPlanned
+	j.markTaskDirty(0, c.now)
 	j.urgent = true // like a write after a placement
 	l.budget.all = rate.NewLimiter(1, 1)
 	l.budget.spend(c.now, 1, true)
@@ -35,7 +35,7 @@
 // nonetheless: otherwise every new leader reads them, and takes long finished rentals for machines
 // that are booting.
 func TestDeletionFitsTheBudget(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	c.cfg.Facts.State.TxnOps = 32
 	for i := range 100 {
 		l.obsoleteKeys = append(l.obsoleteKeys, fmt.Sprintf("h/r-1-%d", i))
@@ -52,9 +52,9 @@
 // After a full reload of the watched records, the first version of a job that the leader gets may
 // already be cancelled. Its final record must still be written.
 func TestJobFirstSeenCancelledGetsFinalRecord(t *testing.T) {
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	spec := wire.Job{ID: "req-000002", Kind: wire.KindArray, Priority: "standard", Tasks: 1, CPUs: 1}
-	c.headerChanged(spec.ID, &headerRecord{Job: spec, Cancelled: true, PerChunk: 10})
+	c.headerChanged(spec.ID, &headerRecord{Job: spec, Cancelled: true, TasksPerChunk: 10})
 	j := l.jobs[spec.ID]
 	if w := l.writes.compose(j); !j.dirty || w == nil || w.final == nil || !w.final.Cancelled {
 		t.Fatalf("dirty %v, write %+v: want a write of the cancelled final record", j.dirty, w)
--- a/controller/zone_displacement.go
+++ b/controller/zone_displacement.go
@@ -103,9 +103,9 @@
 // next leader continues their recovery.
 type RecoveriesHandedOver struct{ At time.Time }
 
-// handOver emits RecoveriesHandedOver if any recovery is unfinished when this controller stops
+// handOverRecoveries emits RecoveriesHandedOver if any recovery is unfinished when this controller stops
 // leading.
-func (z *zoneRecovery) handOver() {
+func (z *zoneRecovery) handOverRecoveries() {
 	if z != nil && len(z.unfinishedRecoveries) > 0 {
 		z.c.emit(RecoveriesHandedOver{At: z.c.now})
 	}
--- a/controller/zone_records.go
+++ b/controller/zone_records.go
@@ -33,7 +33,7 @@
 const maxRecordDelay = 5 * time.Second
 
 // restoreZones restores the zone states from the records of earlier leaders. Records that are not
-// restored, such as stale ones, are removed or replaced later by keepRecords.
+// restored, such as stale ones, are removed or replaced later by saveRecords.
 func (z *zoneRecovery) restoreZones(items []wire.Item) {
 	for _, it := range items {
 		name := strings.TrimPrefix(it.Key, zonePrefix)
@@ -47,9 +47,9 @@
 	}
 }
 
-// keepRecords writes the zone records that have changed, with at most one write in flight for each
+// saveRecords writes the zone records that have changed, with at most one write in flight for each
 // zone. It is the last to use the write budget of a step.
-func (z *zoneRecovery) keepRecords() {
+func (z *zoneRecovery) saveRecords() {
 	if z == nil || z.c.now.Sub(z.recordsCheckedAt) < zoneCheckInterval || !z.c.now.Before(z.authority) || z.budget.paused(z.c.now) {
 		return
 	}
@@ -99,7 +99,7 @@
 		change = put(key, *record)
 	}
 	txn := wire.Txn{If: []wire.Cond{z.leadershipCondition(), {Key: key, Version: stored.version}}, Then: []wire.Change{change}}
-	z.c.state(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
+	z.c.callStateService(StateCall{Op: OpTxn, Txn: txn, Timeout: leadCallTimeout}, func(r StateReply) {
 		if z.c.lead != z.leader {
 			return
 		}
@@ -120,7 +120,7 @@
 
 // rereadRecord reads a zone record again after an unconfirmed write.
 func (z *zoneRecovery) rereadRecord(name string) {
-	z.findOut(zonePrefix+name, func(it *wire.Item) {
+	z.getWithRetry(zonePrefix+name, func(it *wire.Item) {
 		stored := storedZoneRecord{}
 		if it != nil {
 			stored.version = it.Version
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -28,7 +28,7 @@
 	*leader
 	tracker              *zones.Tracker
 	records              zoneRecords
-	recordsCheckedAt     time.Time // see keepRecords
+	recordsCheckedAt     time.Time // see saveRecords
 	zonesCheckedAt       time.Time
 	lastHealth           []zones.Health
 	waitingSince         map[*job]time.Time // for jobs with tasks to place while zones recover
@@ -80,13 +80,13 @@
 // new leader.
 func (z *zoneRecovery) observerTrusted() bool {
 	now := z.c.now
-	return now.Before(z.authority) && now.Sub(z.failures.listening.began) > z.failures.heartbeatDue(time.Second) && now.Sub(z.elected) > z.findsLeaderWithin()
+	return now.Before(z.authority) && now.Sub(z.failureDetector.listening.startedAt) > z.failureDetector.heartbeatDue(time.Second) && now.Sub(z.elected) > z.reconnectTimeout()
 }
 
-// findsLeaderWithin returns the time within which workers in healthy zones send a heartbeat to a new
+// reconnectTimeout returns the time within which workers in healthy zones send a heartbeat to a new
 // leader.
-func (l *leader) findsLeaderWithin() time.Duration {
-	return l.failures.heartbeatDue(time.Second) + config.Seconds(l.c.cfg.Facts.Workers.ReportS)
+func (l *leader) reconnectTimeout() time.Duration {
+	return l.failureDetector.heartbeatDue(time.Second) + config.Seconds(l.c.cfg.Facts.Workers.ReportS)
 }
 
 // health counts the responsive and the silent machines of every zone. A zone whose heartbeats arrive
@@ -94,7 +94,7 @@
 func (z *zoneRecovery) health() []zones.Health {
 	index := map[string]int{}
 	var all []zones.Health
-	for _, m := range z.fleetOrder {
+	for _, m := range z.machinesByName {
 		silent, known := z.machineSilence(m)
 		if !known || m.zone == "" || m.releasing && silent {
 			continue
@@ -129,8 +129,8 @@
 	return all
 }
 
-// noteReleased records a machine that is released because it was silent.
-func (z *zoneRecovery) noteReleased(m *machine, why releaseReason) {
+// recordSilentRelease records a machine that is released because it was silent.
+func (z *zoneRecovery) recordSilentRelease(m *machine, why releaseReason) {
 	if z != nil && (why == releaseSilent || why == releaseSilentSinceElection) {
 		z.silentReleases = append(z.silentReleases, silentRelease{m.zone, z.c.now})
 	}
@@ -143,8 +143,8 @@
 func (z *zoneRecovery) machineSilence(m *machine) (silent, known bool) {
 	switch {
 	case m.up:
-		return z.failures.unresponsive(m), true
-	case len(m.attempts) > 0 && z.failures.listeningTimeSince(m.since) > z.findsLeaderWithin():
+		return z.failureDetector.unresponsive(m), true
+	case len(m.attempts) > 0 && z.failureDetector.listeningTimeSince(m.knownSince) > z.reconnectTimeout():
 		return true, true // it has attempts that an earlier leader placed there
 	}
 	return false, false
@@ -157,11 +157,11 @@
 	}
 	z.c.log(slog.LevelInfo, "zone "+t.To.String(), "zone", t.Zone, "was", t.From)
 	z.c.emit(ZoneChanged{Zone: t.Zone, From: t.From, To: t.To, At: z.c.now})
-	z.wantPlacement()
+	z.schedulePlacement()
 }
 
 // limitStarts sets the restart order of a round's demands and limits their starts by zone. Demands
-// that have waited for maxThrottleTime are not limited. It returns the limits for noteHeldBack.
+// that have waited for maxThrottleTime are not limited. It returns the limits for recordThrottledStarts.
 func (z *zoneRecovery) limitStarts(demands []*scheduler.Demand) map[string]*scheduler.StartLimit {
 	if !z.recovering() {
 		if z != nil {
@@ -181,10 +181,10 @@
 	return limits
 }
 
-// closeZones keeps the planning of rentals from counting on zones that now accept only tasks that can
+// excludeClosedZones keeps the planning of rentals from counting on zones that now accept only tasks that can
 // run nowhere else, and orders the demands like restarts. Machines in a returning zone count, as they
 // are to be used soon.
-func (z *zoneRecovery) closeZones(demands []*scheduler.Demand) {
+func (z *zoneRecovery) excludeClosedZones(demands []*scheduler.Demand) {
 	if !z.recovering() {
 		return
 	}
@@ -227,16 +227,16 @@
 // unlimitedFetches allows any number of image fetches.
 func unlimitedFetches(string) int { return int(^uint(0) >> 1) }
 
-// rentable returns how many of the wanted machines may be rented in a zone. In a returning zone no
+// limitRentals returns how many of the wanted machines may be rented in a zone. In a returning zone no
 // more machines may boot at once than starts may be in progress, because successful starts have yet
 // to show that the zone is healthy.
-func (z *zoneRecovery) rentable(name string, want int) int {
+func (z *zoneRecovery) limitRentals(name string, want int) int {
 	if z == nil || z.tracker.State(name) != zones.Returning {
 		return want
 	}
 	booting := 0
-	for _, m := range z.fleetOrder {
-		if m.zone == name && !m.up && !m.rented.IsZero() {
+	for _, m := range z.machinesByName {
+		if m.zone == name && !m.up && !m.rentedAt.IsZero() {
 			booting++
 		}
 	}
@@ -270,16 +270,16 @@
 // countStartsInProgress counts the starts in progress in a zone.
 func (z *zoneRecovery) countStartsInProgress(name string) startsInProgress {
 	s := startsInProgress{fetches: map[string]int{}}
-	for _, m := range z.fleetOrder {
+	for _, m := range z.machinesByName {
 		if m.zone != name {
 			continue
 		}
-		for _, a := range m.list {
+		for _, a := range m.attemptsInOrder {
 			if !a.starting() {
 				continue
 			}
 			s.starts++
-			if a.fetches {
+			if a.needsFetch {
 				s.fetches[a.job.spec.Image]++
 			}
 		}
@@ -287,8 +287,8 @@
 	return s
 }
 
-// noteHeldBack notifies the tracker, after a round, of the zones in which starts were throttled.
-func (z *zoneRecovery) noteHeldBack(limits map[string]*scheduler.StartLimit) {
+// recordThrottledStarts notifies the tracker, after a round, of the zones in which starts were throttled.
+func (z *zoneRecovery) recordThrottledStarts(limits map[string]*scheduler.StartLimit) {
 	for name, limit := range limits {
 		if limit.Throttled {
 			z.tracker.RecordThrottledStart(z.c.now, name)
@@ -296,8 +296,8 @@
 	}
 }
 
-// limitedZone reports whether the starts of a zone are limited. No task is preempted there then.
-func (z *zoneRecovery) limitedZone(name string) bool {
+// startsLimited reports whether the starts of a zone are limited. No task is preempted there then.
+func (z *zoneRecovery) startsLimited(name string) bool {
 	return z != nil && z.tracker.Admission(name).Limited
 }
 
@@ -362,11 +362,11 @@
 	z.trackRestart(a)
 }
 
-// startOver handles the end of an attempt. An attempt that ends before a heartbeat has reported it
+// recordAttemptEnd handles the end of an attempt. An attempt that ends before a heartbeat has reported it
 // as running counts as a successful start if its task is done, and otherwise as a failed one, unless
 // it was stopped, its job was cancelled or its run command was not sent. Attempts of an earlier
 // leader are not counted. A task lost with its machine is passed to trackDisplaced.
-func (z *zoneRecovery) startOver(a *attempt, o reduction.Outcome, why proof) {
+func (z *zoneRecovery) recordAttemptEnd(a *attempt, o reduction.Outcome, why terminationProof) {
 	if z == nil {
 		return
 	}
@@ -387,5 +387,5 @@
 
 // start describes the attempt's start to the zone tracker.
 func (a *attempt) start() zones.Start {
-	return zones.Start{Zone: a.machine.zone, Image: a.job.spec.Image, Fetches: a.fetches}
+	return zones.Start{Zone: a.machine.zone, Image: a.job.spec.Image, Fetches: a.needsFetch}
 }
--- a/controller/zone_recovery_test.go
+++ b/controller/zone_recovery_test.go
@@ -16,7 +16,7 @@
 // recoveringLeader returns a leader with zone recovery enabled and one zone, a, in state lost.
 func recoveringLeader(t *testing.T) (*Core, *leader) {
 	t.Helper()
-	c, l, _ := leading(t)
+	c, l, _ := newLeadingCore(t)
 	c.op.ZoneRecovery = &config.ZoneRecovery{Settings: zones.DefaultSettings()}
 	l.zones = newZoneRecovery(l)
 	stored := zones.Record{State: zones.Lost.String(), SinceMS: c.now.UnixMilli(), Penalty: 1, Window: 8, WrittenMS: c.now.UnixMilli()}
@@ -42,7 +42,7 @@
 // Versions before zone recovery read and remove keys under these prefixes only. Zone records must not
 // be under any of them.
 func TestZoneRecordsUsePrefixUnreadByEarlierVersions(t *testing.T) {
-	for _, prefix := range []string{controlPrefix, taskPrefix, finalPrefix, rentalPrefix} {
+	for _, prefix := range []string{watchedPrefix, taskPrefix, finalPrefix, rentalPrefix} {
 		if strings.HasPrefix(zonePrefix, prefix) || strings.HasPrefix(prefix, zonePrefix) {
 			t.Errorf("%s is read by earlier versions under %s", zonePrefix, prefix)
 		}
@@ -57,7 +57,7 @@
 	step := func() []StateCall {
 		c.now = c.now.Add(time.Second)
 		l.authority = c.now.Add(time.Second)
-		l.zones.keepRecords()
+		l.zones.saveRecords()
 		return zoneWrites(c)
 	}
 	if calls := step(); len(calls) > 0 {
@@ -84,7 +84,7 @@
 	l.zones.tracker.Observe(c.now, []zones.Health{{Zone: "a", Responsive: 3}, {Zone: "b", Responsive: 3}})
 	c.now = c.now.Add(time.Second)
 	l.authority = c.now.Add(time.Minute)
-	l.zones.keepRecords()
+	l.zones.saveRecords()
 	calls := zoneWrites(c)
 	resume(c.stateCalls, calls[0].ID, StateReply{ID: calls[0].ID})
 	c.now = c.now.Add(time.Second)
@@ -104,8 +104,8 @@
 
 // With zone recovery disabled, a leader reads and writes no zone records.
 func TestZoneRecoveryOff(t *testing.T) {
-	c, l, _ := leading(t)
-	if l.zones != nil || l.zones.recovering() || l.zones.rentable("a", 7) != 7 {
+	c, l, _ := newLeadingCore(t)
+	if l.zones != nil || l.zones.recovering() || l.zones.limitRentals("a", 7) != 7 {
 		t.Fatal("zone recovery is enabled")
 	}
 	c.out = nil
@@ -134,7 +134,7 @@
 		"overdue":              {wire.KindArray, "standard", "a", 60, 101, scheduler.RestartDeadlineBatches},
 		"without an objective": {wire.KindArray, "standard", "b", 60, 0, scheduler.RestartRest},
 	} {
-		j := l.addJob("req-000500", &headerRecord{PerChunk: 10, AcceptedMS: c.now.Add(-config.Seconds(k.age)).UnixMilli(),
+		j := l.addJob("req-000500", &headerRecord{TasksPerChunk: 10, AcceptedMS: c.now.Add(-config.Seconds(k.age)).UnixMilli(),
 			Job: wire.Job{ID: "req-000500", Kind: k.kind, Priority: k.priority, Class: k.class, Tasks: 1, CPUs: 1, EstimateS: k.estimate}})
 		if got := l.zones.restartPhase(j); got != k.want {
 			t.Errorf("%s: phase %d, want %d", name, got, k.want)
@@ -147,7 +147,7 @@
 func TestThrottlingIsBounded(t *testing.T) {
 	c, l := recoveringLeader(t)
 	j := l.jobs["req-000001"]
-	j.begun = true
+	j.hasStarted = true
 	limited := func() bool {
 		demands := l.demands()
 		l.zones.limitStarts(demands)
@@ -175,7 +175,7 @@
 	c, l := recoveringLeader(t)
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
 		m := l.machine(id)
-		m.zone, m.up, m.reported = "b", true, c.now
+		m.zone, m.up, m.lastHeartbeat = "b", true, c.now
 	}
 	l.release(l.machines["i-1"], releaseSilent)
 	l.release(l.machines["i-2"], releaseSilentSinceElection)
@@ -203,7 +203,7 @@
 	for types, want := range map[string]string{"small": "", "rare": "a"} {
 		j.spec.Types = []string{types}
 		d := c.demandOf(&j.spec)
-		l.zones.closeZones([]*scheduler.Demand{d, ahead})
+		l.zones.excludeClosedZones([]*scheduler.Demand{d, ahead})
 		if d.OnlyZone != want || ahead.RestartPhase != scheduler.RestartRest || d.StartLimits["a"] == nil {
 			t.Errorf("job of type %s: %+v, headroom in phase %d", types, d, ahead.RestartPhase)
 		}
@@ -218,17 +218,17 @@
 	for task, id := range []string{"i-1", "i-2"} {
 		m := l.machine(id)
 		m.zone = "b"
-		place(l, j, task, m).restored = true
+		placeAttempt(l, j, task, m).restored = true
 	}
 	listed := l.machine("i-3")
 	listed.zone, listed.typ = "b", "small"
-	l.failures.listening.began = c.now
-	c.now = c.now.Add(l.zones.findsLeaderWithin() + time.Second)
+	l.failureDetector.listening.startedAt = c.now
+	c.now = c.now.Add(l.zones.reconnectTimeout() + time.Second)
 	if counts := l.zones.health(); len(counts) != 1 || counts[0].Silent != 2 || counts[0].Responsive != 0 {
 		t.Errorf("%+v with work on record", counts)
 	}
 	for _, a := range j.sortedAttempts() {
-		l.gone(a, reduction.Reset, proofLeaseExpired)
+		l.removeAttempt(a, reduction.Reset, proofLeaseExpired)
 	}
 	if counts := l.zones.health(); len(counts) != 0 {
 		t.Errorf("%+v after all attempts have ended, want none", counts)
--- a/controller/zone_status.go
+++ b/controller/zone_status.go
@@ -19,7 +19,7 @@
 // zones; other controllers answer with the leader's name.
 func (c *Core) zoneStatus(r ZoneStatusRequest) {
 	s := zones.Status{Member: c.cfg.Member, Leader: c.leaderName()}
-	if l := c.lead; l != nil && l.recovered && l.zones != nil && c.entitled() {
+	if l := c.lead; l != nil && l.recovered && l.zones != nil && c.hasAuthority() {
 		s.Leading, s.Leader = true, c.cfg.Member
 		s.Zones, s.Waiting = l.zones.zoneStatuses(), l.zones.classStatuses()
 	}
@@ -55,7 +55,7 @@
 func (z *zoneRecovery) classStatuses() []zones.ClassStatus {
 	byClass := map[string]*zones.ClassStatus{}
 	used := z.teamUse()
-	machines := z.view(false)
+	machines := z.schedulerView(false)
 	for _, d := range z.demands() {
 		s := byClass[d.Class]
 		if s == nil {
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -187,7 +187,7 @@
 			w.askCell(index+1, r, answer)
 			return
 		}
-		answer(controller.CellReply{OK: true, Messages: body.Messages, Room: body.Room, Challenge: body.Challenge})
+		answer(controller.CellReply{OK: true, Messages: body.Messages, AvailableCores: body.AvailableCores, Challenge: body.Challenge})
 	})
 }
 
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -189,9 +189,9 @@
 	case path == wire.PathLeases:
 		return controller.StateCall{Op: controller.OpGrant, Life: time.Duration(decodeRequestBody[wire.LeaseAsk](r).TTLms) * time.Millisecond}
 	case r.Method == http.MethodDelete:
-		return controller.StateCall{Op: controller.OpEnd, Lease: id}
+		return controller.StateCall{Op: controller.OpRevoke, Lease: id}
 	case strings.HasPrefix(path, wire.PathLeases):
-		return controller.StateCall{Op: controller.OpTouch, Lease: id}
+		return controller.StateCall{Op: controller.OpRenew, Lease: id}
 	case path == wire.PathWatch:
 		return controller.StateCall{Op: controller.OpWatch, Key: query.Get("prefix"), Revision: number("after"), Wait: time.Duration(number("wait_ms")) * time.Millisecond}
 	case path == wire.PathKV:
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -113,7 +113,7 @@
 		s.nextID++
 		s.leases[s.nextID] = &lease{call.Life, s.w.now + call.Life}
 		reply(controller.StateReply{Status: http.StatusOK, Grant: wire.LeaseAnswer{Lease: s.nextID}})
-	case controller.OpTouch:
+	case controller.OpRenew:
 		l := s.leases[call.Lease]
 		if l == nil {
 			reply(controller.StateReply{Status: http.StatusNotFound})
@@ -121,7 +121,7 @@
 		}
 		l.expiresAt = s.w.now + l.duration
 		reply(controller.StateReply{Status: http.StatusOK})
-	case controller.OpEnd:
+	case controller.OpRevoke:
 		s.endLease(call.Lease)
 		reply(controller.StateReply{Status: http.StatusOK})
 	case controller.OpWatch:
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -123,8 +123,8 @@
 }
 
 // chooseVictims returns the tasks to stop on a machine so that one task of d fits, and the loss: the
-// seconds of work lost plus one for each victim. It returns nil if that can't be done. Of the tasks that d may stop, those of the lowest priority come first,
-// then those that lose the least work.
+// seconds of work lost plus one for each victim. It returns nil if that can't be done. Of the tasks that
+// d may stop, those of the lowest priority come first, then those that lose the least work.
 func chooseVictims(m *Machine, d *Demand, free Resources, excess Excess, now time.Time) ([]Victim, float64) {
 	var vs []Victim
 	for _, v := range m.Tasks {
