--- a/celllink/celllink_test.go
+++ b/celllink/celllink_test.go
@@ -42,7 +42,7 @@
 		if err != nil || r.URL.Path != cells.MessagesPath || got.From != "a" || got.Floor != 6 || got.Challenge != 12 || !reflect.DeepEqual(got.Messages, sent) {
 			t.Errorf("received %+v, error %v", got, err)
 		}
-		raw, err := WriteAnswer(controller.CellAnswer{Messages: []controller.CellMessage{status}, AvailableCores: 12, Challenge: 13})
+		raw, err := EncodeAnswer(controller.CellAnswer{Messages: []controller.CellMessage{status}, AvailableCores: 12, Challenge: 13})
 		if err != nil {
 			t.Error(err)
 		}
--- a/celllink/client.go
+++ b/celllink/client.go
@@ -126,8 +126,8 @@
 	return controller.CellRequest{From: from, Floor: cells.Epoch(request.Floor), Messages: messages, Challenge: cells.Challenge(request.Challenge)}, err
 }
 
-// WriteAnswer encodes the answer to another cell.
-func WriteAnswer(a controller.CellAnswer) ([]byte, error) {
+// EncodeAnswer encodes the answer to another cell.
+func EncodeAnswer(a controller.CellAnswer) ([]byte, error) {
 	raw, err := proto.Marshal(&Reply{Messages: encodeMessages(a.Messages), Room: a.AvailableCores, Challenge: uint64(a.Challenge)})
 	if err != nil {
 		return nil, fmt.Errorf("encode answer to a cell: %w", err)
--- a/cellview/cellview.go
+++ b/cellview/cellview.go
@@ -60,7 +60,7 @@
 	query := url.Values{"cell": {cell}, "by": {by}}.Encode()
 	var failures []error
 	for _, address := range addresses {
-		_, err := statusclient.Ask(ctx, http.MethodPost, "http://"+address+cells.GonePath+"?"+query)
+		_, err := statusclient.SendRequest(ctx, http.MethodPost, "http://"+address+cells.GonePath+"?"+query)
 		if err == nil {
 			return nil
 		}
--- a/client/client.go
+++ b/client/client.go
@@ -160,9 +160,9 @@
 		req.result, req.decodeErrorBody = &reply.Txn, true
 	case controller.OpGrant:
 		req.op, req.method, req.target = OpGrantLease, http.MethodPost, req.target+wire.PathLeases
-		req.body, req.result = wire.LeaseAsk{TTLms: sc.Life.Milliseconds()}, &reply.Grant
+		req.body, req.result = wire.LeaseRequest{TTLMS: sc.Life.Milliseconds()}, &reply.Grant
 	case controller.OpRenew:
-		req.op, req.method, req.target = OpRenewLease, http.MethodPost, req.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)+wire.PathTouch
+		req.op, req.method, req.target = OpRenewLease, http.MethodPost, req.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)+wire.PathRenewLease
 	case controller.OpRevoke:
 		req.op, req.method, req.target = OpRevokeLease, http.MethodDelete, req.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)
 	case controller.OpWatch:
@@ -189,16 +189,16 @@
 	req := call{service: Cloud, method: http.MethodGet, target: c.cloudURL, timeout: cc.Timeout}
 	switch cc.Op {
 	case controller.CloudTypes:
-		req.op, req.target, req.result = OpMachineTypes, req.target+wire.PathTypes, &reply.Types
+		req.op, req.target, req.result = OpMachineTypes, req.target+wire.PathMachineTypes, &reply.Types
 	case controller.CloudList:
 		req.op, req.target, req.result = OpListMachines, req.target+wire.PathMachines+"?limit=500", &reply.Page
 		if cc.After != "" {
 			req.target += "&after=" + url.QueryEscape(cc.After)
 		}
 	case controller.CloudRent:
-		req.op, req.method, req.target, req.body, req.result = OpScaleOut, http.MethodPost, req.target+wire.PathMachines, cc.Rent, &reply.Names
+		req.op, req.method, req.target, req.body, req.result = OpScaleOut, http.MethodPost, req.target+wire.PathMachines, cc.Rent, &reply.Rented
 	case controller.CloudRelease:
-		req.op, req.method, req.target, req.body = OpScaleIn, http.MethodPost, req.target+wire.PathRelease, wire.Names{Machines: cc.Names}
+		req.op, req.method, req.target, req.body = OpScaleIn, http.MethodPost, req.target+wire.PathRelease, wire.MachineIDs{Machines: cc.MachineIDs}
 	}
 	return req
 }
--- a/client/errors_test.go
+++ b/client/errors_test.go
@@ -47,7 +47,7 @@
 	}{
 		{"compare-and-swap failed", http.StatusConflict, failed, "", controller.OpTxn, ErrConditionFailed, OpTransaction, wire.PathTxn, http.StatusConflict, 0},
 		{"no such key", http.StatusNotFound, wire.Marshal(wire.Page{Revision: 431}), "", controller.OpGet, ErrNotFound, OpGet, wire.PathKV + "/a/b", http.StatusNotFound, 0},
-		{"lease expired", http.StatusNotFound, nil, "", controller.OpRenew, ErrNotFound, OpRenewLease, wire.PathLeases + "/7" + wire.PathTouch, http.StatusNotFound, 0},
+		{"lease expired", http.StatusNotFound, nil, "", controller.OpRenew, ErrNotFound, OpRenewLease, wire.PathLeases + "/7" + wire.PathRenewLease, http.StatusNotFound, 0},
 		{"watch revision compacted", http.StatusGone, nil, "", controller.OpWatch, ErrCompacted, OpWatch, wire.PathWatch, http.StatusGone, 0},
 		{"rate limited", http.StatusTooManyRequests, nil, "3", controller.OpRange, ErrRateLimited, OpRange, wire.PathKV, http.StatusTooManyRequests, 3 * time.Second},
 		{"outage", http.StatusServiceUnavailable, nil, "", controller.OpGrant, ErrUnavailable, OpGrantLease, wire.PathLeases, http.StatusServiceUnavailable, 0},
@@ -129,7 +129,7 @@
 func TestCloudWithoutCapacity(t *testing.T) {
 	addr := startServer(t, http.StatusServiceUnavailable, wire.Marshal(wire.Error{Error: "no capacity"}), "")
 	c := New("127.0.0.1:1", addr, 4, func() bool { return true })
-	cc := controller.CloudCall{Op: controller.CloudRent, Rent: wire.Rent{Request: "r-1", Count: 2}, Timeout: time.Minute}
+	cc := controller.CloudCall{Op: controller.CloudRent, Rent: wire.RentRequest{Request: "r-1", Count: 2}, Timeout: time.Minute}
 	var reply controller.CloudReply
 	err := c.cloudCall(cc, &reply).send(c.services)
 	if !errors.Is(err, ErrUnavailable) || !strings.Contains(err.Error(), "cloud scale out POST http://"+addr+wire.PathMachines+": status 503") {
--- a/config/config.go
+++ b/config/config.go
@@ -77,15 +77,15 @@
 	TxnOps   int     `toml:"txn_ops"`   // puts and deletes per transaction
 }
 
-// Coming returns the limits that apply after the upcoming change.
-func (s State) Coming() Limits {
+// UpcomingLimits returns the limits that apply after the upcoming change.
+func (s State) UpcomingLimits() Limits {
 	return Limits{valueOr(s.Next.RPS, s.RPS), valueOr(s.Next.WriteRPS, s.WriteRPS), valueOr(s.Next.ValueKB, s.ValueKB), valueOr(s.Next.TxnOps, s.TxnOps)}
 }
 
-// Tightest returns the lower of the current and the upcoming value of each limit: these limits are safe
+// MinLimits returns the lower of the current and the upcoming value of each limit: these limits are safe
 // both before and after the change.
-func (s State) Tightest() Limits {
-	next := s.Coming()
+func (s State) MinLimits() Limits {
+	next := s.UpcomingLimits()
 	return Limits{min(s.RPS, next.RPS), min(s.WriteRPS, next.WriteRPS), min(s.ValueKB, next.ValueKB), min(s.TxnOps, next.TxnOps)}
 }
 
@@ -139,8 +139,8 @@
 	return Operator{LeaderLife: "1.4s", SilentShare: 0.25, IdleS: 15, Headroom: 0.1, HeadroomMost: 1.5, Surge: 2, SurgeBatch: 1}
 }
 
-// LeaderLifetime returns the time to live of the leader's lease, or 0 if LeaderLife is not a valid duration.
-func (o Operator) LeaderLifetime() time.Duration {
+// LeaderLeaseTTL returns the time to live of the leader's lease, or 0 if LeaderLife is not a valid duration.
+func (o Operator) LeaderLeaseTTL() time.Duration {
 	d, err := time.ParseDuration(o.LeaderLife)
 	if err != nil {
 		return 0
@@ -285,7 +285,7 @@
 		return malformed("leader_life", err)
 	}
 	return checkBounds([]bound{
-		{"leader_life", seconds, o.LeaderLifetime().Seconds(), 0.5, 60},
+		{"leader_life", seconds, o.LeaderLeaseTTL().Seconds(), 0.5, 60},
 		{"silent_share", "", o.SilentShare, 0.2, 10},
 		{"idle_s", "", o.IdleS, 0, 86400},
 		{"headroom", "", o.Headroom, 0, 10},
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -93,15 +93,15 @@
 		return LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "[facts.cloud]", next+"\n[facts.cloud]", 1)))
 	}
 	p, err := load("")
-	if err != nil || p.Facts.State.Coming() != p.Facts.State.Limits || p.Facts.State.Tightest() != p.Facts.State.Limits {
+	if err != nil || p.Facts.State.UpcomingLimits() != p.Facts.State.Limits || p.Facts.State.MinLimits() != p.Facts.State.Limits {
 		t.Errorf("without upcoming limits: %+v %v", p, err)
 	}
 	p, err = load("[facts.state.next]\nvalue_kb = 2.0\nwrite_rps = 70.0\nunknown = 1")
-	if want := (Limits{100, 70, 2, 16}); err != nil || p.Facts.State.Coming() != want {
-		t.Errorf("upcoming limits %+v, want %+v: %v", p.Facts.State.Coming(), want, err)
+	if want := (Limits{100, 70, 2, 16}); err != nil || p.Facts.State.UpcomingLimits() != want {
+		t.Errorf("upcoming limits %+v, want %+v: %v", p.Facts.State.UpcomingLimits(), want, err)
 	}
-	if want := (Limits{100, 50, 2, 16}); p.Facts.State.Tightest() != want {
-		t.Errorf("tightest limits %+v, want %+v", p.Facts.State.Tightest(), want)
+	if want := (Limits{100, 50, 2, 16}); p.Facts.State.MinLimits() != want {
+		t.Errorf("minimum limits %+v, want %+v", p.Facts.State.MinLimits(), want)
 	}
 	if got := p.Facts.State.Next.String(); got != "{WriteRPS:70 ValueKB:2}" {
 		t.Errorf("formatted as %s", got)
@@ -128,15 +128,15 @@
 			t.Errorf("%s: want only a warning, got an error: %v", bad, err)
 			continue
 		}
-		if got := p.Facts.State.Tightest(); got != want {
-			t.Errorf("%s: tightest limits %+v, want %+v", bad, got, want)
+		if got := p.Facts.State.MinLimits(); got != want {
+			t.Errorf("%s: minimum limits %+v, want %+v", bad, got, want)
 		}
 		if len(p.Warnings) != 1 || p.Warnings[0].Field != "facts.state.next."+name || strings.Contains(p.Warnings[0].String(), "\n") {
 			t.Errorf("%s: warnings %v", bad, p.Warnings)
 		}
 	}
 	p, err := LoadPlatform(writeFile(t, "s.toml", strings.Replace(validPlatform, "txn_ops = 16", "txn_ops = 16\nnext = 5", 1)))
-	if err != nil || len(p.Warnings) != 1 || p.Facts.State.Tightest() != (Limits{10, 5, 1, 4}) {
+	if err != nil || len(p.Warnings) != 1 || p.Facts.State.MinLimits() != (Limits{10, 5, 1, 4}) {
 		t.Errorf("next is not a table: %+v %v", p, err)
 	}
 	for _, bad := range []string{"txn_ops = 2", "value_kb = 0.5", "write_rps = \"few\""} {
--- a/controller/api.go
+++ b/controller/api.go
@@ -90,7 +90,7 @@
 	Page   wire.Page
 	Txn    wire.TxnAnswer
 	Grant  wire.LeaseAnswer
-	Watch  wire.Watch
+	Watch  wire.WatchAnswer
 }
 
 // CloudOp is a kind of call to the cloud.
@@ -106,12 +106,12 @@
 
 // CloudCall makes the shell call the cloud once, without a retry.
 type CloudCall struct {
-	ID      uint64
-	Op      CloudOp
-	After   string
-	Rent    wire.Rent
-	Names   []string
-	Timeout time.Duration
+	ID         uint64
+	Op         CloudOp
+	After      string
+	Rent       wire.RentRequest
+	MachineIDs []string
+	Timeout    time.Duration
 }
 
 // CloudReply is the result of a CloudCall. Status 0 means that there was no response.
@@ -120,7 +120,7 @@
 	Status int
 	Types  wire.MachineTypes
 	Page   wire.MachinePage
-	Names  wire.Names
+	Rented wire.MachineIDs
 }
 
 // WorkerCall sends commands directly to a worker, instead of with the answer to its report.
--- a/controller/authority.go
+++ b/controller/authority.go
@@ -50,7 +50,7 @@
 // scheduleRenewal schedules the next lease renewal, with a read of the headers if the last one is too
 // old and a peer lease request if the state service is unreachable.
 func (l *leader) scheduleRenewal() {
-	every := min(l.c.op.LeaderLifetime(), l.c.cancellationWindow()) / 4
+	every := min(l.c.op.LeaderLeaseTTL(), l.c.cancellationWindow()) / 4
 	l.c.after(every, func() {
 		if l.c.lead != l {
 			return
@@ -67,13 +67,13 @@
 // renewLease renews the leader's lease in the state service, and steps down if the lease has expired.
 func (l *leader) renewLease() {
 	c, sent := l.c, l.c.now
-	c.callStateService(StateCall{Op: OpRenew, Lease: l.lease, Timeout: c.op.LeaderLifetime()}, func(r StateReply) {
+	c.callStateService(StateCall{Op: OpRenew, Lease: l.lease, Timeout: c.op.LeaderLeaseTTL()}, func(r StateReply) {
 		if c.lead != l {
 			return
 		}
 		switch r.Status {
 		case http.StatusOK:
-			l.extend(sent, c.op.LeaderLifetime())
+			l.extend(sent, c.op.LeaderLeaseTTL())
 			l.endPeerLease()
 		case http.StatusNotFound:
 			c.stepDown("lease ended")
@@ -138,7 +138,7 @@
 // the lease of a machine that may run a task of the job can still be renewed.
 func (c *Core) cancellationWindow() time.Duration {
 	w := c.cfg.Facts.Workers
-	return max(config.Seconds(w.CancelS-w.LeaseS*(1+2*clockDrift))-cancellationMargin, c.op.LeaderLifetime()/2)
+	return max(config.Seconds(w.CancelS-w.LeaseS*(1+2*clockDrift))-cancellationMargin, c.op.LeaderLeaseTTL()/2)
 }
 
 // cancellationMargin allows for clock differences and for the time that a worker needs to stop its
--- a/controller/authority_test.go
+++ b/controller/authority_test.go
@@ -11,7 +11,7 @@
 // Without authority, the leader redirects a heartbeat (421) instead of answering it.
 func TestAuthorityLapses(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
-	life := c.op.LeaderLifetime()
+	life := c.op.LeaderLeaseTTL()
 	if c.now = l.elected.Add(life - 200*time.Millisecond); !c.hasAuthority() {
 		t.Fatal("no authority during the lease")
 	}
--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -110,7 +110,7 @@
 	wants := scheduler.PlanRentals(machines, demands, s.offers(), maxRequestsPerRound)
 	for _, w := range wants {
 		for left := s.zones.limitRentals(w.Offer.Zone, w.Count); left > 0; left -= maxInstancesPerRequest {
-			s.requestInstances(wire.Rent{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, maxInstancesPerRequest)})
+			s.requestInstances(wire.RentRequest{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, maxInstancesPerRequest)})
 		}
 	}
 }
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -170,7 +170,7 @@
 	if m.Spec.ID != m.Job || s.headerWriteInFlight[m.Job] {
 		return
 	}
-	limits := s.c.cfg.Facts.State.Tightest()
+	limits := s.c.cfg.Facts.State.MinLimits()
 	h := withHolder(headerRecord{Job: *m.Spec, AcceptedMS: s.c.now.UnixMilli(), TasksPerChunk: tasksPerRecord(limits.ValueKB)}, record)
 	if !fits(wire.Marshal(h), headerReserve, limits.ValueKB) {
 		record.State, record.Result = cells.HolderEnded, cells.ResultRefused
@@ -304,7 +304,7 @@
 	var droppableFences []string
 	for _, key := range slices.Sorted(maps.Keys(s.fences)) {
 		f := s.fences[key]
-		if !f.versionUnknown && f.record.Home == home && f.record.Removable(epoch) && len(droppableFences) < s.c.cfg.Facts.State.Tightest().TxnOps-1 {
+		if !f.versionUnknown && f.record.Home == home && f.record.Removable(epoch) && len(droppableFences) < s.c.cfg.Facts.State.MinLimits().TxnOps-1 {
 			droppableFences = append(droppableFences, key)
 		}
 	}
--- a/controller/chain_admission.go
+++ b/controller/chain_admission.go
@@ -108,4 +108,4 @@
 
 // maxConds returns the maximum number of conditions of a transaction, less the two for the job's own
 // records.
-func (c *Core) maxConds() int { return 4*c.cfg.Facts.State.Tightest().TxnOps - 2 }
+func (c *Core) maxConds() int { return 4*c.cfg.Facts.State.MinLimits().TxnOps - 2 }
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -65,7 +65,7 @@
 	if m.attempts[k] != nil || m.token <= m.runToken[k] || m.token != l.token {
 		return false
 	}
-	id, _, _ := wire.SplitTask(k.task)
+	id, _, _ := wire.SplitTaskID(k.task)
 	j := l.jobs[id]
 	return j == nil || !j.dirty && j.write == nil
 }
--- a/controller/commands_test.go
+++ b/controller/commands_test.go
@@ -16,7 +16,7 @@
 	l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	a := placeAttempt(l, j, 0, m)
 	l.runCommand(a)
-	ended := wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskExited, Why: wire.WhyDone}
+	ended := wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskExited, ExitReason: wire.ExitReasonDone}
 	forgets := func() bool {
 		for _, cmd := range l.heartbeatCommands(m) {
 			if cmd.Op == wire.OpForget {
@@ -104,7 +104,7 @@
 	rep = newReport(m, 7)
 	rep.NoticeS = &left
 	for _, a := range []*attempt{young, old} {
-		rep.Tasks = append(rep.Tasks, wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskExited, Why: wire.WhyStopped})
+		rep.Tasks = append(rep.Tasks, wire.Task{ID: a.taskID(), Attempt: a.number, State: wire.TaskExited, ExitReason: wire.ExitReasonStopped})
 	}
 	l.failureDetector.applyHeartbeat(m, rep)
 	if l.failureDetector.releaseFailed(); !m.releasing {
--- a/controller/control.go
+++ b/controller/control.go
@@ -175,7 +175,7 @@
 	})
 }
 
-func (c *Core) applyWatch(w wire.Watch) {
+func (c *Core) applyWatch(w wire.WatchAnswer) {
 	for _, e := range w.Events {
 		// An event up to the copy's revision is skipped: replaying a creation whose deletion was
 		// already applied would restore the key for a moment.
--- a/controller/divided_records.go
+++ b/controller/divided_records.go
@@ -2,8 +2,8 @@
 
 // Division of task records that an earlier version wrote larger than the state service accepts now.
 
-// tasksPerRecord returns how many tasks fit into a record under the tightest announced limits.
-func (l *leader) tasksPerRecord() int { return tasksPerRecord(l.c.cfg.Facts.State.Tightest().ValueKB) }
+// tasksPerRecord returns how many tasks fit into a record under the minimum limits.
+func (l *leader) tasksPerRecord() int { return tasksPerRecord(l.c.cfg.Facts.State.MinLimits().ValueKB) }
 
 func (j *job) chunkKey(n int) string {
 	if j.divided {
--- a/controller/election.go
+++ b/controller/election.go
@@ -39,7 +39,7 @@
 	}
 	c.claiming = true
 	sent := c.now
-	c.callStateService(StateCall{Op: OpGrant, Life: c.op.LeaderLifetime(), Timeout: userCallTimeout}, func(r StateReply) {
+	c.callStateService(StateCall{Op: OpGrant, Life: c.op.LeaderLeaseTTL(), Timeout: userCallTimeout}, func(r StateReply) {
 		if r.Status != http.StatusOK {
 			c.claimFailed()
 			return
@@ -98,7 +98,7 @@
 	l.spillover = newSpilloverManager(l)
 	l.spreading = newSpreading(l)
 	c.lead = l
-	l.extend(sent, c.op.LeaderLifetime())
+	l.extend(sent, c.op.LeaderLeaseTTL())
 	c.log(slog.LevelInfo, "leading", "token", token)
 	l.scheduleRenewal()
 	l.readRecords()
--- a/controller/fixtures_test.go
+++ b/controller/fixtures_test.go
@@ -105,7 +105,7 @@
 	f, over := s.finals[strings.TrimPrefix(call.Key, finalPrefix)]
 	switch {
 	case call.Op == OpWatch:
-		return StateReply{Status: http.StatusOK, Watch: wire.Watch{Revision: c.watchCache.revision}}
+		return StateReply{Status: http.StatusOK, Watch: wire.WatchAnswer{Revision: c.watchCache.revision}}
 	case call.Op == OpGet && over:
 		return StateReply{Status: http.StatusOK, Item: wire.Item{Key: call.Key, Value: wire.Marshal(f), Version: 1}}
 	}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -64,7 +64,7 @@
 func (f *failureDetector) cancelledTasks(heartbeat *wire.Report) []wire.Command {
 	var commands []wire.Command
 	for _, t := range heartbeat.Tasks {
-		id, _, _ := wire.SplitTask(t.ID)
+		id, _, _ := wire.SplitTaskID(t.ID)
 		if f.c.effectivelyCancelled(id) && t.State != wire.TaskExited {
 			commands = append(commands, wire.Command{Op: wire.OpStop, Task: t.ID, Attempt: t.Attempt})
 		}
@@ -142,7 +142,7 @@
 
 // applyTaskStatus applies the status of one task in a heartbeat.
 func (f *failureDetector) applyTaskStatus(m *machine, k taskKey, t wire.Task) {
-	id, n, ok := wire.SplitTask(t.ID)
+	id, n, ok := wire.SplitTaskID(t.ID)
 	a := m.attempts[k]
 	if t.State != wire.TaskExited {
 		if a != nil {
@@ -156,11 +156,11 @@
 		m.endedAttempts[k] = f.c.now
 	}
 	if a != nil {
-		f.attemptEnded(a, t.Why)
+		f.attemptEnded(a, t.ExitReason)
 		return
 	}
 	// The task is done, whichever of its attempts finished it.
-	if j := f.jobs[id]; ok && j != nil && t.Why == wire.WhyDone && n < j.spec.Tasks && j.spec.Kind != wire.KindService {
+	if j := f.jobs[id]; ok && j != nil && t.ExitReason == wire.ExitReasonDone && n < j.spec.Tasks && j.spec.Kind != wire.KindService {
 		f.completeTask(j, n)
 	}
 }
@@ -181,28 +181,28 @@
 }
 
 // attemptEnded handles an attempt that a heartbeat reports as exited, which proves that it has ended.
-func (f *failureDetector) attemptEnded(a *attempt, why string) {
+func (f *failureDetector) attemptEnded(a *attempt, exitReason string) {
 	j, m := a.job, a.machine
 	switch {
-	case why == wire.WhyDone && j.spec.Kind != wire.KindService:
+	case exitReason == wire.ExitReasonDone && j.spec.Kind != wire.KindService:
 		j.hasStarted = true
 		m.images[j.spec.Image] = true
 		clear(m.failedJobs)
 		delete(j.failureCounts, a.task)
 		j.failureClass.Succeeded()
-		f.removeAttempt(a, reduction.Succeeded, proofFromHeartbeat(why))
+		f.removeAttempt(a, reduction.Succeeded, proofFromHeartbeat(exitReason))
 		return
-	case why == wire.WhyError:
+	case exitReason == wire.ExitReasonError:
 		f.taskFailed(a)
 	}
-	if why != wire.WhyStopped {
+	if exitReason != wire.ExitReasonStopped {
 		// The task is retried with increasing backoff. Retries of an accepted job never end.
 		delay := j.failureClass.RetryDelay(j.failureCounts[a.task])
 		j.failureCounts[a.task]++
 		j.retryAt[a.task] = f.c.now.Add(delay)
 		f.c.after(delay, f.schedulePlacement)
 	}
-	f.removeAttempt(a, reduction.Reset, proofFromHeartbeat(why))
+	f.removeAttempt(a, reduction.Reset, proofFromHeartbeat(exitReason))
 }
 
 // attemptMissing handles an attempt that a heartbeat does not list. This proves that the attempt has
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -61,7 +61,7 @@
 	c, _, _ := newLeadingCore(t)
 	h := wire.Marshal(headerRecord{Job: wire.Job{ID: "req-000005", Tasks: 1}, TasksPerChunk: 10})
 	key := headerKey("req-000005")
-	c.applyWatch(wire.Watch{Revision: 9, Events: []wire.Event{{Put: key, Value: h, Version: 5}, {Delete: key, Version: 8}}})
+	c.applyWatch(wire.WatchAnswer{Revision: 9, Events: []wire.Event{{Put: key, Value: h, Version: 5}, {Delete: key, Version: 8}}})
 	c.applyOwnChange(wire.Event{Put: key, Value: h, Version: 5})
 	if c.watchCache.headers["req-000005"] != nil {
 		t.Fatal("a deleted header was restored by a late reply")
--- a/controller/job.go
+++ b/controller/job.go
@@ -174,14 +174,14 @@
 
 // removeAttempt removes an active attempt that the caller has proved to have ended, and applies its outcome to
 // the task.
-func (l *leader) removeAttempt(a *attempt, o reduction.Outcome, why terminationProof) {
+func (l *leader) removeAttempt(a *attempt, o reduction.Outcome, proof terminationProof) {
 	j := a.job
 	if j.attempts[a.task] != a {
 		return
 	}
 	delete(j.attempts, a.task)
 	a.machine.remove(a)
-	l.zones.recordAttemptEnd(a, o, why)
+	l.zones.recordAttemptEnd(a, o, proof)
 	j.disrupted = j.disrupted || a.phase >= attemptReported && o == reduction.Reset
 	j.state.Accumulate(a.task, o)
 	if !j.ended {
@@ -191,7 +191,7 @@
 	if o != reduction.Succeeded && !j.cancelled {
 		level = slog.LevelInfo
 	}
-	l.c.log(level, "attempt gone", "job", j.id, "task", a.task, "attempt", a.number, "machine", a.machine.id, "why", why)
+	l.c.log(level, "attempt gone", "job", j.id, "task", a.task, "attempt", a.number, "machine", a.machine.id, "why", proof)
 	l.finalizeIfSettled(j)
 	l.schedulePlacement()
 }
--- a/controller/lease_expiry.go
+++ b/controller/lease_expiry.go
@@ -24,7 +24,7 @@
 )
 
 // proofFromHeartbeat returns the proof for an attempt that a heartbeat reports as exited.
-func proofFromHeartbeat(why string) terminationProof { return terminationProof(why) }
+func proofFromHeartbeat(exitReason string) terminationProof { return terminationProof(exitReason) }
 
 // leaseCheckInterval is how often the leases of all machines are checked for expiry.
 const leaseCheckInterval = 100 * time.Millisecond
--- a/controller/promises.go
+++ b/controller/promises.go
@@ -59,10 +59,10 @@
 const peerLeaseHoldOff = peerLeaseDuration + peerLeaseDuration/500
 
 // requestPeerLease requests a peer lease when the last successful renewal is older than a third of the
-// lease's lifetime, or the copy of the headers is older than half of the cancellation window.
+// lease's time to live, or the copy of the headers is older than half of the cancellation window.
 func (l *leader) requestPeerLease() {
 	c, p := l.c, &l.c.peerLease
-	recent := c.now.Sub(l.renewed) < c.op.LeaderLifetime()/3 && c.now.Sub(l.headersKnownUntil()) < c.cancellationWindow()/2
+	recent := c.now.Sub(l.renewed) < c.op.LeaderLeaseTTL()/3 && c.now.Sub(l.headersKnownUntil()) < c.cancellationWindow()/2
 	if recent {
 		return
 	}
--- a/controller/rate_limits.go
+++ b/controller/rate_limits.go
@@ -28,7 +28,7 @@
 	case status == http.StatusOK:
 		c.rateRefusals = max(c.rateRefusals-1, 0)
 	}
-	if c.rateRefusals >= 3*refusalsToLowerRate && c.cfg.Facts.State.Coming() != c.cfg.Facts.State.Limits {
+	if c.rateRefusals >= 3*refusalsToLowerRate && c.cfg.Facts.State.UpcomingLimits() != c.cfg.Facts.State.Limits {
 		c.lowerRateLimit()
 	}
 }
@@ -46,7 +46,7 @@
 // writeRate returns how many changes per second the state service accepts.
 func (c *Core) writeRate() float64 {
 	if c.rateLimitLowered {
-		return c.cfg.Facts.State.Tightest().WriteRPS
+		return c.cfg.Facts.State.MinLimits().WriteRPS
 	}
 	return c.cfg.Facts.State.WriteRPS
 }
@@ -62,7 +62,7 @@
 // current and the upcoming limit from the start: it is unknown when the upcoming one takes effect,
 // and a refused read leaves a user request unanswered.
 func readLimiter(state config.State, share float64) *rate.Limiter {
-	requests := state.Tightest().RPS * share
+	requests := state.MinLimits().RPS * share
 	return rate.NewLimiter(rate.Limit(requests*readShare), max(2, int(requests*readBurstShare)))
 }
 
--- a/controller/records.go
+++ b/controller/records.go
@@ -79,9 +79,9 @@
 // rentalRecord is a rental request and its answer. It is written before the request is sent, so
 // that a new leader repeats only the requests without an answer.
 type rentalRecord struct {
-	Rent     wire.Rent `cbor:"r"`
-	Answered bool      `cbor:"a,omitempty"`
-	Machines []string  `cbor:"m,omitempty"`
+	Rent     wire.RentRequest `cbor:"r"`
+	Answered bool             `cbor:"a,omitempty"`
+	Machines []string         `cbor:"m,omitempty"`
 }
 
 func headerKey(job string) string { return headerPrefix + job }
--- a/controller/scale_in.go
+++ b/controller/scale_in.go
@@ -42,7 +42,7 @@
 	if len(names) == 0 {
 		return
 	}
-	s.releaseInFlight = s.callCloud(CloudCall{Op: CloudRelease, Names: names}, func(r CloudReply) {
+	s.releaseInFlight = s.callCloud(CloudCall{Op: CloudRelease, MachineIDs: names}, func(r CloudReply) {
 		s.releaseInFlight = false
 		if r.Status != http.StatusOK {
 			return
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -18,7 +18,7 @@
 
 // instanceRequest is a request for instances that are not all known to be up or released.
 type instanceRequest struct {
-	spec     wire.Rent
+	spec     wire.RentRequest
 	since    time.Time
 	version  uint64 // of its record; 0: not written yet
 	inFlight bool
@@ -89,7 +89,7 @@
 	k := req.offer()
 	switch r.Status {
 	case http.StatusOK:
-		req.answered, req.machines = true, r.Names.Machines
+		req.answered, req.machines = true, r.Rented.Machines
 		if len(req.machines) < req.spec.Count {
 			s.refusedAt[k] = s.c.now
 		}
@@ -150,7 +150,7 @@
 }
 
 // requestInstances records a request under a name that is never used again, then sends it.
-func (s *autoscaler) requestInstances(r wire.Rent) {
+func (s *autoscaler) requestInstances(r wire.RentRequest) {
 	s.requestSeq++
 	r.Request = fmt.Sprintf("r-%d-%d", s.token, s.requestSeq)
 	req := &instanceRequest{spec: r, since: s.c.now}
--- a/controller/scale_out_test.go
+++ b/controller/scale_out_test.go
@@ -15,7 +15,7 @@
 // answer, and none is sent whose offer was just refused.
 func TestInstanceRequestsAreSentOnce(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
-	rent := func(name string) wire.Rent { return wire.Rent{Request: name, Type: "t", Zone: "a", Count: 2} }
+	rent := func(id string) wire.RentRequest { return wire.RentRequest{Request: id, Type: "t", Zone: "a", Count: 2} }
 	item := func(r rentalRecord) wire.Item {
 		return wire.Item{Key: rentalPrefix + r.Rent.Request, Value: wire.Marshal(r), Version: 5}
 	}
@@ -154,7 +154,7 @@
 func TestMachinesOfOldRequestsAreNotCountedAsBooting(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
 	l.autoscaler.restore([]wire.Item{{Key: "h/r-1-1", Version: 3, Value: wire.Marshal(rentalRecord{
-		Rent: wire.Rent{Request: "r-1-1", Type: "t", Zone: "a", Count: 1}, Answered: true, Machines: []string{"i-9"}})}})
+		Rent: wire.RentRequest{Request: "r-1-1", Type: "t", Zone: "a", Count: 1}, Answered: true, Machines: []string{"i-9"}})}})
 	c.now = c.now.Add(config.Seconds(2*c.cfg.Facts.Cloud.ListLagS) + 2*time.Second)
 	l.autoscaler.handleUnlisted("", wire.MachinePage{}, c.now)
 	if m := l.machines["i-9"]; !m.releasing {
--- a/controller/snapshots.go
+++ b/controller/snapshots.go
@@ -55,7 +55,7 @@
 		s.Penalty = 1
 	}
 	for k := range m.unknownAttempts {
-		id, _, _ := wire.SplitTask(k.task)
+		id, _, _ := wire.SplitTaskID(k.task)
 		if j := l.jobs[id]; j != nil {
 			s.Free = s.Free.Add(taskResources(&j.spec), -1)
 		} else {
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -16,7 +16,7 @@
 	planInterval          = time.Second
 	emptyPlanPause        = 4 * time.Second  // added to the interval after a plan without moves
 	headroomPause         = 10 * time.Second // after a plan whose moves would have taken headroom
-	lateRenewalDivisor    = 2                // a renewal is late after the leader's lifetime divided by this
+	lateRenewalDivisor    = 2                // a renewal is late after the time to live of the leader's lease divided by this
 	freeBackgroundDivisor = 2                // the burst of background writes divided by this must be free
 )
 
@@ -55,7 +55,7 @@
 // moveBlock is why no move may begin now.
 func (s *spreading) moveBlock() balance.BlockReason {
 	switch {
-	case !s.c.now.Before(s.authority) || s.c.now.Sub(s.renewed) > s.c.op.LeaderLifetime()/lateRenewalDivisor:
+	case !s.c.now.Before(s.authority) || s.c.now.Sub(s.renewed) > s.c.op.LeaderLeaseTTL()/lateRenewalDivisor:
 		return balance.NoLease
 	case !s.allReported():
 		return balance.MachinesNotReported
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -218,11 +218,11 @@
 	}
 	var tasks []wire.Task
 	for _, a := range from.attemptsInOrder {
-		state, why := wire.TaskRunning, ""
+		state, exitReason := wire.TaskRunning, ""
 		if a.job == j {
-			state, why = wire.TaskExited, wire.WhyStopped
+			state, exitReason = wire.TaskExited, wire.ExitReasonStopped
 		}
-		tasks = append(tasks, wire.Task{ID: a.taskID(), Attempt: a.number, State: state, Why: why})
+		tasks = append(tasks, wire.Task{ID: a.taskID(), Attempt: a.number, State: state, ExitReason: exitReason})
 	}
 	rep := newReport(from, l.token, tasks...)
 	rep.Addr, rep.Type, rep.Zone = from.addr, from.typ, from.zone
--- a/controller/user_requests.go
+++ b/controller/user_requests.go
@@ -83,7 +83,7 @@
 		c.lookup(id, func(k lookupResult) { c.answerJobState(r, k, http.StatusServiceUnavailable) })
 		return // a repeated submission uses none of the write budget
 	}
-	limits := c.cfg.Facts.State.Tightest()
+	limits := c.cfg.Facts.State.MinLimits()
 	header := headerRecord{Job: job, AcceptedMS: c.now.UnixMilli(), TasksPerChunk: tasksPerRecord(limits.ValueKB)}
 	tooBig := !fits(wire.Marshal(header), headerReserve, limits.ValueKB)
 	switch {
@@ -176,7 +176,7 @@
 			c.retryLater(r.Req, "too many changes")
 			return
 		}
-		c.updateHeader(r.Job, cancelledHeader(*header, c.cfg.Facts.State.Tightest().ValueKB), func(status int) {
+		c.updateHeader(r.Job, cancelledHeader(*header, c.cfg.Facts.State.MinLimits().ValueKB), func(status int) {
 			switch status {
 			case http.StatusOK:
 				c.answer(r.Req, http.StatusOK, wire.JobState{ID: r.Job, State: wire.StateCancelled})
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -110,7 +110,7 @@
 	c, l, _ := recoverFixture(t, version1Fixture)
 	j := l.jobs["req-000001"]
 	end := func(task int) {
-		l.removeAttempt(j.attempts[task], reduction.Succeeded, proofFromHeartbeat(wire.WhyDone))
+		l.removeAttempt(j.attempts[task], reduction.Succeeded, proofFromHeartbeat(wire.ExitReasonDone))
 		j.urgent = true
 	}
 	end(150)
--- a/controller/write_budget.go
+++ b/controller/write_budget.go
@@ -20,7 +20,7 @@
 
 // writeBurst returns the maximum number of changes made at once.
 func writeBurst(state config.State) int {
-	return max(2, int(state.Tightest().WriteRPS*burstShare))
+	return max(2, int(state.MinLimits().WriteRPS*burstShare))
 }
 
 // writeBudget limits the rate of the leader's changes in the state service. Background writes,
--- a/controller/write_queue.go
+++ b/controller/write_queue.go
@@ -132,7 +132,7 @@
 		j.dirty = false // of a cancelled job only the final record is written
 		return nil
 	}
-	budget, size := q.c.cfg.Facts.State.Tightest().TxnOps, 0
+	budget, size := q.c.cfg.Facts.State.MinLimits().TxnOps, 0
 	for n := range j.chunks {
 		if !j.chunks[n].dirty || len(w.chunks) >= budget || size > 40<<10 {
 			continue
@@ -340,7 +340,7 @@
 func (q *writeQueue) deleteObsolete() {
 	// No more than the budget has left: a transaction larger than its burst would never be allowed,
 	// and no record would ever be deleted.
-	n := min(len(q.obsoleteKeys), q.c.cfg.Facts.State.Tightest().TxnOps, q.budget.available(q.c.now))
+	n := min(len(q.obsoleteKeys), q.c.cfg.Facts.State.MinLimits().TxnOps, q.budget.available(q.c.now))
 	if n <= 0 {
 		return
 	}
--- a/controller/write_queue_test.go
+++ b/controller/write_queue_test.go
@@ -24,7 +24,7 @@
 		t.Fatal("a write that exceeded the budget is not dirty any more")
 	}
 	c.now = c.now.Add(time.Second)
-	l.extend(c.now, c.op.LeaderLifetime())
+	l.extend(c.now, c.op.LeaderLeaseTTL())
 	l.writes.flush()
 	if j.write == nil {
 		t.Fatal("no write after the budget has recovered")
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -366,7 +366,7 @@
 // as running counts as a successful start if its task is done, and otherwise as a failed one, unless
 // it was stopped, its job was cancelled or its run command was not sent. Attempts of an earlier
 // leader are not counted. A task lost with its machine is passed to trackDisplaced.
-func (z *zoneRecovery) recordAttemptEnd(a *attempt, o reduction.Outcome, why terminationProof) {
+func (z *zoneRecovery) recordAttemptEnd(a *attempt, o reduction.Outcome, proof terminationProof) {
 	if z == nil {
 		return
 	}
@@ -377,7 +377,7 @@
 	case a.phase >= attemptSent && !a.stopping && !a.job.cancelled:
 		z.tracker.Failed(a.start())
 	}
-	if o == reduction.Reset && (why == proofLeaseExpired || why == proofMachineReleased) {
+	if o == reduction.Reset && (proof == proofLeaseExpired || proof == proofMachineReleased) {
 		z.trackDisplaced(a)
 	}
 }
--- a/internal/sim/broken_jobs_test.go
+++ b/internal/sim/broken_jobs_test.go
@@ -38,7 +38,7 @@
 	}
 	var startTimes []time.Duration // of tasks of broken jobs
 	w.onStart = func(h *host, tk *task) {
-		if id, _, _ := wire.SplitTask(tk.id); w.users.jobs[id] != nil && w.users.jobs[id].broken {
+		if id, _, _ := wire.SplitTaskID(tk.id); w.users.jobs[id] != nil && w.users.jobs[id].broken {
 			startTimes = append(startTimes, w.now)
 		}
 	}
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -118,7 +118,7 @@
 			first := ""
 			return Tamper{State: func(call *controller.StateCall) (controller.StateReply, bool) {
 				if first == "" && isTask(call, "") {
-					first, _, _ = wire.SplitTask(strings.TrimPrefix(call.Txn.Then[0].Put, "t/"))
+					first, _, _ = wire.SplitTaskID(strings.TrimPrefix(call.Txn.Then[0].Put, "t/"))
 				}
 				return controller.StateReply{Status: http.StatusServiceUnavailable}, first != "" && isTask(call, first)
 			}}
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -63,9 +63,9 @@
 		if !ok {
 			return controller.CloudReply{Status: http.StatusServiceUnavailable}
 		}
-		r.Names.Machines = names
+		r.Rented.Machines = names
 	case controller.CloudRelease:
-		for _, id := range call.Names {
+		for _, id := range call.MachineIDs {
 			if h := c.w.host(id); h != nil {
 				h.vanish()
 			}
@@ -76,7 +76,7 @@
 	return r
 }
 
-func (c *cloud) rent(r wire.Rent) ([]string, bool) {
+func (c *cloud) rent(r wire.RentRequest) ([]string, bool) {
 	if names, ok := c.rentals[r.Request]; ok {
 		return names, true
 	}
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -43,12 +43,12 @@
 
 // task is an attempt to run a task, on one machine.
 type task struct {
-	id      string
-	job     *simJob // nil: no user has submitted such a job
-	attempt uint64
-	state   string
-	why     string
-	started time.Duration
+	id         string
+	job        *simJob // nil: no user has submitted such a job
+	attempt    uint64
+	state      string
+	exitReason string
+	started    time.Duration
 }
 
 // onMachine reports whether the attempt's process exists: fetching and exited ones have none.
@@ -212,7 +212,7 @@
 		r.NoticeS = &left
 	}
 	for _, t := range h.tasks {
-		r.Tasks = append(r.Tasks, wire.Task{ID: t.id, Attempt: t.attempt, State: t.state, Why: t.why})
+		r.Tasks = append(r.Tasks, wire.Task{ID: t.id, Attempt: t.attempt, State: t.state, ExitReason: t.exitReason})
 	}
 	return r
 }
@@ -402,7 +402,7 @@
 	t.state = wire.TaskSaving
 	h.reportSoon()
 	h.later(t, time.Duration(t.job.spec.SaveS*float64(time.Second)), func() {
-		_, n, _ := wire.SplitTask(t.id)
+		_, n, _ := wire.SplitTaskID(t.id)
 		t.job.saved[n] += h.w.now - t.started
 		h.taskStopped(t)
 	})
@@ -410,17 +410,17 @@
 
 // taskStopped ends a task because of a stop command.
 func (h *host) taskStopped(t *task) {
-	h.exit(t, wire.WhyStopped)
+	h.exit(t, wire.ExitReasonStopped)
 	if h.w.onStopped != nil {
 		h.w.onStopped(t)
 	}
 }
 
-func (h *host) exit(t *task, why string) {
+func (h *host) exit(t *task, reason string) {
 	if t.onMachine() {
 		h.recordTaskEnd(t)
 	}
-	t.state, t.why = wire.TaskExited, why
+	t.state, t.exitReason = wire.TaskExited, reason
 	h.reportSoon()
 }
 
@@ -430,7 +430,7 @@
 	t := &task{id: id, job: j, attempt: attempt, state: wire.TaskFetching}
 	h.tasks = append(h.tasks, t)
 	if j == nil {
-		h.exit(t, wire.WhyUnknown)
+		h.exit(t, wire.ExitReasonUnknownJob)
 		return
 	}
 	free := h.capacity()
@@ -441,13 +441,13 @@
 			continue
 		}
 		if o.id == id {
-			h.exit(t, wire.WhyBusy)
+			h.exit(t, wire.ExitReasonBusy)
 			return
 		}
 		reserve(&o.job.spec)
 	}
 	if min(free.CPUs, free.GPUs) < -1e-6 {
-		h.exit(t, wire.WhyNoRoom)
+		h.exit(t, wire.ExitReasonNoCapacity)
 		return
 	}
 	fetch := 10 * time.Millisecond
@@ -494,10 +494,10 @@
 	}
 	h.w.recordEvent(history.Event{Kind: history.Started, Task: t.id, Attempt: t.attempt, Machine: h.id})
 	h.reportSoon()
-	_, n, _ := wire.SplitTask(t.id)
+	_, n, _ := wire.SplitTaskID(t.id)
 	switch {
 	case h.faulty || j.broken:
-		h.later(t, time.Second, func() { h.exit(t, wire.WhyError) })
+		h.later(t, time.Second, func() { h.exit(t, wire.ExitReasonError) })
 	case j.spec.Kind == wire.KindArray:
 		run := max(j.run-j.saved[n], 0)
 		if j.done[n] {
@@ -514,7 +514,7 @@
 // finish ends a task of an array job that has done its work.
 func (h *host) finish(t *task, j *simJob, n int) {
 	j.done[n] = true
-	h.exit(t, wire.WhyDone)
+	h.exit(t, wire.ExitReasonDone)
 	h.w.noteTaskEnd(j)
 	if j.left() == 0 && !j.lastTaskEnded {
 		j.lastTaskEnded = true
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -187,7 +187,7 @@
 	case path == wire.PathTxn:
 		return controller.StateCall{Op: controller.OpTxn, Txn: decodeRequestBody[wire.Txn](r)}
 	case path == wire.PathLeases:
-		return controller.StateCall{Op: controller.OpGrant, Life: time.Duration(decodeRequestBody[wire.LeaseAsk](r).TTLms) * time.Millisecond}
+		return controller.StateCall{Op: controller.OpGrant, Life: time.Duration(decodeRequestBody[wire.LeaseRequest](r).TTLMS) * time.Millisecond}
 	case r.Method == http.MethodDelete:
 		return controller.StateCall{Op: controller.OpRevoke, Lease: id}
 	case strings.HasPrefix(path, wire.PathLeases):
@@ -222,9 +222,9 @@
 	call := controller.CloudCall{Op: controller.CloudTypes}
 	switch {
 	case r.URL.Path == wire.PathRelease:
-		call = controller.CloudCall{Op: controller.CloudRelease, Names: decodeRequestBody[wire.Names](r).Machines}
+		call = controller.CloudCall{Op: controller.CloudRelease, MachineIDs: decodeRequestBody[wire.MachineIDs](r).Machines}
 	case r.URL.Path == wire.PathMachines && r.Method == http.MethodPost:
-		call = controller.CloudCall{Op: controller.CloudRent, Rent: decodeRequestBody[wire.Rent](r)}
+		call = controller.CloudCall{Op: controller.CloudRent, Rent: decodeRequestBody[wire.RentRequest](r)}
 	case r.URL.Path == wire.PathMachines:
 		call = controller.CloudCall{Op: controller.CloudList, After: r.URL.Query().Get("after")}
 	}
@@ -236,7 +236,7 @@
 	if !ok {
 		return
 	}
-	bodies := map[controller.CloudOp]any{controller.CloudTypes: reply.Types, controller.CloudRent: reply.Names, controller.CloudList: reply.Page}
+	bodies := map[controller.CloudOp]any{controller.CloudTypes: reply.Types, controller.CloudRent: reply.Rented, controller.CloudList: reply.Page}
 	writeReply(w, reply.Status, bodies[call.Op])
 }
 
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -63,7 +63,7 @@
 
 // lowerLimits puts the announced future limits of the state service into force.
 func (s *store) lowerLimits() {
-	s.limits = s.w.cfg.Facts.State.Coming()
+	s.limits = s.w.cfg.Facts.State.UpcomingLimits()
 	s.writes = rate.NewLimiter(rate.Limit(s.limits.WriteRPS), int(s.limits.WriteRPS))
 }
 
@@ -235,7 +235,7 @@
 		return false
 	}
 	x.done = true
-	x.reply(controller.StateReply{Status: http.StatusOK, Watch: wire.Watch{Revision: s.revision, Events: events}})
+	x.reply(controller.StateReply{Status: http.StatusOK, Watch: wire.WatchAnswer{Revision: s.revision, Events: events}})
 	return true
 }
 
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -52,7 +52,7 @@
 
 // jobOf returns the job of a task, which in a cluster may belong to another cell.
 func (u *users) jobOf(task string) *simJob {
-	id, _, _ := wire.SplitTask(task)
+	id, _, _ := wire.SplitTaskID(task)
 	if j := u.jobs[id]; j != nil || u.w.cluster == nil {
 		return j
 	}
--- a/server/cells.go
+++ b/server/cells.go
@@ -60,7 +60,7 @@
 		return
 	}
 	body, _ := a.Body.(controller.CellAnswer)
-	raw, err := celllink.WriteAnswer(body)
+	raw, err := celllink.EncodeAnswer(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/server/server.go
+++ b/server/server.go
@@ -341,7 +341,7 @@
 		return nil, st
 	}
 	// A worker's report lists all its tasks, so it may be larger than a user's request.
-	body, err := io.ReadAll(io.LimitReader(r.Body, 4*wire.MaxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, 4*wire.MaxBodyBytes))
 	if err != nil {
 		return nil, http.StatusBadRequest
 	}
@@ -362,8 +362,8 @@
 var errTooLarge = errors.New("request body too large")
 
 func readBody(r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
-	if err == nil && len(body) > wire.MaxBody {
+	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBodyBytes+1))
+	if err == nil && len(body) > wire.MaxBodyBytes {
 		err = errTooLarge
 	}
 	return body, err
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -37,7 +37,7 @@
 		{"GET", "/v2/runs/req-1/tasks", nil, http.StatusNotFound, 0},
 		{"GET", "/", nil, http.StatusNotFound, 0},
 		{"POST", "/v1/report", []byte("x"), http.StatusBadRequest, 0},
-		{"POST", "/v2/runs", bytes.Repeat([]byte("x"), wire.MaxBody+1), http.StatusBadRequest, 0},
+		{"POST", "/v2/runs", bytes.Repeat([]byte("x"), wire.MaxBodyBytes+1), http.StatusBadRequest, 0},
 	} {
 		in, status := new(Server).route(1, httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
 		if status != c.status {
--- a/statusclient/fetch.go
+++ b/statusclient/fetch.go
@@ -70,7 +70,7 @@
 
 func fetchOne[S Status](ctx context.Context, address, path string) (S, error) {
 	var status S
-	body, err := Ask(ctx, http.MethodGet, "http://"+address+path)
+	body, err := SendRequest(ctx, http.MethodGet, "http://"+address+path)
 	if err != nil {
 		return status, err
 	}
@@ -80,9 +80,9 @@
 	return status, nil
 }
 
-// Ask sends one request and returns the body of a response with status 200. A response with another status
+// SendRequest sends one request and returns the body of a response with status 200. A response with another status
 // gives a *StatusError; other errors wrap the transport's error.
-func Ask(ctx context.Context, method, target string) ([]byte, error) {
+func SendRequest(ctx context.Context, method, target string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, target, nil)
--- a/statusclient/fetch_test.go
+++ b/statusclient/fetch_test.go
@@ -37,7 +37,7 @@
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	_, err := Ask(context.Background(), http.MethodGet, "http://"+address+"/zones")
+	_, err := SendRequest(context.Background(), http.MethodGet, "http://"+address+"/zones")
 	var refused *StatusError
 	if !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable || refused.RetryAfter != time.Second {
 		t.Fatalf("%T %v", err, err)
--- a/wire/submit.go
+++ b/wire/submit.go
@@ -20,8 +20,8 @@
 // TaskID returns the ID of task n of a job.
 func TaskID(job string, n int) string { return job + "/" + strconv.Itoa(n) }
 
-// SplitTask splits a task ID into the job ID and the number of the task.
-func SplitTask(id string) (job string, n int, ok bool) {
+// SplitTaskID splits a task ID into the job ID and the number of the task.
+func SplitTaskID(id string) (job string, n int, ok bool) {
 	job, number, found := strings.Cut(id, "/")
 	if !found {
 		return "", 0, false
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -11,23 +11,23 @@
 
 // Paths of the HTTP APIs.
 const (
-	PathJobs     = "/v2/runs"
-	PathAbort    = "/abort"
-	PathReady    = "/ready"
-	PathReport   = "/v1/report"
-	PathCommands = "/commands"
-	PathTypes    = "/flavors"
-	PathMachines = "/hosts"
-	PathRelease  = "/hosts/release"
-	PathKV       = "/kv"
-	PathTxn      = "/multi"
-	PathLeases   = "/grants"
-	PathTouch    = "/touch"
-	PathWatch    = "/follow"
+	PathJobs         = "/v2/runs"
+	PathAbort        = "/abort"
+	PathReady        = "/ready"
+	PathReport       = "/v1/report"
+	PathCommands     = "/commands"
+	PathMachineTypes = "/flavors"
+	PathMachines     = "/hosts"
+	PathRelease      = "/hosts/release"
+	PathKV           = "/kv"
+	PathTxn          = "/multi"
+	PathLeases       = "/grants"
+	PathRenewLease   = "/touch"
+	PathWatch        = "/follow"
 )
 
-// MaxBody is the largest body, in bytes, of a request, and of an answer to workers and users.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest body, in bytes, of a request, and of an answer to workers and users.
+const MaxBodyBytes = 64 << 10
 
 // Values of the protocol's enumerations: job kinds, job states, task states, reasons why a task ended, operations of
 // commands, and machine states.
@@ -46,12 +46,12 @@
 	TaskSaving   = "saving"
 	TaskExited   = "ended"
 
-	WhyDone    = "done"
-	WhyStopped = "halted"
-	WhyError   = "error"
-	WhyNoRoom  = "no_room"
-	WhyBusy    = "busy"
-	WhyUnknown = "no_such"
+	ExitReasonDone       = "done"
+	ExitReasonStopped    = "halted"
+	ExitReasonError      = "error"
+	ExitReasonNoCapacity = "no_room"
+	ExitReasonBusy       = "busy"
+	ExitReasonUnknownJob = "no_such"
 
 	OpRun    = "run"
 	OpStop   = "stop"
@@ -105,11 +105,11 @@
 
 // Task is the state of a task as reported by a worker.
 type Task struct {
-	ID      string `cbor:"piece"`            // task id: the job's id, "/" and the task's number (TaskID)
-	Attempt uint64 `cbor:"try"`              // attempt of the task, from 1
-	State   string `cbor:"standing"`         // TaskFetching, TaskRunning, TaskSaving or TaskExited
-	Why     string `cbor:"cause,omitempty"`  // why an exited task ended: one of the Why values
-	Saved   bool   `cbor:"stored,omitempty"` // a stopped task saved a checkpoint
+	ID         string `cbor:"piece"`            // task id: the job's id, "/" and the task's number (TaskID)
+	Attempt    uint64 `cbor:"try"`              // attempt of the task, from 1
+	State      string `cbor:"standing"`         // TaskFetching, TaskRunning, TaskSaving or TaskExited
+	ExitReason string `cbor:"cause,omitempty"`  // why an exited task ended: one of the ExitReason values
+	Saved      bool   `cbor:"stored,omitempty"` // a stopped task saved a checkpoint
 }
 
 // Report is a worker's report on its machine.
@@ -176,8 +176,8 @@
 	Types []MachineType `cbor:"builds"` // every type that the cloud offers
 }
 
-// Rent is a request to the cloud to rent machines.
-type Rent struct {
+// RentRequest is a request to the cloud to rent machines.
+type RentRequest struct {
 	Request string `cbor:"hire"`     // idempotency key: a repeated request with the same key rents no further machines; never reused
 	Type    string `cbor:"build"`    // machine type
 	Zone    string `cbor:"yard"`     // zone
@@ -185,8 +185,8 @@
 	Count   int    `cbor:"how_many"` // number of machines requested, at most 50
 }
 
-// Names lists machines by ID.
-type Names struct {
+// MachineIDs lists machines by ID.
+type MachineIDs struct {
 	Machines []string `cbor:"hosts"` // machine ids
 }
 
@@ -249,12 +249,12 @@
 	Error    string   `cbor:"error,omitempty"`  // why the transaction was refused, such as "no such lease"
 }
 
-// LeaseAsk is a request to grant a lease.
-type LeaseAsk struct {
-	TTLms int64 `cbor:"life_ms"` // time to live of the lease, in milliseconds, 100 to 600,000
+// LeaseRequest is a request to grant a lease.
+type LeaseRequest struct {
+	TTLMS int64 `cbor:"life_ms"` // time to live of the lease, in milliseconds, 100 to 600,000
 }
 
-// LeaseAnswer answers a LeaseAsk with the new lease.
+// LeaseAnswer answers a LeaseRequest with the new lease.
 type LeaseAnswer struct {
 	Lease uint64 `cbor:"tenure"` // lease id
 }
@@ -267,8 +267,8 @@
 	Version uint64          `cbor:"stamp"`          // revision of the change
 }
 
-// Watch answers a watch request.
-type Watch struct {
+// WatchAnswer answers a watch request.
+type WatchAnswer struct {
 	Revision uint64  `cbor:"ledger"` // revision up to which the changes are complete
 	Events   []Event `cbor:"news"`   // changes in the order of their revisions
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -54,11 +54,11 @@
 }
 
 func TestSplitTask(t *testing.T) {
-	if job, n, ok := SplitTask(TaskID("req-000412", 3)); !ok || job != "req-000412" || n != 3 {
+	if job, n, ok := SplitTaskID(TaskID("req-000412", 3)); !ok || job != "req-000412" || n != 3 {
 		t.Fatal(job, n, ok)
 	}
 	for _, bad := range []string{"req-1", "req-1/x", "req-1/-1"} {
-		if _, _, ok := SplitTask(bad); ok {
+		if _, _, ok := SplitTaskID(bad); ok {
 			t.Errorf("%s is accepted", bad)
 		}
 	}
