--- a/controller/promises.go
+++ b/controller/promises.go
@@ -10,9 +10,9 @@
 
 // Peer leases keep the leader in office during an outage of the state service, so that the workers
 // don't lose their machine leases. While the leader can't reach the state service, it keeps its
-// authority as long as every other controller grants it a short peer lease: a promise that the
-// controller can't reach the state service either and makes no claim to the leadership until the
-// peer lease expires. Since the grant must be unanimous, no other controller can take over
+// authority as long as every other controller grants it a short peer lease. By granting it, the
+// controller states that it can't reach the state service either, and commits to make no claim to
+// the leadership until the peer lease expires. Since the grant must be unanimous, no other controller can take over
 // meanwhile. A controller that still reaches the state service refuses, so a leader that alone is
 // partitioned from it is replaced. Under a peer lease nothing can be written, so no job is
 // accepted, placed or reported as done: the leader only renews machine leases and continues what
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -19,15 +19,15 @@
 
 // Event is one thing that happened.
 type Event struct {
-	Kind    Kind          // which of the fields below are set depends on it
-	At      time.Duration // time of the event, since the start of the run
-	Task    string        // Started, Ended
-	Attempt uint64        // Started, Ended: the attempt's number
-	Machine string        // Started, Ended: the machine on which the attempt runs
-	Job     string        // Answered
-	Asked   time.Duration // Answered: earliest time at which the request was sent
-	State   string        // Answered: the job's state in the answer
-	Final   bool          // Answered: State is final (done or cancelled)
+	Kind        Kind          // which of the fields below are set depends on it
+	At          time.Duration // time of the event, since the start of the run
+	Task        string        // Started, Ended
+	Attempt     uint64        // Started, Ended: the attempt's number
+	Machine     string        // Started, Ended: the machine on which the attempt runs
+	Job         string        // Answered
+	RequestedAt time.Duration // Answered: earliest time at which the request was sent
+	State       string        // Answered: the job's state in the answer
+	Final       bool          // Answered: State is final (done or cancelled)
 }
 
 // Violation is one breach of a rule in a history.
@@ -73,7 +73,7 @@
 			}
 		case Answered:
 			first, answered := finalAnswers[e.Job]
-			if answered && e.State != first.state && (e.Final || e.Asked >= first.at) {
+			if answered && e.State != first.state && (e.Final || e.RequestedAt >= first.at) {
 				found = append(found, Violation{RuleOneAnswer, fmt.Sprintf("at %v %s is called %s, it was called %s at %v", e.At, e.Job, e.State, first.state, first.at)})
 			}
 			if e.Final && !answered {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -15,9 +15,9 @@
 		{Kind: Ended, At: 3, Task: "j/0", Attempt: 1, Machine: "m1"},
 		{Kind: Started, At: 4, Task: "j/0", Attempt: 2, Machine: "m2"},
 		{Kind: Ended, At: 5, Task: "j/0", Attempt: 2, Machine: "m2"},
-		{Kind: Answered, At: 6, Job: "j", Asked: 5, State: "done", Final: true},
-		{Kind: Answered, At: 7, Job: "j", Asked: 4, State: "running"},
-		{Kind: Answered, At: 9, Job: "j", Asked: 8, State: "done", Final: true},
+		{Kind: Answered, At: 6, Job: "j", RequestedAt: 5, State: "done", Final: true},
+		{Kind: Answered, At: 7, Job: "j", RequestedAt: 4, State: "running"},
+		{Kind: Answered, At: 9, Job: "j", RequestedAt: 8, State: "done", Final: true},
 	}
 }
 
@@ -35,7 +35,7 @@
 		"start before the end":               {func(h []Event) []Event { h[2], h[3] = h[3], h[2]; return h }, RuleOneOwner},
 		"different final answer":             {func(h []Event) []Event { h[7].State = "withdrawn"; return h }, RuleOneAnswer},
 		"final answer revoked":               {func(h []Event) []Event { h[7].State, h[7].Final = "running", false; return h }, RuleOneAnswer},
-		"concurrent different final answers": {func(h []Event) []Event { h[7].State, h[7].Asked = "withdrawn", time.Duration(4); return h }, RuleOneAnswer},
+		"concurrent different final answers": {func(h []Event) []Event { h[7].State, h[7].RequestedAt = "withdrawn", time.Duration(4); return h }, RuleOneAnswer},
 	} {
 		found := Check(c.corrupt(validHistory()))
 		if len(found) != 1 || found[0].Rule != c.rule {
--- a/internal/sim/broken_jobs_test.go
+++ b/internal/sim/broken_jobs_test.go
@@ -38,7 +38,7 @@
 	}
 	var startTimes []time.Duration // of tasks of broken jobs
 	w.onStart = func(h *host, tk *task) {
-		if id, _, _ := wire.SplitTaskID(tk.id); w.users.jobs[id] != nil && w.users.jobs[id].broken {
+		if id, _, _ := wire.SplitTaskID(tk.id); w.users.jobs[id] != nil && w.users.jobs[id].alwaysFails {
 			startTimes = append(startTimes, w.now)
 		}
 	}
@@ -46,8 +46,8 @@
 	var brokenJobs []*simJob
 	for i := range 3 {
 		j := &simJob{spec: wire.Job{ID: fmt.Sprintf("req-00010%d", i), Class: "web", Team: "red", Kind: wire.KindArray,
-			Priority: "prod", Tasks: 6, CPUs: 4, MemoryGB: 4, Image: "img-0", ImageGB: 1}, run: 20 * time.Second,
-			done: make([]bool, 6), broken: true}
+			Priority: "prod", Tasks: 6, CPUs: 4, MemoryGB: 4, Image: "img-0", ImageGB: 1}, runTime: 20 * time.Second,
+			done: make([]bool, 6), alwaysFails: true}
 		w.users.jobs[j.spec.ID] = j
 		w.users.list = append(w.users.list, j)
 		w.users.submit(j)
@@ -59,8 +59,8 @@
 		w.users.cancel(j)
 	}
 	w.Run(w.now + time.Minute)
-	if len(w.Rules) > 0 {
-		t.Fatalf("rules broken: %v", w.Rules)
+	if len(w.Violations) > 0 {
+		t.Fatalf("rules broken: %v", w.Violations)
 	}
 	for _, release := range releasedAsFaulty {
 		t.Errorf("healthy machine released as faulty after failures of broken jobs: %s", release)
--- a/internal/sim/cancellation_gap_test.go
+++ b/internal/sim/cancellation_gap_test.go
@@ -17,11 +17,11 @@
 	secondArrayJobID = "req-000003" // a copy of that array, in tests that submit one
 )
 
-// recordLastRenewals records when each node last answered a report with success, which may have renewed
+// recordLastRenewals records when each controller last answered a report with success, which may have renewed
 // a worker's lease.
-func recordLastRenewals(w *World) map[*node]time.Duration {
-	lastRenewal := map[*node]time.Duration{}
-	w.Tamper.Output = func(n *node, o controller.Output) controller.Output {
+func recordLastRenewals(w *World) map[*member]time.Duration {
+	lastRenewal := map[*member]time.Duration{}
+	w.Tamper.Output = func(n *member, o controller.Output) controller.Output {
 		if a, ok := o.(controller.Answer); ok && a.Status == http.StatusOK {
 			if _, ok := a.Body.(wire.ReportAnswer); ok {
 				lastRenewal[n] = w.now
@@ -32,18 +32,19 @@
 	return lastRenewal
 }
 
-// cancelThrough cancels a job through one node and runs the world until its user has been told so.
-func cancelThrough(t *testing.T, w *World, n *node, job string) {
+// cancelThrough cancels a job through one controller and runs the world until the cancellation is
+// reported to its user.
+func cancelThrough(t *testing.T, w *World, n *member, job string) {
 	t.Helper()
 	j := w.users.jobs[job]
-	j.askedCancel = true
-	before := w.told(j)
-	w.users.requestOf(n, controller.UserRequest{Op: controller.UserAbort, Job: job}, func(a controller.Answer) {
+	j.cancelRequested = true
+	before := w.knownState(j)
+	w.users.requestFrom(n, controller.UserRequest{Op: controller.UserAbort, Job: job}, func(a controller.Answer) {
 		if a.Status == http.StatusOK {
 			w.checkState(j, before, a.Body.(wire.JobState))
 		}
 	})
-	for until := w.now + time.Second; !j.cancelTold; {
+	for until := w.now + time.Second; !j.reportedCancelled; {
 		if w.now >= until {
 			t.Fatalf("%s not reported as cancelled within a second", job)
 		}
@@ -51,26 +52,27 @@
 	}
 }
 
-// refuseLeader makes the state service refuse calls of the leader, and of no other node, and returns the leader.
-func refuseLeader(w *World) *node {
-	leader := w.leading()
-	leader.refused = true
+// refuseLeader makes the state service refuse calls of the leader, and of no other controller, and
+// returns the leader.
+func refuseLeader(w *World) *member {
+	leader := w.leaderOrFirst()
+	leader.stateRefused = true
 	w.Run(w.now + 100*time.Millisecond)
 	return leader
 }
 
-// otherNode returns a node that is not the leader.
-func otherNode(w *World, leader *node) *node { return w.nodes[(leader.i+1)%len(w.nodes)] }
+// otherMember returns a controller that is not the given one.
+func otherMember(w *World, n *member) *member { return w.controllers[(n.index+1)%len(w.controllers)] }
 
 // checkNoTaskRuns checks that no task of a job runs on any machine, and that no rule is broken.
 func checkNoTaskRuns(t *testing.T, w *World, job string) {
 	t.Helper()
-	w.running(func(h *host, task *task) {
+	w.forEachRunningTask(func(h *host, task *task) {
 		if task.job.spec.ID == job {
 			t.Errorf("%s still runs on %s", task.id, h.id)
 		}
 	})
-	for _, r := range w.Rules {
+	for _, r := range w.Violations {
 		t.Error(r)
 	}
 }
@@ -103,14 +105,14 @@
 func (w *World) submitCopy(job, id string) *simJob {
 	spec := w.users.jobs[job].spec
 	spec.ID = id
-	j := &simJob{spec: spec, run: time.Hour, done: make([]bool, spec.Tasks)}
-	w.users.enter(j)
+	j := &simJob{spec: spec, runTime: time.Hour, done: make([]bool, spec.Tasks)}
+	w.users.submitAndMaybeCancel(j)
 	return j
 }
 
-// The state service refuses the leader and no other node; another controller confirms a cancellation;
+// The state service refuses the leader and no other controller; another one confirms a cancellation;
 // then the state service is down for all, for longer than cancel_s, while workers still report to the
-// old leader. It learns of the cancellation with the first promise, so the job's tasks are stopped in
+// old leader. It learns of the cancellation with the first peer lease, so the job's tasks are stopped in
 // time and no worker loses its lease.
 func TestOldLeaderLearnsOfCancellationFromPeerLeases(t *testing.T) {
 	for name := range gapDeployments {
@@ -121,7 +123,7 @@
 			for i := range 2 {
 				oldLeader := refuseLeader(w)
 				job := []string{arrayJobID, secondArrayJobID}[i]
-				cancelThrough(t, w, otherNode(w, oldLeader), job)
+				cancelThrough(t, w, otherMember(w, oldLeader), job)
 				cancelledAt := w.now
 				w.store.setOutage(true)
 				w.Run(cancelledAt + w.leaseTime()/2)
@@ -134,12 +136,12 @@
 					t.Errorf("last report answered by the old leader at %v, want cancel_s or more after the cancellation at %v", lastRenewal[oldLeader], cancelledAt)
 				}
 				w.store.setOutage(false)
-				oldLeader.refused = false
+				oldLeader.stateRefused = false
 				w.store.notify()
 				w.Run(w.now + 20*time.Second)
 			}
 			for _, h := range w.hosts {
-				if !h.gone && h.session > 1 && h.born < time.Minute {
+				if !h.hasEnded && h.session > 1 && h.rentedAt < time.Minute {
 					t.Errorf("%s lost its lease", h.id)
 				}
 			}
@@ -156,16 +158,16 @@
 			w := newGapWorld(t, name, 22)
 			lastRenewal := recordLastRenewals(w)
 			oldLeader := refuseLeader(w)
-			for _, n := range w.nodes { // the others must not learn of the cancellation from the state service either
-				n.refused = n != otherNode(w, oldLeader)
+			for _, n := range w.controllers { // the others must not learn of the cancellation from the state service either
+				n.stateRefused = n != otherMember(w, oldLeader)
 			}
-			cancelThrough(t, w, otherNode(w, oldLeader), arrayJobID)
+			cancelThrough(t, w, otherMember(w, oldLeader), arrayJobID)
 			cancelledAt := w.now
 			w.store.setOutage(true)
-			for _, n := range w.nodes {
-				n.refused = n == oldLeader
+			for _, n := range w.controllers {
+				n.stateRefused = n == oldLeader
 			}
-			otherNode(w, oldLeader).crash(30 * time.Millisecond)
+			otherMember(w, oldLeader).crash(30 * time.Millisecond)
 			w.Run(cancelledAt + w.cancelTime() - w.leaseTime() - 700*time.Millisecond)
 			if lastRenewal[oldLeader] <= cancelledAt {
 				t.Fatalf("the old leader answered no report after %v", cancelledAt)
@@ -176,7 +178,7 @@
 	}
 }
 
-// The state service refuses the leader and no other node, and goes down for all just after the leader's
+// The state service refuses the leader and no other controller, and goes down for all just after the leader's
 // authority has expired and before any other controller could claim the leadership. If all processes
 // have run throughout, none can have led meanwhile, and the leader resumes its authority. If one of
 // them has restarted, the leader must not.
@@ -184,19 +186,19 @@
 	resumesAuthority := func(restart bool) (bool, []string) {
 		w := settledWorldWith(t, 26, Small, func(*World) {})
 		w.deterministic = true
-		oldLeader := w.leading()
-		oldLeader.refused = true
+		oldLeader := w.leaderOrFirst()
+		oldLeader.stateRefused = true
 		authorityEnd := oldLeader.core.Authority()
 		w.Run(w.now + authorityEnd.Sub(oldLeader.clock()) + 2*time.Millisecond)
-		if oldLeader.leads() || otherNode(w, oldLeader).leads() {
+		if oldLeader.isLeader() || otherMember(w, oldLeader).isLeader() {
 			t.Fatal("a controller leads right after the authority has expired")
 		}
 		w.store.setOutage(true)
 		if restart {
-			otherNode(w, oldLeader).crash(10 * time.Millisecond)
+			otherMember(w, oldLeader).crash(10 * time.Millisecond)
 		}
 		w.Run(w.now + 8*time.Second)
-		return oldLeader.leads(), w.Rules
+		return oldLeader.isLeader(), w.Violations
 	}
 	if leadsAgain, brokenRules := resumesAuthority(false); !leadsAgain || len(brokenRules) > 0 {
 		t.Errorf("all processes ran throughout: leads again %v, want true; rules broken: %v", leadsAgain, brokenRules)
@@ -206,15 +208,15 @@
 	}
 }
 
-// The state service refuses a leader, and no other node, for so long that another one is elected. The old
-// leader has not learned of the election when the state service goes down for all. It must promise not
-// to claim the leadership all the same, or every worker would lose its lease.
+// The state service refuses a leader, and no other controller, for so long that another one is elected. The old
+// leader has not learned of the election when the state service goes down for all. It must grant the
+// new leader a peer lease all the same, or every worker would lose its lease.
 func TestOldLeaderGrantsPeerLeaseToNewLeader(t *testing.T) {
 	w := settledWorldWith(t, 25, Small, func(*World) {})
 	w.deterministic = true
-	oldLeader := w.leading()
-	oldLeader.refused = true
-	for until := w.now + 5*time.Second; w.leading() == oldLeader || !w.leading().leads(); {
+	oldLeader := w.leaderOrFirst()
+	oldLeader.stateRefused = true
+	for until := w.now + 5*time.Second; w.leaderOrFirst() == oldLeader || !w.leaderOrFirst().isLeader(); {
 		if w.now > until {
 			t.Fatal("no other leader elected within 5 s")
 		}
@@ -224,7 +226,7 @@
 	w.store.setOutage(true)
 	w.Run(w.now + 2*w.leaseTime())
 	w.store.setOutage(false)
-	oldLeader.refused = false
+	oldLeader.stateRefused = false
 	w.Run(w.now + 10*time.Second)
 	checkLeasesAndTasksKept(t, w)
 }
@@ -235,20 +237,20 @@
 	w := settledWorldWith(t, 23, Small, func(*World) {})
 	w.deterministic = true
 	lastRenewal := recordLastRenewals(w)
-	oldLeader := w.leading()
+	oldLeader := w.leaderOrFirst()
 	w.Tamper.State = func(call *controller.StateCall) (controller.StateReply, bool) {
 		return controller.StateReply{Status: http.StatusServiceUnavailable}, call.Op == controller.OpRange && call.Key == "t/"
 	}
 	for _, h := range w.hosts {
 		h.receivesNothing = true // stop commands don't reach the machines before the leader changes
 	}
-	cancelThrough(t, w, otherNode(w, oldLeader), arrayJobID)
+	cancelThrough(t, w, otherMember(w, oldLeader), arrayJobID)
 	cancelledAt := w.now
-	oldLeader.refused = true
+	oldLeader.stateRefused = true
 	newLeader := oldLeader
 	for newLeader == oldLeader && w.now < cancelledAt+5*time.Second {
 		w.Run(w.now + 10*time.Millisecond)
-		if n := w.leading(); n.leads() {
+		if n := w.leaderOrFirst(); n.isLeader() {
 			newLeader = n
 		}
 	}
@@ -279,7 +281,7 @@
 	}
 	j := w.submitCopy(arrayJobID, secondArrayJobID)
 	runSent := false
-	w.Tamper.Output = func(n *node, o controller.Output) controller.Output {
+	w.Tamper.Output = func(n *member, o controller.Output) controller.Output {
 		if call, ok := o.(controller.WorkerCall); ok {
 			for _, c := range call.Commands.Commands {
 				runSent = runSent || c.Op == wire.OpRun && strings.HasPrefix(c.Task, secondArrayJobID)
@@ -294,14 +296,14 @@
 		t.Fatal("the command to run the task was not sent within 2 s")
 	}
 	w.faults.delayedCommands = 0 // the stop command is not delayed: it arrives before the task does and has no effect
-	cancelThrough(t, w, otherNode(w, w.leading()), secondArrayJobID)
+	cancelThrough(t, w, otherMember(w, w.leaderOrFirst()), secondArrayJobID)
 	cancelledAt := w.now
 	w.store.setOutage(true)
 	for _, h := range w.hosts {
 		h.noReports = false
 	}
 	w.Run(cancelledAt + w.cancelTime() + 20*time.Second)
-	if j.begun {
+	if j.hasStarted {
 		t.Error("a task of the cancelled job has started")
 	}
 	checkNoTaskRuns(t, w, secondArrayJobID)
--- a/internal/sim/cell_measure.go
+++ b/internal/sim/cell_measure.go
@@ -15,16 +15,16 @@
 func measureCells(machines int, seed uint64, mode string) cellMeasurement {
 	const submitting, end = 2 * time.Minute, 10 * time.Minute
 	cores := float64(machines) / 2 * 20
-	c := NewCluster(seed, 4, map[string]float64{"off": 0}[mode])
+	c := NewFederation(seed, 4, map[string]float64{"off": 0}[mode])
 	for i, w := range c.Worlds {
 		w.deterministic, w.faults.fastBoots = true, true
 		w.shape.Scale, w.shape.Machines = cores/8, machines
 		w.cfg = settings(w.shape)
-		w.cloud.most = (machines + 1) / 2
+		w.cloud.maxPerType = (machines + 1) / 2
 		if i > 0 && mode != "off" {
 			w.op.Cell.LendCores = cores / 2
 		}
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.boot()
 		}
 	}
@@ -42,11 +42,11 @@
 	interval := time.Duration(float64(taskRun) * tasks / (2 * cores))
 	for id, at := 0, 10*time.Second; at < submitting; id, at = id+1, at+interval {
 		j := &simJob{spec: wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "batch", Team: "blue", Kind: wire.KindArray, Priority: "standard", Tasks: tasks,
-			CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", id%5), ImageGB: 1, EstimateS: taskRun.Seconds()}, run: taskRun, done: make([]bool, tasks)}
-		home.users.belongHere(j)
+			CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", id%5), ImageGB: 1, EstimateS: taskRun.Seconds()}, runTime: taskRun, done: make([]bool, tasks)}
+		home.users.assignHome(j)
 		home.after(at, func() {
 			submittedAt[j] = home.now
-			home.users.enterQuietly(j)
+			home.users.submitUncancelled(j)
 		})
 	}
 	if mode == "holder lost" {
@@ -56,14 +56,14 @@
 	for _, at := range []time.Duration{2 * time.Minute, 4 * time.Minute} {
 		home.after(at, func() {
 			for j := range submittedAt {
-				done[at] += tasks - j.left()
+				done[at] += tasks - j.tasksLeft()
 			}
 		})
 	}
 	c.Run(end)
-	m := cellMeasurement{violations: c.Rules(), jobs: len(submittedAt), jobsElsewhere: len(c.ran), doneAfter2Min: done[2*time.Minute], doneAfter4Min: done[4*time.Minute]}
+	m := cellMeasurement{violations: c.Violations(), jobs: len(submittedAt), jobsElsewhere: len(c.startsElsewhere), doneAfter2Min: done[2*time.Minute], doneAfter4Min: done[4*time.Minute]}
 	for j := range submittedAt {
-		m.unfinishedTasks += j.left()
+		m.unfinishedTasks += j.tasksLeft()
 		if wait, ran := startDelays[j]; ran {
 			m.startDelays = append(m.startDelays, wait)
 		}
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -12,27 +12,27 @@
 	"pumicefront/wire"
 )
 
-// caught simulates tampered runs of the Small shape until the checks report a violation
+// expectViolation simulates tampered runs of the Small shape until the checks report a violation
 // of the rule. It fails if no seed leads to one.
-func caught(t *testing.T, rule string, after time.Duration, tamper func() Tamper) {
+func expectViolation(t *testing.T, rule string, after time.Duration, tamper func() Tamper) {
 	t.Helper()
-	caughtOn(t, Small, rule, after, tamper)
+	expectViolationOnShape(t, Small, rule, after, tamper)
 }
 
-// caughtOn does the same for a given shape.
-func caughtOn(t *testing.T, shape Shape, rule string, after time.Duration, tamper func() Tamper) {
+// expectViolationOnShape does the same for a given shape.
+func expectViolationOnShape(t *testing.T, shape Shape, rule string, after time.Duration, tamper func() Tamper) {
 	t.Helper()
-	caughtBy(t, shape, rule, func(w *World, faults, _ time.Duration) { RunFaults(w, faults, after) }, tamper)
+	expectViolationInRun(t, shape, rule, func(w *World, faults, _ time.Duration) { RunFaults(w, faults, after) }, tamper)
 }
 
-// caughtBy does the same for a given shape and kind of run.
-func caughtBy(t *testing.T, shape Shape, rule string, run func(w *World, faultTime, recovery time.Duration), tamper func() Tamper) {
+// expectViolationInRun does the same for a given shape and kind of run.
+func expectViolationInRun(t *testing.T, shape Shape, rule string, run func(w *World, faultTime, recovery time.Duration), tamper func() Tamper) {
 	t.Helper()
 	for seed := range uint64(200) {
 		w := New(seed, shape)
 		w.Tamper = tamper()
 		run(w, faultPhase, recoveryPhase)
-		for _, r := range w.Rules {
+		for _, r := range w.Violations {
 			if strings.HasPrefix(r, rule) {
 				return
 			}
@@ -46,7 +46,7 @@
 func TestCheckerDetectsBrokenRules(t *testing.T) {
 	t.Run("exited tasks are forgotten before their end is recorded", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "ran_", time.Second, func() Tamper {
+		expectViolation(t, "ran_", time.Second, func() Tamper {
 			return Tamper{Answer: func(w *World, r *controller.ReportRequest, a *controller.Answer) {
 				body, ok := a.Body.(wire.ReportAnswer)
 				if !ok {
@@ -63,7 +63,7 @@
 	})
 	t.Run("task records are not stored", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "ran_twice", time.Second, func() Tamper {
+		expectViolation(t, "ran_twice", time.Second, func() Tamper {
 			return Tamper{State: func(call *controller.StateCall) (controller.StateReply, bool) {
 				if call.Op != controller.OpTxn || !onlyTasks(call.Txn) {
 					return controller.StateReply{}, false
@@ -74,7 +74,7 @@
 	})
 	t.Run("new leader does not wait for proof that earlier attempts have ended", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "ran_twice", time.Second, func() Tamper {
+		expectViolation(t, "ran_twice", time.Second, func() Tamper {
 			return Tamper{StateReply: func(call *controller.StateCall, r *controller.StateReply) {
 				if call.Op != controller.OpRange || call.Key != "t/" {
 					return
@@ -100,7 +100,7 @@
 	}
 	t.Run("queries about one job are always rejected", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "forgotten", recoveryPhase, func() Tamper {
+		expectViolation(t, "forgotten", recoveryPhase, func() Tamper {
 			first := ""
 			return Tamper{User: func(r *controller.UserRequest, a *controller.Answer) {
 				if r.Op == controller.UserPoll && first == "" && a.Status == http.StatusOK {
@@ -114,7 +114,7 @@
 	})
 	t.Run("one job's tasks are never placed", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "starved", recoveryPhase, func() Tamper {
+		expectViolation(t, "starved", recoveryPhase, func() Tamper {
 			first := ""
 			return Tamper{State: func(call *controller.StateCall) (controller.StateReply, bool) {
 				if first == "" && isTask(call, "") {
@@ -126,7 +126,7 @@
 	})
 	t.Run("a delayed copy of a report is accepted as the newest", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "ran_", recoveryPhase, func() Tamper {
+		expectViolation(t, "ran_", recoveryPhase, func() Tamper {
 			return Tamper{Report: func(h *host, late bool, r *wire.Report) {
 				if late {
 					r.Session, r.Seq, r.Token, r.Tasks = h.session, h.seq+1, h.token, nil
@@ -136,7 +136,7 @@
 	})
 	t.Run("a machine that receives nothing reports that its tasks have ended", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "ran_twice", recoveryPhase, func() Tamper {
+		expectViolation(t, "ran_twice", recoveryPhase, func() Tamper {
 			return Tamper{Report: func(h *host, _ bool, r *wire.Report) {
 				if h.receivesNothing {
 					r.Session, r.Tasks = r.Session+1, nil // as if its lease had run out
@@ -146,9 +146,9 @@
 	})
 	t.Run("a controller without authority answers reports", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "authority", recoveryPhase, func() Tamper {
+		expectViolation(t, "authority", recoveryPhase, func() Tamper {
 			token := uint64(0)
-			return Tamper{Output: func(n *node, o controller.Output) controller.Output {
+			return Tamper{Output: func(n *member, o controller.Output) controller.Output {
 				a, ok := o.(controller.Answer)
 				if !ok {
 					return o
@@ -156,7 +156,7 @@
 				if body, ok := a.Body.(wire.ReportAnswer); ok {
 					token = max(token, body.Token)
 				}
-				if n.isolated && a.Status == http.StatusMisdirectedRequest && token > 0 {
+				if n.cutFromStateAndPeers && a.Status == http.StatusMisdirectedRequest && token > 0 {
 					a.Status, a.Body = http.StatusOK, wire.ReportAnswer{Token: token - 1}
 				}
 				return a
@@ -170,7 +170,7 @@
 func TestCheckerDetectsBrokenChains(t *testing.T) {
 	t.Run("job records lose the list of needed jobs", func(t *testing.T) {
 		t.Parallel()
-		caughtBy(t, Chains, "too_early", runFaultPairsLongRecovery, func() Tamper {
+		expectViolationInRun(t, Chains, "too_early", runFaultPairsLongRecovery, func() Tamper {
 			return Tamper{State: func(call *controller.StateCall) (controller.StateReply, bool) {
 				for i, change := range call.Txn.Then {
 					var rec map[string]any
@@ -189,7 +189,7 @@
 	})
 	t.Run("jobs that need a cancelled job are still reported queued", func(t *testing.T) {
 		t.Parallel()
-		caughtBy(t, Chains, "orphaned", runFaultPairsLongRecovery, func() Tamper {
+		expectViolationInRun(t, Chains, "orphaned", runFaultPairsLongRecovery, func() Tamper {
 			asked := map[string]bool{}
 			return Tamper{User: func(r *controller.UserRequest, a *controller.Answer) {
 				s, ok := a.Body.(wire.JobState)
@@ -210,9 +210,9 @@
 func TestCheckerDetectsFleetFaults(t *testing.T) {
 	t.Run("the clock of a paused controller stops", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "authority", time.Second, func() Tamper {
-			behind, since := map[*node]time.Duration{}, map[*node]time.Time{}
-			return Tamper{Clock: func(n *node, now time.Time) time.Time {
+		expectViolation(t, "authority", time.Second, func() Tamper {
+			behind, since := map[*member]time.Duration{}, map[*member]time.Time{}
+			return Tamper{Clock: func(n *member, now time.Time) time.Time {
 				switch at, still := since[n]; {
 				case n.paused && !still:
 					since[n] = now
@@ -226,7 +226,7 @@
 	})
 	t.Run("the cloud confirms a release that it did not carry out", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "ran_twice", time.Second, func() Tamper {
+		expectViolation(t, "ran_twice", time.Second, func() Tamper {
 			return Tamper{Cloud: func(call *controller.CloudCall) (controller.CloudReply, bool) {
 				return controller.CloudReply{Status: http.StatusOK}, call.Op == controller.CloudRelease
 			}}
@@ -234,9 +234,9 @@
 	})
 	t.Run("tasks of partitioned machines are reported ended", func(t *testing.T) {
 		t.Parallel()
-		caught(t, "ran_twice", time.Second, func() Tamper {
+		expectViolation(t, "ran_twice", time.Second, func() Tamper {
 			return Tamper{Report: func(h *host, late bool, r *wire.Report) {
-				if late && h.cut {
+				if late && h.partitioned {
 					r.Session, r.Seq, r.Tasks = h.session+1, h.seq+1, nil
 				}
 			}}
@@ -253,7 +253,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			caughtOn(t, GPUs, "quota", time.Second, func() Tamper {
+			expectViolationOnShape(t, GPUs, "quota", time.Second, func() Tamper {
 				return Tamper{Settings: func(p *config.Platform) {
 					p.Facts.Teams = slices.Clone(p.Facts.Teams)
 					for i := range p.Facts.Teams {
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -11,24 +11,24 @@
 
 // cloud simulates the cloud's API, through which machines are rented and released.
 type cloud struct {
-	w       *World
-	nextID  int
-	rentals map[string][]string // machines by rental request: a repeated request gets the same ones
-	outage  bool
-	most    int // maximum number of machines of each type
+	w          *World
+	nextID     int
+	rentals    map[string][]string // machines by rental request: a repeated request gets the same ones
+	outage     bool
+	maxPerType int // maximum number of machines of each type
 
 	refusing map[string]bool // zones in which nothing can be rented
 }
 
 func newCloud(w *World) *cloud {
-	return &cloud{w: w, rentals: map[string][]string{}, refusing: map[string]bool{}, most: (w.shape.Machines + 1) / 2}
+	return &cloud{w: w, rentals: map[string][]string{}, refusing: map[string]bool{}, maxPerType: (w.shape.Machines + 1) / 2}
 }
 
-func (c *cloud) call(n *node, call controller.CloudCall) {
-	w, life := c.w, n.life
+func (c *cloud) call(n *member, call controller.CloudCall) {
+	w, incarnation := c.w, n.incarnation
 	reply := once(func(r controller.CloudReply) {
 		r.ID = call.ID
-		n.deliver(life, r)
+		n.deliver(incarnation, r)
 	})
 	w.after(call.Timeout, func() { reply(controller.CloudReply{}) })
 	lost := w.chance(0.02)
@@ -67,7 +67,7 @@
 	case controller.CloudRelease:
 		for _, id := range call.MachineIDs {
 			if h := c.w.host(id); h != nil {
-				h.vanish()
+				h.terminate()
 			}
 		}
 	case controller.CloudList:
@@ -80,14 +80,14 @@
 	if names, ok := c.rentals[r.Request]; ok {
 		return names, true
 	}
-	rented, limit := 0, c.most
+	rented, limit := 0, c.maxPerType
 	for _, h := range c.w.hosts {
-		if !h.gone && h.typ == r.Type && (c.w.shape.Zones == 0 || h.zone == r.Zone) {
+		if !h.hasEnded && h.typ == r.Type && (c.w.shape.Zones == 0 || h.zone == r.Zone) {
 			rented++
 		}
 	}
 	if c.w.shape.Zones > 0 {
-		limit = c.inZone(r.Zone)
+		limit = c.maxInZone(r.Zone)
 	}
 	names := []string{}
 	for i := 0; i < r.Count && rented+i < limit; i++ {
@@ -101,12 +101,12 @@
 	return names, true
 }
 
-// inZone returns the maximum number of machines of each type in a zone.
-func (c *cloud) inZone(zone string) int {
+// maxInZone returns the maximum number of machines of each type in a zone.
+func (c *cloud) maxInZone(zone string) int {
 	if c.refusing[zone] {
 		return 0
 	}
-	return (c.most + c.w.shape.Zones - 1) / c.w.shape.Zones
+	return (c.maxPerType + c.w.shape.Zones - 1) / c.w.shape.Zones
 }
 
 // list shows the machines as they were some time ago, between half and one and a half times
@@ -116,15 +116,15 @@
 	var p wire.MachinePage
 	for _, h := range c.w.hosts {
 		asOf := c.w.now - lag
-		if h.id <= after || h.born > asOf || h.gone && h.goneAt < asOf {
+		if h.id <= after || h.rentedAt > asOf || h.hasEnded && h.endedAt < asOf {
 			continue
 		}
 		state := wire.MachineRunning
-		if h.up > asOf {
+		if h.bootedAt > asOf {
 			state = wire.MachineBooting
 		}
 		p.Machines = append(p.Machines, wire.Machine{ID: h.id, Addr: h.address(), Type: h.typ, Zone: h.zone, Spot: h.spot, State: state,
-			AgeS: (asOf - h.born).Seconds()})
+			AgeS: (asOf - h.rentedAt).Seconds()})
 	}
 	return p
 }
--- a/internal/sim/cluster_test.go
+++ b/internal/sim/cluster_test.go
@@ -18,19 +18,19 @@
 // runCells runs four cells, of which the first receives far more work than it has room for, with the
 // given fault (nil: only the losses of the links). After a recovery without losses it checks that no
 // rule was violated and that every accepted array has completed, unless it was cancelled.
-func runCells(t *testing.T, seed uint64, fault func(c *Cluster)) *Cluster {
+func runCells(t *testing.T, seed uint64, fault func(c *Federation)) *Federation {
 	t.Helper()
-	c := NewCluster(seed, 4, 64)
+	c := NewFederation(seed, 4, 64)
 	if os.Getenv("PUMICEFRONT_CELL_LOG") != "" {
 		for _, w := range c.Worlds {
-			w.Log = func(f string, args ...any) { fmt.Printf(cellName(w.place)+" "+f+"\n", args...) }
+			w.Log = func(f string, args ...any) { fmt.Printf(cellName(w.cellIndex)+" "+f+"\n", args...) }
 		}
 	}
 	for i, w := range c.Worlds {
 		w.deterministic = fault != nil && seed%2 == 0
-		w.begin(cellFaultPhase - 30*time.Second)
+		w.startUsers(cellFaultPhase - 30*time.Second)
 		if i == 0 {
-			w.after(2*time.Second, func() { w.users.arrive(w.shape.ArrivalInterval / 3) })
+			w.after(2*time.Second, func() { w.users.submitRegularly(w.shape.ArrivalInterval / 3) })
 		}
 	}
 	if fault != nil {
@@ -39,12 +39,12 @@
 	c.Run(cellFaultPhase)
 	c.lossless = true
 	c.Run(cellFaultPhase + cellRecoveryPhase)
-	if len(c.Rules()) == 0 {
+	if len(c.Violations()) == 0 {
 		for _, w := range c.Worlds {
 			w.checkEnds()
 		}
 	}
-	for _, r := range c.Rules() {
+	for _, r := range c.Violations() {
 		t.Errorf("seed %d: %s", seed, r)
 	}
 	return c
@@ -53,12 +53,12 @@
 // TestCellsSpillOver runs four cells without faults, except for lost and duplicated calls on the links.
 // Jobs must run in other cells than their home.
 func TestCellsSpillOver(t *testing.T) {
-	for seed := range uint64(runsOf("PUMICEFRONT_CELL_RUNS", 4)) {
+	for seed := range uint64(runCount("PUMICEFRONT_CELL_RUNS", 4)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			c := runCells(t, seed, nil)
-			if len(c.ran) < 3 {
-				t.Errorf("seed %d: only %d jobs ran in another cell", seed, len(c.ran))
+			if len(c.startsElsewhere) < 3 {
+				t.Errorf("seed %d: only %d jobs ran in another cell", seed, len(c.startsElsewhere))
 			}
 		})
 	}
@@ -68,60 +68,60 @@
 // jobs, links or only the answers on them are cut, all cells are full, the home cell's controllers
 // crash, state services are unavailable, and leaders change.
 func TestCellFaults(t *testing.T) {
-	for name, fault := range map[string]func(c *Cluster){
-		"receiving cells fail": func(c *Cluster) {
+	for name, fault := range map[string]func(c *Federation){
+		"receiving cells fail": func(c *Federation) {
 			for i := 1; i < 4; i++ {
 				w := c.Worlds[i]
 				w.after(time.Duration(20+25*i)*time.Second, func() { w.failCell(25 * time.Second) })
 			}
 		},
-		"links are out": func(c *Cluster) {
+		"links are out": func(c *Federation) {
 			for i := 1; i < 4; i++ {
 				c.Worlds[0].after(time.Duration(15+20*i)*time.Second, func() { c.SetLink(0, i, false) })
 				c.Worlds[0].after(time.Duration(45+20*i)*time.Second, func() { c.SetLink(0, i, true) })
 			}
 		},
-		"answers are lost": func(c *Cluster) {
+		"answers are lost": func(c *Federation) {
 			for i := 1; i < 4; i++ {
 				c.Worlds[0].after(time.Duration(15+20*i)*time.Second, func() { c.cutLinks[[2]int{i, 0}] = true })
 				c.Worlds[0].after(time.Duration(50+20*i)*time.Second, func() { c.cutLinks[[2]int{i, 0}] = false })
 			}
 		},
-		"all cells are full": func(c *Cluster) {
+		"all cells are full": func(c *Federation) {
 			for _, w := range c.Worlds[1:] {
-				w.after(20*time.Second, func() { w.users.arrive(w.shape.ArrivalInterval / 3) })
+				w.after(20*time.Second, func() { w.users.submitRegularly(w.shape.ArrivalInterval / 3) })
 			}
 		},
-		"the home fails": func(c *Cluster) {
+		"the home fails": func(c *Federation) {
 			w := c.Worlds[0]
 			for _, at := range []time.Duration{40 * time.Second, 80 * time.Second, 110 * time.Second} {
 				w.after(at, func() {
-					for _, n := range w.nodes {
+					for _, n := range w.controllers {
 						n.crash(6 * time.Second)
 					}
 				})
 			}
 		},
-		"state services are out": func(c *Cluster) {
+		"state services are out": func(c *Federation) {
 			for i, w := range c.Worlds {
 				w.after(time.Duration(30+22*i)*time.Second, func() { w.store.setOutage(true) })
 				w.after(time.Duration(48+22*i)*time.Second, func() { w.store.setOutage(false) })
 			}
 		},
-		"leaders change": func(c *Cluster) {
+		"leaders change": func(c *Federation) {
 			for _, w := range c.Worlds {
 				w.faults.lateWrites = 0.05
 				for at := 20 * time.Second; at < cellFaultPhase; at += 9 * time.Second {
-					w.after(at+w.between(0, 8*time.Second), func() { w.leading().crash(w.between(100*time.Millisecond, 5*time.Second)) })
+					w.after(at+w.between(0, 8*time.Second), func() { w.leaderOrFirst().crash(w.between(100*time.Millisecond, 5*time.Second)) })
 				}
 				w.after(cellFaultPhase, func() { w.faults.lateWrites = 0 })
 			}
 		},
 	} {
-		for seed := range uint64(runsOf("PUMICEFRONT_CELL_RUNS", 2)) {
+		for seed := range uint64(runCount("PUMICEFRONT_CELL_RUNS", 2)) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				if c := runCells(t, seed, fault); len(c.ran) == 0 {
+				if c := runCells(t, seed, fault); len(c.startsElsewhere) == 0 {
 					t.Errorf("seed %d: no job ran in another cell", seed)
 				}
 			})
@@ -132,7 +132,7 @@
 // declareGone sends an operator's declaration that a cell is gone to the home cell, and repeats it
 // every second until it is recorded.
 func declareGone(home *World, cell cells.Cell) {
-	home.leading().ask(func(req uint64) controller.Input {
+	home.leaderOrFirst().ask(func(req uint64) controller.Input {
 		return controller.CellGoneRequest{Req: req, Cell: cell, By: "operator"}
 	}, func(a controller.Answer) {
 		if a.Status != 200 {
@@ -146,14 +146,14 @@
 // Operators declare a cell gone after all its machines have ended. The jobs that it held must run
 // elsewhere, and the cell must not start them again when it returns.
 func TestCellDeclaredGone(t *testing.T) {
-	for seed := range uint64(runsOf("PUMICEFRONT_CELL_RUNS", 2)) {
-		c := runCells(t, seed, func(c *Cluster) {
+	for seed := range uint64(runCount("PUMICEFRONT_CELL_RUNS", 2)) {
+		c := runCells(t, seed, func(c *Federation) {
 			lost, home := c.Worlds[1], c.Worlds[0]
 			lost.after(60*time.Second, func() {
 				lost.failCell(60 * time.Second)
 				for _, h := range lost.hosts {
-					if !h.gone {
-						h.vanish()
+					if !h.hasEnded {
+						h.terminate()
 					}
 				}
 			})
@@ -172,9 +172,9 @@
 func TestLateCallsToCellDeclaredGone(t *testing.T) {
 	const lostAt, recoveredAt, reconnectedAt = 60 * time.Second, 120 * time.Second, 150 * time.Second
 	capturedMessages := 0
-	for seed := range uint64(runsOf("PUMICEFRONT_CELL_RUNS", 2)) {
+	for seed := range uint64(runCount("PUMICEFRONT_CELL_RUNS", 2)) {
 		copies, challenged, started := 0, 0, 0
-		c := runCells(t, seed, func(c *Cluster) {
+		c := runCells(t, seed, func(c *Federation) {
 			home, lostCell := c.Worlds[0], c.Worlds[1]
 			var earlierCalls []controller.CellRequest
 			c.onCellCall = func(from, to *World, call controller.CellCall) {
@@ -184,7 +184,7 @@
 				}
 			}
 			lostCell.onStart = func(_ *host, task *task) {
-				if lostCell.now > recoveredAt && lostCell.now < reconnectedAt && c.homes[task.job.spec.ID] == home {
+				if lostCell.now > recoveredAt && lostCell.now < reconnectedAt && c.homeCells[task.job.spec.ID] == home {
 					started++
 				}
 			}
@@ -192,13 +192,13 @@
 				c.SetLink(0, 1, false)
 				lostCell.failCell(recoveredAt - lostAt)
 				for _, h := range lostCell.hosts {
-					if !h.gone {
-						h.vanish()
+					if !h.hasEnded {
+						h.terminate()
 					}
 				}
 			})
 			home.after(lostAt+15*time.Second, func() { declareGone(home, "cell-1") })
-			home.after(lostAt+40*time.Second, func() { home.leading().crash(3 * time.Second) })
+			home.after(lostAt+40*time.Second, func() { home.leaderOrFirst().crash(3 * time.Second) })
 			lostCell.after(recoveredAt+12*time.Second, func() { lostCell.store.setOutage(true) })
 			lostCell.after(recoveredAt+18*time.Second, func() { lostCell.store.setOutage(false) })
 			for at := recoveredAt; at < reconnectedAt; at += time.Second {
--- a/internal/sim/coverage.go
+++ b/internal/sim/coverage.go
@@ -11,19 +11,19 @@
 
 // waitsForStart reports whether no task of an accepted job has started yet. Jobs that may
 // be cancelled don't count.
-func (j *simJob) waitsForStart() bool { return j.accepted && !j.begun && !j.mayBeCancelled() }
+func (j *simJob) waitsForStart() bool { return j.accepted && !j.hasStarted && !j.mayBeCancelled() }
 
 func (w *World) leaseTime() time.Duration {
 	return time.Duration(w.cfg.Facts.Workers.LeaseS * float64(time.Second))
 }
 
-// leading returns the controller that leads, or the first controller if none does.
-func (w *World) leading() *node {
-	return w.nodes[max(slices.IndexFunc(w.nodes, (*node).leads), 0)]
+// leaderOrFirst returns the controller that leads, or the first controller if none does.
+func (w *World) leaderOrFirst() *member {
+	return w.controllers[max(slices.IndexFunc(w.controllers, (*member).isLeader), 0)]
 }
 
-// leads reports whether the controller holds the leader's authority by its own clock.
-func (n *node) leads() bool { return n.core != nil && n.clock().Before(n.core.Authority()) }
+// isLeader reports whether the controller holds the leader's authority by its own clock.
+func (n *member) isLeader() bool { return n.core != nil && n.clock().Before(n.core.Authority()) }
 
 // The functions below count the combinations of faults that a run reaches. The tests that
 // simulate overlapping faults require each combination to occur in at least one of their
@@ -31,14 +31,14 @@
 
 // noteRenewal counts renewals of a worker's lease during an outage of the state service,
 // while tasks run of a job that was reported cancelled to its user.
-func (w *World) noteRenewal(n *node) {
+func (w *World) noteRenewal(n *member) {
 	if !w.store.outage {
 		return
 	}
-	w.running(func(_ *host, t *task) {
-		if t.job.cancelTold {
+	w.forEachRunningTask(func(_ *host, t *task) {
+		if t.job.reportedCancelled {
 			w.coverage["leases renewed in an outage after a cancellation was told"]++
-			if n.refused {
+			if n.stateRefused {
 				w.coverage["by a leader that had been refused alone"]++
 			}
 		}
@@ -46,7 +46,7 @@
 }
 
 // noteLeaderChange counts the conditions under which another controller becomes leader.
-func (w *World) noteLeaderChange(n *node) {
+func (w *World) noteLeaderChange(n *member) {
 	if n == w.lastLeader || w.lastLeader == nil {
 		w.lastLeader = n
 		return
@@ -56,13 +56,13 @@
 	}
 	w.lastLeader, w.leaderSince = n, w.now
 	cores := map[string]float64{}
-	w.running(func(_ *host, t *task) { cores[t.job.spec.Team] += t.job.spec.CPUs })
-	w.running(func(h *host, t *task) {
-		unreachable := h.cut || h.hung || h.receivesNothing || h.sendsNothing
+	w.forEachRunningTask(func(_ *host, t *task) { cores[t.job.spec.Team] += t.job.spec.CPUs })
+	w.forEachRunningTask(func(h *host, t *task) {
+		unreachable := h.partitioned || h.hung || h.receivesNothing || h.sendsNothing
 		if unreachable {
 			w.coverage["leaders change while tasks are on machines that can't be reached"]++
 		}
-		if unreachable && t.job.cancelTold && cores[t.job.spec.Team] > w.team(t.job.spec.Team).CPUsMax-4 {
+		if unreachable && t.job.reportedCancelled && cores[t.job.spec.Team] > w.team(t.job.spec.Team).CPUsMax-4 {
 			w.coverage["the same with a team at its limit and its job cancelled"]++
 		}
 	})
@@ -76,8 +76,8 @@
 	if w.store.outage {
 		w.coverage["a leader ends in an outage"]++
 	}
-	w.running(func(h *host, _ *task) {
-		if w.faults.fastBoots && w.faults.slowState > 0 && w.now-h.up < 5*time.Second {
+	w.forEachRunningTask(func(h *host, _ *task) {
+		if w.faults.fastBoots && w.faults.slowState > 0 && w.now-h.bootedAt < 5*time.Second {
 			w.coverage["a leader ends while writes lag and machines just up have work"]++
 		}
 	})
@@ -91,12 +91,12 @@
 	if w.faults.slowState > 0 {
 		w.coverage["a cancellation told while the state service is slow"]++
 	}
-	for _, n := range w.nodes {
-		if n.isolated && n == w.lastLeader {
+	for _, n := range w.controllers {
+		if n.cutFromStateAndPeers && n == w.lastLeader {
 			w.coverage["a cancellation told by others while the leader has its workers alone"]++
 		}
 	}
-	w.running(func(h *host, t *task) {
+	w.forEachRunningTask(func(h *host, t *task) {
 		if t.job == j && h.hung {
 			w.coverage["a cancellation told while a machine of the job hangs"]++
 		}
@@ -127,11 +127,11 @@
 }
 
 // noteOldReport counts copies of reports that arrive after newer ones.
-func (w *World) noteOldReport(h *host, n *node, r *wire.Report) {
+func (w *World) noteOldReport(h *host, n *member, r *wire.Report) {
 	if r.Session < h.session {
 		w.coverage["a report from an earlier session arrives"]++
 	}
-	if n.leads() && w.now-w.leaderSince < 2*time.Second && r.Token < w.highestToken {
+	if n.isLeader() && w.now-w.leaderSince < 2*time.Second && r.Token < w.highestToken {
 		w.coverage["an old report arrives as a new leader begins"]++
 	}
 }
@@ -139,9 +139,9 @@
 // noteTaskEnd counts tasks of small jobs that end after a change of leaders, when another
 // task of the job ended before it.
 func (w *World) noteTaskEnd(j *simJob) {
-	if j.firstEnd == 0 {
-		j.firstEnd = w.now
-	} else if j.spec.Tasks <= 3 && j.firstEnd < w.leaderSince {
+	if j.firstTaskEnd == 0 {
+		j.firstTaskEnd = w.now
+	} else if j.spec.Tasks <= 3 && j.firstTaskEnd < w.leaderSince {
 		w.coverage["tasks of a small job end on both sides of a change of leaders"]++
 	}
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -13,15 +13,15 @@
 	duration time.Duration
 }
 
-// undo schedules the repair of the fault for the end of its duration.
-func (f faultSpan) undo(repair func()) { f.w.after(f.w.untilEnd(f.duration, f.end), repair) }
+// repairAtEnd schedules the repair of the fault for the end of its duration.
+func (f faultSpan) repairAtEnd(repair func()) { f.w.after(f.w.untilEnd(f.duration, f.end), repair) }
 
 // isolate partitions a controller from the state service and from the other controllers.
 // It still reaches workers and users.
-func (f faultSpan) isolate(n *node) {
-	n.isolated = true
-	f.undo(func() {
-		n.isolated = false
+func (f faultSpan) isolate(n *member) {
+	n.cutFromStateAndPeers = true
+	f.repairAtEnd(func() {
+		n.cutFromStateAndPeers = false
 		f.w.store.notify()
 	})
 }
@@ -29,7 +29,7 @@
 // randomFault is a random fault with its parameters.
 type randomFault struct {
 	faultSpan
-	node          *node
+	controller    *member
 	downtime      time.Duration // downtime of a process that crashes
 	shortDowntime time.Duration // downtime of a process or machine that restarts quickly
 	machineChoice uint64        // selects a machine
@@ -73,7 +73,7 @@
 // drawFault draws a fault and returns the function that injects it.
 func (w *World) drawFault(end time.Duration) func() {
 	f := &randomFault{
-		node:          w.nodes[w.rng.IntN(len(w.nodes))],
+		controller:    w.controllers[w.rng.IntN(len(w.controllers))],
 		faultSpan:     faultSpan{w: w, end: end, duration: w.between(3*time.Second, 30*time.Second)},
 		downtime:      w.between(100*time.Millisecond, 6*time.Second),
 		shortDowntime: w.between(20*time.Millisecond, 400*time.Millisecond),
@@ -89,57 +89,57 @@
 	return min(duration, max(end-w.now, 0))
 }
 
-func (f *randomFault) crashOne() { f.node.crash(f.downtime) }
+func (f *randomFault) crashOne() { f.controller.crash(f.downtime) }
 
 func (f *randomFault) crashAll() {
-	for _, n := range f.w.nodes {
+	for _, n := range f.w.controllers {
 		n.crash(f.downtime)
 	}
 }
 
 func (f *randomFault) stateOutage() {
 	f.w.store.setOutage(true)
-	f.undo(func() { f.w.store.setOutage(false) })
+	f.repairAtEnd(func() { f.w.store.setOutage(false) })
 }
 
 func (f *randomFault) stateOutageAndCrash() {
 	f.w.store.setOutage(true)
-	f.node.crash(f.downtime)
-	f.undo(func() { f.w.store.setOutage(false) })
+	f.controller.crash(f.downtime)
+	f.repairAtEnd(func() { f.w.store.setOutage(false) })
 }
 
-func (f *randomFault) refuseOne() { f.w.refuse(f.node, f.duration, f.end) }
+func (f *randomFault) refuseOne() { f.w.refuse(f.controller, f.duration, f.end) }
 
 func (f *randomFault) refuseOneWithoutPeers() {
-	f.node.refused, f.node.meshCut = true, true
-	f.undo(func() {
-		f.node.refused, f.node.meshCut = false, false
+	f.controller.stateRefused, f.controller.cutFromPeers = true, true
+	f.repairAtEnd(func() {
+		f.controller.stateRefused, f.controller.cutFromPeers = false, false
 		f.w.store.notify()
 	})
 }
 
 func (f *randomFault) cutOneFromWorkers() {
-	f.node.workersCut = true
-	f.undo(func() { f.node.workersCut = false })
+	f.controller.cutFromWorkers = true
+	f.repairAtEnd(func() { f.controller.cutFromWorkers = false })
 }
 
-func (f *randomFault) isolateOne() { f.isolate(f.node) }
+func (f *randomFault) isolateOne() { f.isolate(f.controller) }
 
 func (f *randomFault) isolateOneAndCrashOthers() {
-	for _, n := range f.w.nodes {
-		if n != f.node {
+	for _, n := range f.w.controllers {
+		if n != f.controller {
 			n.crash(f.downtime)
 		}
 	}
-	f.isolate(f.node)
+	f.isolate(f.controller)
 }
 
-func (f *randomFault) pauseOne() { f.node.pause(f.duration) }
+func (f *randomFault) pauseOne() { f.controller.pause(f.duration) }
 
-func (f *randomFault) pauseOneBriefly() { f.node.pause(f.downtime / 3) }
+func (f *randomFault) pauseOneBriefly() { f.controller.pause(f.downtime / 3) }
 
 func (f *randomFault) pauseAll() {
-	for _, n := range f.w.nodes {
+	for _, n := range f.w.controllers {
 		n.pause(f.w.between(0, f.duration))
 	}
 }
@@ -147,42 +147,42 @@
 // pauseOneAndCrashNext pauses one controller, so that another takes over, and crashes the
 // next one within four seconds, which may be the one that took over.
 func (f *randomFault) pauseOneAndCrashNext() {
-	f.node.pause(f.duration)
-	next := f.w.nodes[(f.node.i+1)%len(f.w.nodes)]
+	f.controller.pause(f.duration)
+	next := f.w.controllers[(f.controller.index+1)%len(f.w.controllers)]
 	f.w.after(f.w.between(0, 4*time.Second), func() { next.crash(f.shortDowntime) })
 }
 
 func (f *randomFault) stateOutageAndPause() {
 	f.w.store.setOutage(true)
-	f.node.pause(f.duration / 2)
-	f.undo(func() { f.w.store.setOutage(false) })
+	f.controller.pause(f.duration / 2)
+	f.repairAtEnd(func() { f.w.store.setOutage(false) })
 }
 
 func (f *randomFault) crashTwice() {
-	f.node.crash(f.shortDowntime)
-	f.w.after(f.shortDowntime+f.w.between(0, 2*time.Second), func() { f.node.crash(f.shortDowntime) })
+	f.controller.crash(f.shortDowntime)
+	f.w.after(f.shortDowntime+f.w.between(0, 2*time.Second), func() { f.controller.crash(f.shortDowntime) })
 }
 
 func (f *randomFault) stateOutageAndQuickRestart() {
 	f.w.store.setOutage(true)
-	f.w.after(f.w.between(time.Second, 4*time.Second), func() { f.node.crash(f.shortDowntime) })
-	f.undo(func() { f.w.store.setOutage(false) })
+	f.w.after(f.w.between(time.Second, 4*time.Second), func() { f.controller.crash(f.shortDowntime) })
+	f.repairAtEnd(func() { f.w.store.setOutage(false) })
 }
 
 // refuseAllInTurn makes the state service refuse each controller for a different time, so
 // that their leases run out and they return one by one. One of them also crashes.
 func (f *randomFault) refuseAllInTurn() {
-	for _, n := range f.w.nodes {
+	for _, n := range f.w.controllers {
 		f.w.refuse(n, f.duration/4+f.w.between(0, 4*time.Second), f.end)
 	}
-	f.w.after(f.w.between(0, 3*time.Second), func() { f.node.crash(f.shortDowntime) })
+	f.w.after(f.w.between(0, 3*time.Second), func() { f.controller.crash(f.shortDowntime) })
 }
 
 // refuse makes the state service refuse the calls of one controller for a while.
-func (w *World) refuse(n *node, duration, end time.Duration) {
-	n.refused = true
+func (w *World) refuse(n *member, duration, end time.Duration) {
+	n.stateRefused = true
 	w.after(w.untilEnd(duration, end), func() {
-		n.refused = false
+		n.stateRefused = false
 		w.store.notify()
 	})
 }
@@ -194,14 +194,14 @@
 func (f *randomFault) machineReceivesNothing() {
 	f.oneMachine(func(h *host) {
 		h.receivesNothing = true
-		f.undo(func() { h.receivesNothing = false })
+		f.repairAtEnd(func() { h.receivesNothing = false })
 	})
 }
 
 func (f *randomFault) machineReceivesNothingAndRestarts() {
 	f.oneMachine(func(h *host) {
 		h.receivesNothing = true
-		f.undo(func() {
+		f.repairAtEnd(func() {
 			h.receivesNothing = false
 			h.restart(f.shortDowntime)
 		})
@@ -210,41 +210,41 @@
 
 func (f *randomFault) cutManyMachines()  { f.manyMachines(f.cut) }
 func (f *randomFault) hangManyMachines() { f.manyMachines(f.hang) }
-func (f *randomFault) loseManyMachines() { f.manyMachines((*host).vanish) }
+func (f *randomFault) loseManyMachines() { f.manyMachines((*host).terminate) }
 
 func (f *randomFault) restartManyMachines() {
 	f.manyMachines(func(h *host) { h.restart(f.w.between(20*time.Millisecond, 6*time.Second)) })
 }
 
 func (f *randomFault) crashAndCutManyMachines() {
-	f.node.crash(f.downtime)
+	f.controller.crash(f.downtime)
 	f.manyMachines(f.cut)
 }
 
 func (f *randomFault) cloudOutage() {
 	f.w.cloud.outage = true
-	f.undo(func() { f.w.cloud.outage = false })
+	f.repairAtEnd(func() { f.w.cloud.outage = false })
 }
 
 func (f *randomFault) cutMachine()  { f.oneMachine(f.cut) }
 func (f *randomFault) hangMachine() { f.oneMachine(f.hang) }
-func (f *randomFault) loseMachine() { f.oneMachine((*host).vanish) }
+func (f *randomFault) loseMachine() { f.oneMachine((*host).terminate) }
 
 func (f *randomFault) noticeMachine() {
 	f.oneMachine(func(h *host) {
-		h.notice = true
-		f.w.after(5*time.Second, h.vanish)
+		h.terminationNotice = true
+		f.w.after(5*time.Second, h.terminate)
 	})
 }
 
 func (f *randomFault) cut(h *host) {
-	h.setCut(true)
-	f.undo(func() { h.setCut(false) })
+	h.setPartitioned(true)
+	f.repairAtEnd(func() { h.setPartitioned(false) })
 }
 
 func (f *randomFault) hang(h *host) {
 	h.setHung(true)
-	f.undo(func() { h.setHung(false) })
+	f.repairAtEnd(func() { h.setHung(false) })
 }
 
 // oneMachine injects a fault into one of the machines that are up.
@@ -265,5 +265,5 @@
 
 // hostsUp returns the machines that have booted and still exist.
 func (w *World) hostsUp() []*host {
-	return slices.DeleteFunc(slices.Clone(w.hosts), func(h *host) bool { return h.gone || h.up > w.now })
+	return slices.DeleteFunc(slices.Clone(w.hosts), func(h *host) bool { return h.hasEnded || h.bootedAt > w.now })
 }
--- a/internal/sim/guarantee_test.go
+++ b/internal/sim/guarantee_test.go
@@ -22,7 +22,7 @@
 }
 
 // observe is a Tamper.Output that returns every output unchanged.
-func (m *preemptionMonitor) observe(_ *node, o controller.Output) controller.Output {
+func (m *preemptionMonitor) observe(_ *member, o controller.Output) controller.Output {
 	e, ok := o.(controller.Event)
 	if !ok || e.Text != "placed" && e.Text != "preempting" {
 		return o
@@ -76,7 +76,7 @@
 	}
 	t := m.w.team(victim.spec.Team)
 	if t.Name == beneficiary.spec.Team || victim.spec.CPUs > 0 && cores < t.CPUs-1e-6 || victim.spec.GPUs > 0 && gpus < t.GPUs-1e-6 {
-		m.w.broken("guarantee", "%s of %s stopped for %s of %s, which leaves %v of %v cores and %v of %v GPUs",
+		m.w.recordViolation("guarantee", "%s of %s stopped for %s of %s, which leaves %v of %v cores and %v of %v GPUs",
 			victim.spec.ID, t.Name, beneficiary.spec.ID, beneficiary.spec.Team, cores, t.CPUs, gpus, t.GPUs)
 	}
 }
@@ -89,14 +89,14 @@
 		w := New(seed, GPUs)
 		monitor := &preemptionMonitor{w: w, placedAt: map[string]time.Duration{}, stoppedAt: map[string]time.Duration{}}
 		w.Tamper.Output, w.Tamper.Settings = monitor.observe, settings
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.crash(time.Millisecond) // restarts the controller with these settings
 		}
 		RunFaults(w, faultPhase, time.Second)
 		return w
 	}
 	for seed := range uint64(20) {
-		for _, r := range runSeed(seed, nil).Rules {
+		for _, r := range runSeed(seed, nil).Violations {
 			if strings.HasPrefix(r, "guarantee") {
 				t.Errorf("seed %d: %s", seed, r)
 			}
@@ -108,7 +108,7 @@
 			teams[1].CPUs, teams[1].GPUs = 0, 0
 			p.Facts.Teams = teams
 		})
-		for _, r := range w.Rules {
+		for _, r := range w.Violations {
 			if strings.HasPrefix(r, "guarantee") {
 				return
 			}
--- a/internal/sim/histories.go
+++ b/internal/sim/histories.go
@@ -8,9 +8,9 @@
 		return
 	}
 	e.At = w.now
-	if w.cluster != nil { // machines of different cells may have the same id
-		e.Machine = cellName(w.place) + "/" + e.Machine
-		w.cluster.history = append(w.cluster.history, e)
+	if w.federation != nil { // machines of different cells may have the same id
+		e.Machine = cellName(w.cellIndex) + "/" + e.Machine
+		w.federation.history = append(w.federation.history, e)
 		return
 	}
 	w.history = append(w.history, e)
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -12,31 +12,31 @@
 
 // host simulates a machine and the worker on it.
 type host struct {
-	w             *World
-	id, typ, zone string
-	spot          bool
-	born, up      time.Duration // when it was rented, and when it has booted
-	gone          bool
-	goneAt        time.Duration
-	drift         float64 // of its clock, as a fraction of the time
+	w                  *World
+	id, typ, zone      string
+	spot               bool
+	rentedAt, bootedAt time.Duration // when it was rented, and when it has booted
+	hasEnded           bool
+	endedAt            time.Duration
+	drift              float64 // of its clock, as a fraction of the time
 
 	session, seq, token uint64
 	tasks               []*task
 	images              map[string]bool
 	leaseStart          time.Duration
-	node                int // index of the controller to which it reports
+	controllerIndex     int // index of the controller to which it reports
 	reportNumber        int // number of the latest report; an earlier one's answer or time-out is ignored
 	reportInFlight      bool
 	lastReportAt        time.Duration
-	notice              bool // the cloud has announced the end of the machine
+	terminationNotice   bool // the cloud has announced the end of the machine
 	faulty              bool // every task on it fails
 
-	cut, hung         bool // partitioned from the controllers; not executing anything
+	partitioned, hung bool // partitioned from the controllers; not executing anything
 	receivesNothing   bool // its reports arrive, but answers and commands are lost
 	sendsNothing      bool // it can't connect to controllers, but receives commands
 	noReports         bool // it runs but sends no reports
 	restarting        bool
-	listens           string   // address on which it takes commands from real controllers; empty in virtual time
+	listenAddress     string   // address on which it takes commands from real controllers; empty in virtual time
 	deferredMessages  []func() // messages to or from it to deliver when the network partition heals
 	deferredWhileHung []func() // actions of a hung machine, to run when it resumes
 }
@@ -55,8 +55,8 @@
 func (t *task) onMachine() bool { return t.state == wire.TaskRunning || t.state == wire.TaskSaving }
 
 func (w *World) newHost(id, typ, zone string, spot bool) *host {
-	h := &host{w: w, id: id, typ: typ, zone: zone, spot: spot, born: w.now, session: 1, images: map[string]bool{},
-		drift: (w.rng.Float64() - 0.5) * 0.0008, node: w.rng.IntN(len(w.nodes)), faulty: w.chance(0.04)}
+	h := &host{w: w, id: id, typ: typ, zone: zone, spot: spot, rentedAt: w.now, session: 1, images: map[string]bool{},
+		drift: (w.rng.Float64() - 0.5) * 0.0008, controllerIndex: w.rng.IntN(len(w.controllers)), faulty: w.chance(0.04)}
 	boot := w.between(6*time.Second, 14*time.Second)
 	if w.faults.fastBoots {
 		boot = w.between(200*time.Millisecond, 2*time.Second)
@@ -64,13 +64,13 @@
 	if w.chance(0.05) {
 		boot = time.Hour // does not boot during the run
 	}
-	if w.alwaysUp {
+	if w.machinesAlwaysBoot {
 		boot, h.faulty = min(boot, 14*time.Second), false
 	}
-	h.up = w.now + boot
-	h.cut = w.faults.darkZones[zone]
+	h.bootedAt = w.now + boot
+	h.partitioned = w.faults.unreachableZones[zone]
 	if w.live != nil {
-		w.live.listen(h)
+		w.live.listenForCommands(h)
 	}
 	w.hosts = append(w.hosts, h)
 	w.after(boot, func() {
@@ -83,17 +83,17 @@
 
 // address returns the address to which controllers send commands.
 func (h *host) address() string {
-	if h.listens != "" {
-		return h.listens
+	if h.listenAddress != "" {
+		return h.listenAddress
 	}
 	return h.id
 }
 
-// do runs fn on the machine. It is dropped if the machine no longer exists or is
+// runOnMachine runs fn on the machine. It is dropped if the machine no longer exists or is
 // restarting, and deferred while the machine hangs.
-func (h *host) do(fn func()) {
+func (h *host) runOnMachine(fn func()) {
 	switch {
-	case h.gone || h.restarting:
+	case h.hasEnded || h.restarting:
 	case h.hung:
 		h.deferredWhileHung = append(h.deferredWhileHung, fn)
 	default:
@@ -101,21 +101,21 @@
 	}
 }
 
-// reach delivers a message to the machine. It is deferred while the machine is
+// deliver delivers a message to the machine. It is deferred while the machine is
 // partitioned, and lost while the machine receives nothing.
-func (h *host) reach(fn func()) {
+func (h *host) deliver(fn func()) {
 	if h.receivesNothing {
 		return
 	}
-	if h.cut {
-		h.deferredMessages = append(h.deferredMessages, func() { h.do(fn) })
+	if h.partitioned {
+		h.deferredMessages = append(h.deferredMessages, func() { h.runOnMachine(fn) })
 		return
 	}
-	h.do(fn)
+	h.runOnMachine(fn)
 }
 
-func (h *host) setCut(on bool) {
-	h.cut = on
+func (h *host) setPartitioned(on bool) {
+	h.partitioned = on
 	if !on {
 		held := h.deferredMessages
 		h.deferredMessages = nil
@@ -129,17 +129,17 @@
 	h.hung = on
 	if on { // tasks still on it when its lease ends are killed before it resumes
 		h.w.after(h.leaseEnd()-h.w.now, func() {
-			if h.hung && !h.gone && h.w.now >= h.leaseEnd() {
+			if h.hung && !h.hasEnded && h.w.now >= h.leaseEnd() {
 				h.recordTaskEnds()
 			}
 		})
 	}
-	if !on && !h.gone {
+	if !on && !h.hasEnded {
 		h.expireLease()
 		frozen := h.deferredWhileHung
 		h.deferredWhileHung = nil
 		for _, fn := range frozen {
-			h.do(fn)
+			h.runOnMachine(fn)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	h.reportNumber++
 	losesToken := w.chance(0.5)
 	w.after(downtime, func() {
-		if h.gone {
+		if h.hasEnded {
 			return
 		}
 		h.restarting, h.reportInFlight, h.leaseStart = false, false, w.now
@@ -167,11 +167,11 @@
 	})
 }
 
-// vanish ends the machine and all tasks on it.
-func (h *host) vanish() {
+// terminate ends the machine and all tasks on it.
+func (h *host) terminate() {
 	h.w.noteLostTasks(h)
 	h.recordTaskEnds()
-	h.gone, h.goneAt = true, h.w.now
+	h.hasEnded, h.endedAt = true, h.w.now
 }
 
 // leaseEnd returns the end of the lease by the machine's own clock.
@@ -182,7 +182,7 @@
 
 func (h *host) watchLease() {
 	h.w.after(max(h.leaseEnd()-h.w.now, 50*time.Millisecond), func() {
-		h.do(func() {
+		h.runOnMachine(func() {
 			h.expireLease()
 			h.watchLease()
 		})
@@ -207,7 +207,7 @@
 func (h *host) buildReport() wire.Report {
 	h.seq++
 	r := wire.Report{Machine: h.id, Addr: h.address(), Type: h.typ, Zone: h.zone, Spot: h.spot, Session: h.session, Seq: h.seq, Token: h.token}
-	if h.notice {
+	if h.terminationNotice {
 		left := 5.0
 		r.NoticeS = &left
 	}
@@ -219,7 +219,7 @@
 
 // reportSoon schedules a report of a change, at least half a second after the previous report.
 func (h *host) reportSoon() {
-	h.w.after(max(h.lastReportAt+500*time.Millisecond-h.w.now, 0), func() { h.do(h.report) })
+	h.w.after(max(h.lastReportAt+500*time.Millisecond-h.w.now, 0), func() { h.runOnMachine(h.report) })
 }
 
 // report sends a report, unless one is in flight, and schedules the next.
@@ -229,7 +229,7 @@
 	}
 	w := h.w
 	if h.noReports {
-		w.after(100*time.Millisecond, func() { h.do(h.report) })
+		w.after(100*time.Millisecond, func() { h.runOnMachine(h.report) })
 		return
 	}
 	h.reportInFlight = true
@@ -237,25 +237,25 @@
 	h.lastReportAt = w.now
 	number, sent, rep := h.reportNumber, w.now, h.buildReport()
 	next := time.Duration(w.cfg.Facts.Workers.ReportS * (0.75 + w.rng.Float64()/2) * float64(time.Second))
-	w.after(next, func() { h.do(h.report) })
-	w.after(4*time.Second, func() { h.do(func() { h.reportFailed(number) }) })
+	w.after(next, func() { h.runOnMachine(h.report) })
+	w.after(4*time.Second, func() { h.runOnMachine(func() { h.reportFailed(number) }) })
 	h.copyReport(rep)
 	if h.sendsNothing {
-		w.after(time.Second, func() { h.do(func() { h.reportFailed(number) }) })
+		w.after(time.Second, func() { h.runOnMachine(func() { h.reportFailed(number) }) })
 		return
 	}
-	n := w.nodes[h.node]
+	n := w.controllers[h.controllerIndex]
 	send := func() {
 		if n.down() {
-			w.after(w.latency(), func() { h.reach(func() { h.reportFailed(number) }) })
+			w.after(w.latency(), func() { h.deliver(func() { h.reportFailed(number) }) })
 			return
 		}
-		if !n.workersCut && !w.faults.isolated.separates(n, h) {
+		if !n.cutFromWorkers && !w.faults.isolated.separates(n, h) {
 			h.sendReport(n, rep, number, sent)
 		}
 	}
 	w.after(w.latency(), func() {
-		if h.cut {
+		if h.partitioned {
 			h.deferredMessages = append(h.deferredMessages, send)
 			return
 		}
@@ -267,7 +267,7 @@
 // time later, or at every controller once a higher token is used.
 func (h *host) copyReport(rep wire.Report) {
 	w := h.w
-	copyTo := func(x *node) func() {
+	copyTo := func(x *member) func() {
 		late := rep
 		return func() {
 			if !x.down() {
@@ -278,16 +278,16 @@
 		}
 	}
 	if w.sporadicFault(0.02) || w.chance(w.faults.duplicateReports) { // from 2 s to well over a lease of 10 s later
-		w.after(w.between(2*time.Second, 25*time.Second), copyTo(w.nodes[w.rng.IntN(len(w.nodes))]))
+		w.after(w.between(2*time.Second, 25*time.Second), copyTo(w.controllers[w.rng.IntN(len(w.controllers))]))
 	}
 	if w.chance(w.faults.keepReports) { // delivered to every controller once a higher token is used
-		for _, x := range w.nodes {
+		for _, x := range w.controllers {
 			w.keptReports = append(w.keptReports, copyTo(x))
 		}
 	}
 }
 
-func (h *host) sendReport(n *node, rep wire.Report, number int, sent time.Duration) {
+func (h *host) sendReport(n *member, rep wire.Report, number int, sent time.Duration) {
 	w := h.w
 	h.tamperReport(false, &rep)
 	in := controller.ReportRequest{Report: rep}
@@ -295,7 +295,7 @@
 		if w.Tamper.Answer != nil {
 			w.Tamper.Answer(w, &in, &a)
 		}
-		w.after(w.latency(), func() { h.reach(func() { h.reportAnswered(number, sent, a) }) })
+		w.after(w.latency(), func() { h.deliver(func() { h.reportAnswered(number, sent, a) }) })
 	})
 }
 
@@ -311,8 +311,8 @@
 		return
 	}
 	h.reportInFlight = false
-	h.node = (h.node + 1) % len(h.w.nodes)
-	h.w.after(time.Second, func() { h.do(h.report) })
+	h.controllerIndex = (h.controllerIndex + 1) % len(h.w.controllers)
+	h.w.after(time.Second, func() { h.runOnMachine(h.report) })
 }
 
 // reportAnswered handles the answer to a report: a redirect to the leader, or a renewal of
@@ -323,11 +323,11 @@
 	}
 	if a.Status != http.StatusOK {
 		if r, ok := a.Body.(wire.Redirect); ok && r.Leader != "" {
-			i := slices.IndexFunc(h.w.nodes, func(n *node) bool { return n.name == r.Leader })
-			if i >= 0 && i != h.node {
+			i := slices.IndexFunc(h.w.controllers, func(n *member) bool { return n.name == r.Leader })
+			if i >= 0 && i != h.controllerIndex {
 				h.reportInFlight = false
-				h.node = i
-				h.w.after(h.w.between(0, 500*time.Millisecond), func() { h.do(h.report) })
+				h.controllerIndex = i
+				h.w.after(h.w.between(0, 500*time.Millisecond), func() { h.runOnMachine(h.report) })
 				return
 			}
 		}
@@ -347,9 +347,9 @@
 	h.execute(body.Commands)
 }
 
-// commands handles a direct call with commands. It refuses one with an outdated token or
+// handleCommands handles a direct call with commands. It refuses one with an outdated token or
 // of another session.
-func (h *host) commands(c wire.Commands) (int, wire.Report) {
+func (h *host) handleCommands(c wire.Commands) (int, wire.Report) {
 	if c.Token < h.token || c.Session != h.session {
 		return http.StatusConflict, h.buildReport()
 	}
@@ -361,7 +361,7 @@
 	return http.StatusOK, h.buildReport()
 }
 
-func (h *host) find(id string, attempt uint64) *task {
+func (h *host) findTask(id string, attempt uint64) *task {
 	for _, t := range h.tasks {
 		if t.id == id && t.attempt == attempt {
 			return t
@@ -372,7 +372,7 @@
 
 func (h *host) execute(cs []wire.Command) {
 	for _, c := range cs {
-		t := h.find(c.Task, c.Attempt)
+		t := h.findTask(c.Task, c.Attempt)
 		switch c.Op {
 		case wire.OpRun:
 			if t == nil {
@@ -401,7 +401,7 @@
 	}
 	t.state = wire.TaskSaving
 	h.reportSoon()
-	h.later(t, time.Duration(t.job.spec.SaveS*float64(time.Second)), func() {
+	h.afterIfPresent(t, time.Duration(t.job.spec.SaveS*float64(time.Second)), func() {
 		_, n, _ := wire.SplitTaskID(t.id)
 		t.job.saved[n] += h.w.now - t.started
 		h.taskStopped(t)
@@ -452,17 +452,17 @@
 	}
 	fetch := 10 * time.Millisecond
 	if !h.images[j.spec.Image] {
-		h.w.noteFetch(h.zone)
+		h.w.noteConcurrentFetches(h.zone)
 		if h.w.onFetch != nil {
 			h.w.onFetch()
 		}
 		fetch = h.w.between(time.Second, 4*time.Second)
 	}
-	h.later(t, fetch, func() { h.start(t, j) })
+	h.afterIfPresent(t, fetch, func() { h.start(t, j) })
 }
 
-// fetches reports whether the machine is fetching an image.
-func (h *host) fetches() bool {
+// isFetching reports whether the machine is fetching an image.
+func (h *host) isFetching() bool {
 	return slices.ContainsFunc(h.tasks, func(t *task) bool {
 		return t.state == wire.TaskFetching && t.job != nil && !h.images[t.job.spec.Image]
 	})
@@ -473,11 +473,11 @@
 	return types[slices.IndexFunc(types, func(t wire.MachineType) bool { return t.Name == h.typ })]
 }
 
-// later schedules fn, which runs only if the task has not exited and is still on the machine.
-func (h *host) later(t *task, d time.Duration, fn func()) {
+// afterIfPresent schedules fn, which runs only if the task has not exited and is still on the machine.
+func (h *host) afterIfPresent(t *task, d time.Duration, fn func()) {
 	h.w.after(d, func() {
-		h.do(func() {
-			if t.state != wire.TaskExited && h.find(t.id, t.attempt) == t {
+		h.runOnMachine(func() {
+			if t.state != wire.TaskExited && h.findTask(t.id, t.attempt) == t {
 				fn()
 			}
 		})
@@ -496,14 +496,14 @@
 	h.reportSoon()
 	_, n, _ := wire.SplitTaskID(t.id)
 	switch {
-	case h.faulty || j.broken:
-		h.later(t, time.Second, func() { h.exit(t, wire.ExitReasonError) })
+	case h.faulty || j.alwaysFails:
+		h.afterIfPresent(t, time.Second, func() { h.exit(t, wire.ExitReasonError) })
 	case j.spec.Kind == wire.KindArray:
-		run := max(j.run-j.saved[n], 0)
+		run := max(j.runTime-j.saved[n], 0)
 		if j.done[n] {
 			run = 0
 		}
-		h.later(t, run, func() {
+		h.afterIfPresent(t, run, func() {
 			if t.state != wire.TaskSaving { // a task that is being saved ends when that is complete
 				h.finish(t, j, n)
 			}
@@ -516,7 +516,7 @@
 	j.done[n] = true
 	h.exit(t, wire.ExitReasonDone)
 	h.w.noteTaskEnd(j)
-	if j.left() == 0 && !j.lastTaskEnded {
+	if j.tasksLeft() == 0 && !j.lastTaskEnded {
 		j.lastTaskEnded = true
 		h.w.users.jobEnded(j)
 	}
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -20,8 +20,8 @@
 // time. One goroutine owns the world, as in virtual time; requests that arrive on other goroutines are
 // enqueued for it.
 
-// live is what a world needs to run in real time.
-type live struct {
+// liveRuntime is what a world needs to run in real time.
+type liveRuntime struct {
 	ctx    context.Context
 	w      *World
 	inputs chan func()
@@ -29,23 +29,23 @@
 	err    error // joined errors of listeners that could not be opened; ends the run
 }
 
-// liveNode connects the stand-ins with one real controller.
-type liveNode struct {
-	*live
-	address string // at which it serves users and workers
-	node    *node
+// liveController connects the stand-ins with one real controller.
+type liveController struct {
+	*liveRuntime
+	address    string // at which it serves users and workers
+	controller *member
 }
 
 // callTimeout bounds how long the stand-ins wait for a controller.
 const callTimeout = 5 * time.Second
 
-// NewLive returns a world of the given shape without controllers; AddController adds real ones. All its
+// NewLiveWorld returns a world of the given shape without controllers; AddController adds real ones. All its
 // listeners and calls end with ctx.
-func NewLive(ctx context.Context, seed uint64, shape Shape) *World {
+func NewLiveWorld(ctx context.Context, seed uint64, shape Shape) *World {
 	shape.Controllers = 0
 	w := New(seed, shape)
 	w.keepHistory, w.deterministic = true, true
-	w.live = &live{ctx: ctx, w: w, inputs: make(chan func(), 1024), client: &http.Client{Timeout: callTimeout}}
+	w.live = &liveRuntime{ctx: ctx, w: w, inputs: make(chan func(), 1024), client: &http.Client{Timeout: callTimeout}}
 	return w
 }
 
@@ -53,9 +53,9 @@
 // addresses of the state service and of the cloud for this controller alone, so that it can be cut off
 // from them while the other controllers are not.
 func (w *World) AddController(name, address string) (state, cloud string) {
-	n := &node{w: w, i: len(w.nodes), name: name}
-	n.live = &liveNode{live: w.live, address: address, node: n}
-	w.nodes = append(w.nodes, n)
+	n := &member{w: w, index: len(w.controllers), name: name}
+	n.live = &liveController{liveRuntime: w.live, address: address, controller: n}
+	w.controllers = append(w.controllers, n)
 	return w.live.serve(n.live.serveState), w.live.serve(n.live.serveCloud)
 }
 
@@ -91,8 +91,8 @@
 			input()
 		}
 		for _, w := range worlds {
-			w.runDue()
-			if len(w.Rules) > 0 || w.live.err != nil {
+			w.runDueEvents()
+			if len(w.Violations) > 0 || w.live.err != nil {
 				return w.live.err
 			}
 		}
@@ -101,7 +101,7 @@
 }
 
 // enqueue passes fn to the goroutine that owns the world.
-func (l *live) enqueue(fn func()) {
+func (l *liveRuntime) enqueue(fn func()) {
 	select {
 	case l.inputs <- fn:
 	case <-l.ctx.Done():
@@ -109,7 +109,7 @@
 }
 
 // serve starts a server on a free port and returns its address.
-func (l *live) serve(handler http.HandlerFunc) string {
+func (l *liveRuntime) serve(handler http.HandlerFunc) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		l.err = errors.Join(l.err, err)
@@ -123,7 +123,7 @@
 
 // awaitReply passes a request to the world and waits for its reply. While there is none the connection
 // stays open until the caller times out, as in a network partition.
-func awaitReply[R any](l *live, r *http.Request, submit func(reply func(R))) (answer R, ok bool) {
+func awaitReply[R any](l *liveRuntime, r *http.Request, submit func(reply func(R))) (answer R, ok bool) {
 	replies := make(chan R, 1)
 	l.enqueue(func() {
 		submit(func(a R) {
@@ -160,11 +160,11 @@
 }
 
 // serveState handles requests of one controller to the state service.
-func (n *liveNode) serveState(w http.ResponseWriter, r *http.Request) {
+func (n *liveController) serveState(w http.ResponseWriter, r *http.Request) {
 	call := decodeStateCall(r)
-	reply, ok := awaitReply(n.live, r, func(reply func(controller.StateReply)) {
-		if !n.node.isolated {
-			n.w.store.handle(n.node, call, reply)
+	reply, ok := awaitReply(n.liveRuntime, r, func(reply func(controller.StateReply)) {
+		if !n.controller.cutFromStateAndPeers {
+			n.w.store.handle(n.controller, call, reply)
 		}
 	})
 	if !ok {
@@ -218,7 +218,7 @@
 }
 
 // serveCloud handles requests of one controller to the cloud.
-func (n *liveNode) serveCloud(w http.ResponseWriter, r *http.Request) {
+func (n *liveController) serveCloud(w http.ResponseWriter, r *http.Request) {
 	call := controller.CloudCall{Op: controller.CloudTypes}
 	switch {
 	case r.URL.Path == wire.PathRelease:
@@ -228,8 +228,8 @@
 	case r.URL.Path == wire.PathMachines:
 		call = controller.CloudCall{Op: controller.CloudList, After: r.URL.Query().Get("after")}
 	}
-	reply, ok := awaitReply(n.live, r, func(reply func(controller.CloudReply)) {
-		if !n.node.isolated {
+	reply, ok := awaitReply(n.liveRuntime, r, func(reply func(controller.CloudReply)) {
+		if !n.controller.cutFromStateAndPeers {
 			reply(n.w.cloud.handle(call))
 		}
 	})
@@ -244,7 +244,7 @@
 // zone is cut off. The token identifies the sender's side of the partition: a leader outside of the zone
 // was elected after the cut, so its token is higher than any that a machine had seen before.
 func (i isolatedZone) blocksCommands(token uint64, h *host) bool {
-	return i.node != nil && (token <= i.token) != (i.zone == h.zone)
+	return i.controller != nil && (token <= i.token) != (i.zone == h.zone)
 }
 
 // commandsAnswer is a worker's answer to direct commands: an HTTP status and the worker's report.
@@ -253,17 +253,17 @@
 	report wire.Report
 }
 
-// listen starts a listener for direct commands to a machine.
-func (l *live) listen(h *host) {
-	h.listens = l.serve(func(w http.ResponseWriter, r *http.Request) {
+// listenForCommands starts a listener for direct commands to a machine.
+func (l *liveRuntime) listenForCommands(h *host) {
+	h.listenAddress = l.serve(func(w http.ResponseWriter, r *http.Request) {
 		commands := decodeRequestBody[wire.Commands](r)
 		answer, ok := awaitReply(l, r, func(reply func(commandsAnswer)) {
 			if l.w.faults.isolated.blocksCommands(commands.Token, h) {
 				return
 			}
-			h.reach(func() {
-				status, report := h.commands(commands)
-				if !h.cut {
+			h.deliver(func() {
+				status, report := h.handleCommands(commands)
+				if !h.partitioned {
 					reply(commandsAnswer{status, report})
 				}
 			})
@@ -276,7 +276,7 @@
 
 // ask sends a request of a user or a worker to the controller and calls onAnswer with the answer. It never
 // calls onAnswer if the request fails.
-func (n *liveNode) ask(in controller.Input, onAnswer func(controller.Answer)) {
+func (n *liveController) ask(in controller.Input, onAnswer func(controller.Answer)) {
 	method, path, body := encodeRequest(in)
 	go func() {
 		req, err := http.NewRequestWithContext(n.ctx, method, "http://"+n.address+path, bytes.NewReader(body))
--- a/internal/sim/live_cells_test.go
+++ b/internal/sim/live_cells_test.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 110*time.Second)
 	defer cancel()
 	const cellCount, controllersPerCell = 4, 2
-	cluster := NewLiveCluster(ctx, 2, cellCount)
+	federation := NewLiveFederation(ctx, 2, cellCount)
 	binary := buildTestProgram(t, ctx)
 	listens := make([][]string, cellCount)
 	for i := range listens {
@@ -44,7 +44,7 @@
 		listens[i] = addresses
 	}
 	controllers := make([][]*controllerProcess, cellCount)
-	for i, w := range cluster.Worlds {
+	for i, w := range federation.Worlds {
 		w.cfg.Facts.Workers.ReportS, w.cfg.Facts.Workers.LeaseS, w.cfg.Facts.Workers.CancelS = 0.5, 4, 10
 		w.cfg.Facts.Cloud.ListLagS, w.faults.fastBoots = 1, true
 		peers := ""
@@ -62,11 +62,11 @@
 		})
 	}
 	run := func(d time.Duration) {
-		if err := cluster.RunLive(d); err != nil || len(cluster.Rules()) > 0 {
-			t.Fatalf("%v, rules broken: %v", err, cluster.Rules())
+		if err := federation.RunLive(d); err != nil || len(federation.Violations()) > 0 {
+			t.Fatalf("%v, rules broken: %v", err, federation.Violations())
 		}
 	}
-	cluster.Worlds[0].after(3*time.Second, func() { submitLiveCellJobs(cluster.Worlds[0], 40) })
+	federation.Worlds[0].after(3*time.Second, func() { submitLiveCellJobs(federation.Worlds[0], 40) })
 	run(5 * time.Second)
 	sawTransferredJobs := false // whether the home's status has listed jobs granted to other cells
 	for range 11 {
@@ -93,16 +93,16 @@
 		restartController(t, ctx, p)
 	}
 	run(24 * time.Second)
-	checkLiveCells(t, cluster)
+	checkLiveCells(t, federation)
 }
 
 // submitLiveCellJobs submits more arrays at once than the cell has room for, and cancels every fourth.
 func submitLiveCellJobs(w *World, jobs int) {
 	for id := range jobs {
 		j := &simJob{spec: wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "batch", Team: "blue", Kind: wire.KindArray, Priority: "standard",
-			Tasks: 4, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", id%3), ImageGB: 1}, run: w.between(2*time.Second, 5*time.Second), done: make([]bool, 4)}
-		w.users.belongHere(j)
-		w.users.enterQuietly(j)
+			Tasks: 4, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", id%3), ImageGB: 1}, runTime: w.between(2*time.Second, 5*time.Second), done: make([]bool, 4)}
+		w.users.assignHome(j)
+		w.users.submitUncancelled(j)
 		if id%4 == 3 {
 			w.after(w.between(time.Second, 8*time.Second), func() { w.users.cancel(j) })
 		}
@@ -111,25 +111,25 @@
 
 // checkLiveCells checks the rules of all cells and their common history, and that jobs ran in other cells
 // and jobs were cancelled.
-func checkLiveCells(t *testing.T, cluster *Cluster) {
+func checkLiveCells(t *testing.T, federation *Federation) {
 	t.Helper()
-	if len(cluster.Rules()) == 0 {
-		cluster.Worlds[0].checkEnds()
+	if len(federation.Violations()) == 0 {
+		federation.Worlds[0].checkEnds()
 	}
-	for _, r := range cluster.Rules() {
+	for _, r := range federation.Violations() {
 		t.Error(r)
 	}
-	if found := history.Check(cluster.history); len(found) > 0 {
+	if found := history.Check(federation.history); len(found) > 0 {
 		t.Errorf("%d violations in the history, the first: %+v", len(found), found[0])
 	}
 	cancelled := 0
-	for _, j := range cluster.Worlds[0].users.list {
-		if j.cancelTold {
+	for _, j := range federation.Worlds[0].users.list {
+		if j.reportedCancelled {
 			cancelled++
 		}
 	}
-	if len(cluster.ran) < 5 || cancelled == 0 {
-		t.Errorf("%d jobs ran in another cell, want at least 5; %d jobs cancelled, want at least 1", len(cluster.ran), cancelled)
+	if len(federation.startsElsewhere) < 5 || cancelled == 0 {
+		t.Errorf("%d jobs ran in another cell, want at least 5; %d jobs cancelled, want at least 1", len(federation.startsElsewhere), cancelled)
 	}
-	t.Logf("%d events, %d jobs ran in another cell, %d jobs cancelled", len(cluster.history), len(cluster.ran), cancelled)
+	t.Logf("%d events, %d jobs ran in another cell, %d jobs cancelled", len(federation.history), len(federation.startsElsewhere), cancelled)
 }
--- a/internal/sim/live_spread_test.go
+++ b/internal/sim/live_spread_test.go
@@ -36,16 +36,16 @@
 	const machines, replicas, killAfterStops = 20, 60, 5
 	ctx, cancel := context.WithTimeout(context.Background(), 110*time.Second)
 	defer cancel()
-	w := NewLive(ctx, 2, Shape{Controllers: 3, Machines: machines, Scale: machines, Tasks: 50})
+	w := NewLiveWorld(ctx, 2, Shape{Controllers: 3, Machines: machines, Scale: machines, Tasks: 50})
 	w.cfg.Facts.Workers.ReportS, w.cfg.Facts.Workers.LeaseS, w.cfg.Facts.Workers.CancelS = 0.5, 4, 10
-	w.cfg.Facts.Cloud.ListLagS, w.cloud.most = 1, machines
-	w.faults.fastBoots, w.alwaysUp = true, true
+	w.cfg.Facts.Cloud.ListLagS, w.cloud.maxPerType = 1, machines
+	w.faults.fastBoots, w.machinesAlwaysBoot = true, true
 	controllers := startTestControllers(t, ctx, w, buildTestProgram(t, ctx), 3, func(c *controllerProcess, _ int) string {
 		return fmt.Sprintf(liveSpreadSettings, c.statusAddr, c.tracePath)
 	})
 	run := func(d time.Duration) {
-		if err := w.RunLive(d); err != nil || len(w.Rules) > 0 {
-			t.Fatalf("%v, rules broken: %v", err, w.Rules)
+		if err := w.RunLive(d); err != nil || len(w.Violations) > 0 {
+			t.Fatalf("%v, rules broken: %v", err, w.Violations)
 		}
 	}
 	currentLeader := func() (*controllerProcess, balance.Status) {
@@ -81,7 +81,7 @@
 	secondLeader, status := currentLeader()
 	counts := checkLiveHistory(t, w)
 	runningReplicas := 0
-	w.running(func(_ *host, task *task) {
+	w.forEachRunningTask(func(_ *host, task *task) {
 		if task.job.spec.Kind == wire.KindService {
 			runningReplicas++
 		}
@@ -101,7 +101,7 @@
 func submitLiveSpreadJobs(w *World) {
 	submit := func(id int, spec wire.Job, run time.Duration) {
 		spec.ID, spec.MemoryGB, spec.Image, spec.ImageGB, spec.Types = fmt.Sprintf("req-%06d", id), 1, "img-0", 1, []string{"big"}
-		w.users.enterQuietly(&simJob{spec: spec, run: run, done: make([]bool, spec.Tasks)})
+		w.users.submitUncancelled(&simJob{spec: spec, runTime: run, done: make([]bool, spec.Tasks)})
 	}
 	arraySpec := wire.Job{Class: "batch", Team: "blue", Kind: wire.KindArray, Priority: "standard"}
 	w.after(time.Second, func() {
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -61,7 +61,7 @@
 func TestLiveZones(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
-	w := NewLive(ctx, 1, Zoned)
+	w := NewLiveWorld(ctx, 1, Zoned)
 	w.cfg.Facts.Workers.ReportS, w.cfg.Facts.Workers.LeaseS, w.cfg.Facts.Workers.CancelS = 0.5, 4, 10
 	w.cfg.Facts.Cloud.ListLagS = 1
 	w.faults.fastBoots = true
@@ -70,8 +70,8 @@
 	})
 	addresses := []string{controllers[0].statusAddr, controllers[1].statusAddr, controllers[2].statusAddr}
 	run := func(d time.Duration) {
-		if err := w.RunLive(d); err != nil || len(w.Rules) > 0 {
-			t.Fatalf("%v, rules broken: %v", err, w.Rules)
+		if err := w.RunLive(d); err != nil || len(w.Violations) > 0 {
+			t.Fatalf("%v, rules broken: %v", err, w.Violations)
 		}
 	}
 	currentLeader := func() (*controllerProcess, zones.Status) {
@@ -85,21 +85,21 @@
 	run(11 * time.Second)
 
 	firstLeader, _ := currentLeader()
-	zone := w.shape.zones()[firstLeader.node.i]
-	w.isolate(zone, firstLeader.node, 13*time.Second)
-	firstLeader.setCut(true)
+	zone := w.shape.zones()[firstLeader.controller.index]
+	w.isolateZoneWithController(zone, firstLeader.controller, 13*time.Second)
+	firstLeader.setPartitioned(true)
 	run(11 * time.Second)
 	secondLeader, status := currentLeader()
 	// The zone may already be in hold-down: without a machine left that could still run tasks or report,
 	// hold-down begins before the zone is reachable again.
 	if lostZone := findZone(status, zone); secondLeader == firstLeader || lostZone.Losses != 1 || lostZone.State == zones.Healthy {
-		t.Errorf("unexpected status 11 s after the loss of zone %s with its leader %s: %+v", zone, firstLeader.node.name, status)
+		t.Errorf("unexpected status 11 s after the loss of zone %s with its leader %s: %+v", zone, firstLeader.controller.name, status)
 	}
 	run(2 * time.Second)
-	firstLeader.setCut(false)
+	firstLeader.setPartitioned(false)
 	run(4 * time.Second)
 
-	w.darken(zone, 13*time.Second)
+	w.cutOffZone(zone, 13*time.Second)
 	run(2 * time.Second)
 	secondLeader.kill()
 	run(2 * time.Second)
@@ -133,8 +133,8 @@
 func submitLiveZoneJobs(w *World, duration time.Duration) {
 	submit := func(id int, spec wire.Job, run time.Duration) *simJob {
 		spec.ID, spec.MemoryGB, spec.Image, spec.ImageGB = fmt.Sprintf("req-%06d", id), 1, fmt.Sprintf("img-%d", id%3), 1
-		j := &simJob{spec: spec, run: run, done: make([]bool, spec.Tasks)}
-		w.users.enterQuietly(j)
+		j := &simJob{spec: spec, runTime: run, done: make([]bool, spec.Tasks)}
+		w.users.submitUncancelled(j)
 		return j
 	}
 	for i := range 3 {
@@ -159,10 +159,10 @@
 // checkLiveHistory checks the rules and the recorded history, and returns the number of events by kind.
 func checkLiveHistory(t *testing.T, w *World) map[history.Kind]int {
 	t.Helper()
-	if len(w.Rules) == 0 {
+	if len(w.Violations) == 0 {
 		w.checkEnds()
 	}
-	for _, r := range w.Rules {
+	for _, r := range w.Violations {
 		t.Error(r)
 	}
 	for _, v := range history.Check(w.history) {
--- a/internal/sim/measure_test.go
+++ b/internal/sim/measure_test.go
@@ -39,7 +39,7 @@
 		r := newSpreadRun(defaultSpreadOptions(machines, seed, mode == "on"))
 		r.run()
 		rows = append(rows, r.shareSeries(fmt.Sprintf("%d machines, seed %d, %s", machines, seed, mode))...)
-		return r, r.w.Rules
+		return r, r.w.Violations
 	})
 	if dir := os.Getenv("PUMICEFRONT_SPREAD_SERIES"); dir != "" {
 		writeSeries(t, dir, rows)
@@ -57,13 +57,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	courses := spreadseries.Courses(read)
+	series := spreadseries.SeriesByRun(read)
 	var table strings.Builder
-	if err := spreadseries.WriteTable(&table, courses, spreadRestartAt.Seconds(), spreadRestartAt.Seconds()+180, spreadDrainEnd.Seconds(), spreadDrainEnd.Seconds()+180); err != nil {
+	if err := spreadseries.WriteTable(&table, series, spreadRestartAt.Seconds(), spreadRestartAt.Seconds()+180, spreadDrainEnd.Seconds(), spreadDrainEnd.Seconds()+180); err != nil {
 		t.Error(err)
 	}
 	t.Logf("%d rows\n%s", len(read), table.String())
-	if err := spreadseries.Plot(filepath.Join(dir, "spread.png"), "Load spreading: switched on at 110 s, drain at 420 s", courses); err != nil {
+	if err := spreadseries.Plot(filepath.Join(dir, "spread.png"), "Load spreading: switched on at 110 s, drain at 420 s", series); err != nil {
 		t.Error(err)
 	}
 }
@@ -80,7 +80,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for seed := range uint64(runsOf(seedsVariable, 3)) {
+		for seed := range uint64(runCount(seedsVariable, 3)) {
 			for _, mode := range modes {
 				t.Run(fmt.Sprintf("%d/%d/%s", machines, seed, mode), func(t *testing.T) {
 					result, violations := run(machines, seed, mode)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -11,34 +11,34 @@
 	"pumicefront/mesh"
 )
 
-// node is a simulated controller process: the core, and the parts around it that carry
-// its calls and messages.
-type node struct {
-	w              *World
-	i              int // index in World.nodes
-	name           string
-	drift          float64 // of its clock, as a fraction of the time
-	core           *controller.Core
-	life           int // number of process starts; replies addressed to an earlier process are dropped
-	wakeAt         time.Duration
-	requests       map[uint64]func(controller.Answer)
-	nextRequest    uint64
-	refused        bool             // the state service refuses its calls
-	meshCut        bool             // partitioned from the other controllers
-	workersCut     bool             // partitioned from the workers
-	isolated       bool             // partitioned from the state service and from the other controllers
-	pauseAfterStep time.Duration    // how long the process pauses after its next step; 0: no pause is due
-	paused         bool             // the process does not run, while its clock does
-	deferred       []func()         // inputs and outputs to process on resume
-	currentInput   controller.Input // input of the current step
-	recentCommands []func()         // recent direct commands, any of which may be delivered again after a crash
-	live           *liveNode        // a real controller; nil: a core in virtual time
+// member is a controller of the simulated deployment: a core with the parts around it that
+// carry its calls and messages, or a real controller process.
+type member struct {
+	w                    *World
+	index                int // index in World.controllers
+	name                 string
+	drift                float64 // of its clock, as a fraction of the time
+	core                 *controller.Core
+	incarnation          int // number of process starts; replies addressed to an earlier process are dropped
+	wakeAt               time.Duration
+	requests             map[uint64]func(controller.Answer)
+	nextRequest          uint64
+	stateRefused         bool             // the state service refuses its calls
+	cutFromPeers         bool             // partitioned from the other controllers
+	cutFromWorkers       bool             // partitioned from the workers
+	cutFromStateAndPeers bool             // partitioned from the state service and from the other controllers
+	pauseAfterStep       time.Duration    // how long the process pauses after its next step; 0: no pause is due
+	paused               bool             // the process does not run, while its clock does
+	deferred             []func()         // inputs and outputs to process on resume
+	currentInput         controller.Input // input of the current step
+	recentCommands       []func()         // recent direct commands, any of which may be delivered again after a crash
+	live                 *liveController  // a real controller; nil: a core in virtual time
 }
 
 // down reports whether the process has stopped. A paused process is not down.
-func (n *node) down() bool { return n.core == nil && n.live == nil }
+func (n *member) down() bool { return n.core == nil && n.live == nil }
 
-func (n *node) clock() time.Time {
+func (n *member) clock() time.Time {
 	now := n.w.start.Add(n.w.now + time.Duration(float64(n.w.now)*n.drift))
 	if n.w.Tamper.Clock != nil {
 		return n.w.Tamper.Clock(n, now)
@@ -47,12 +47,12 @@
 }
 
 // boot starts a new process.
-func (n *node) boot() {
+func (n *member) boot() {
 	cfg := n.w.cfg
 	cfg.Member = n.name
 	cfg.Others = nil
-	for i := range n.w.nodes {
-		if i != n.i {
+	for i := range n.w.controllers {
+		if i != n.index {
 			cfg.Others = append(cfg.Others, config.Peer{Member: fmt.Sprintf("n%d", i)})
 		}
 	}
@@ -60,10 +60,10 @@
 		n.w.Tamper.Settings(&cfg)
 	}
 	start := n.clock()
-	if n.w.Tamper.Boot != nil {
-		start = n.w.Tamper.Boot(start)
+	if n.w.Tamper.StartTime != nil {
+		start = n.w.Tamper.StartTime(start)
 	}
-	n.life++
+	n.incarnation++
 	n.requests = map[uint64]func(controller.Answer){}
 	n.core = controller.New(&cfg, n.w.op, rand.New(rand.NewPCG(n.w.rng.Uint64(), 1)), start)
 	n.step(controller.Tick{})
@@ -71,12 +71,12 @@
 
 // crash ends the process and starts a new one after the given downtime. Copies of its
 // recent commands may still arrive.
-func (n *node) crash(downtime time.Duration) {
+func (n *member) crash(downtime time.Duration) {
 	if n.core == nil {
 		return
 	}
 	n.w.Log("%v crash %s", n.w.now, n.name)
-	if n.leads() {
+	if n.isLeader() {
 		n.w.noteLeaderEnd(downtime)
 	}
 	n.core = nil
@@ -93,11 +93,11 @@
 // pause stops the process in the middle of its next step, while its clock runs on, as a
 // long garbage collection or a frozen virtual machine does. On resume, the outputs of that
 // step are sent, and then the inputs that arrived during the pause are processed.
-func (n *node) pause(duration time.Duration) { n.pauseAfterStep = duration }
+func (n *member) pause(duration time.Duration) { n.pauseAfterStep = duration }
 
 // resume ends a pause, unless the paused process has crashed meanwhile.
-func (n *node) resume(life int) {
-	if n.life != life || !n.paused {
+func (n *member) resume(incarnation int) {
+	if n.incarnation != incarnation || !n.paused {
 		return
 	}
 	n.w.Log("%v %s goes on", n.w.now, n.name)
@@ -105,7 +105,7 @@
 	deferred := n.deferred
 	n.deferred = nil
 	for _, fn := range deferred {
-		if n.life == life {
+		if n.incarnation == incarnation {
 			fn()
 		}
 	}
@@ -113,7 +113,7 @@
 
 // step passes an input to the core, carries out its outputs, and schedules the next tick
 // for the time at which the core asks to be woken.
-func (n *node) step(in controller.Input) {
+func (n *member) step(in controller.Input) {
 	if n.core == nil {
 		return
 	}
@@ -124,7 +124,7 @@
 	n.currentInput = in
 	began := time.Now()
 	outputs := n.core.Step(n.clock(), in)
-	n.w.processor += time.Since(began)
+	n.w.coreTime += time.Since(began)
 	for _, o := range outputs {
 		if n.w.Tamper.Output != nil {
 			o = n.w.Tamper.Output(n, o)
@@ -142,16 +142,16 @@
 	}
 	if n.pauseAfterStep > 0 {
 		n.w.Log("%v %s stands still for %v", n.w.now, n.name, n.pauseAfterStep)
-		life := n.life
-		n.w.after(n.pauseAfterStep, func() { n.resume(life) })
+		incarnation := n.incarnation
+		n.w.after(n.pauseAfterStep, func() { n.resume(incarnation) })
 		n.pauseAfterStep, n.paused = 0, true
 	}
 	wake := n.w.now + n.core.Wake().Sub(n.clock()) + time.Millisecond
 	if n.wakeAt <= n.w.now || wake < n.wakeAt {
 		n.wakeAt = wake
-		life := n.life
+		incarnation := n.incarnation
 		n.w.after(wake-n.w.now, func() {
-			if n.life == life && n.wakeAt <= n.w.now {
+			if n.incarnation == incarnation && n.wakeAt <= n.w.now {
 				n.step(controller.Tick{})
 			}
 		})
@@ -161,8 +161,8 @@
 // deliver passes a reply to the process that made the call, unless that process has
 // ended. For a reply that arrives during a pause, the process may find on resume that
 // the call has already timed out: half of these replies are replaced by empty ones.
-func (n *node) deliver(life int, in controller.Input) {
-	if n.life != life {
+func (n *member) deliver(incarnation int, in controller.Input) {
+	if n.incarnation != incarnation {
 		return
 	}
 	if n.paused && n.w.chance(0.5) {
@@ -178,7 +178,7 @@
 	n.step(in)
 }
 
-func (n *node) carryOut(o controller.Output) {
+func (n *member) carryOut(o controller.Output) {
 	switch o := o.(type) {
 	case controller.Answer:
 		if fn := n.requests[o.Req]; fn != nil {
@@ -198,9 +198,9 @@
 	case controller.MeshSend:
 		n.sendMesh(o)
 	case controller.CellCall:
-		n.w.cluster.call(n, o)
+		n.w.federation.call(n, o)
 	case controller.ZoneChanged:
-		n.w.noteZone(o)
+		n.w.noteZoneChange(o)
 	case controller.TaskRestarted:
 		n.w.noteTaskRestart(o)
 	case controller.MoveChanged:
@@ -210,9 +210,9 @@
 	}
 }
 
-func (n *node) sendMesh(o controller.MeshSend) {
-	to := n.w.nodes[slices.IndexFunc(n.w.nodes, func(x *node) bool { return x.name == o.To })]
-	if n.meshCut || to.meshCut || n.isolated || to.isolated {
+func (n *member) sendMesh(o controller.MeshSend) {
+	to := n.w.controllers[slices.IndexFunc(n.w.controllers, func(x *member) bool { return x.name == o.To })]
+	if n.cutFromPeers || to.cutFromPeers || n.cutFromStateAndPeers || to.cutFromStateAndPeers {
 		return
 	}
 	envelope := &mesh.Envelope{From: o.Envelope.From, Body: o.Envelope.Body}
@@ -225,7 +225,7 @@
 
 // ask sends a request to the controller. fn is called with the answer, unless the
 // controller crashes first.
-func (n *node) ask(in func(req uint64) controller.Input, fn func(controller.Answer)) {
+func (n *member) ask(in func(req uint64) controller.Input, fn func(controller.Answer)) {
 	if n.live != nil {
 		n.live.ask(in(0), fn)
 		return
@@ -238,14 +238,14 @@
 
 // callState transmits a call to the state service and the reply back. The reply may be
 // lost, and a transaction may be applied late.
-func (n *node) callState(call controller.StateCall) {
-	w, life := n.w, n.life
+func (n *member) callState(call controller.StateCall) {
+	w, incarnation := n.w, n.incarnation
 	reply := once(func(r controller.StateReply) {
 		r.ID = call.ID
 		if w.Tamper.StateReply != nil {
 			w.Tamper.StateReply(&call, &r)
 		}
-		n.deliver(life, r)
+		n.deliver(incarnation, r)
 	})
 	w.after(call.Timeout, func() { reply(controller.StateReply{}) })
 	if w.Tamper.State != nil {
@@ -254,7 +254,7 @@
 			return
 		}
 	}
-	if n.isolated {
+	if n.cutFromStateAndPeers {
 		return // the call times out
 	}
 	late, lost := w.latency()+w.between(0, w.faults.slowState), w.sporadicFault(0.004)
@@ -270,7 +270,7 @@
 			if call.Op == controller.OpTxn && lost {
 				w.noteLostAnswer(sent, r)
 			}
-			if !lost && !n.isolated {
+			if !lost && !n.cutFromStateAndPeers {
 				w.after(w.latency(), func() { reply(r) })
 			}
 		})
@@ -279,12 +279,12 @@
 
 // callWorker sends direct commands to a machine. A partitioned machine receives them
 // when the partition heals.
-func (n *node) callWorker(call controller.WorkerCall) {
-	w, life := n.w, n.life
+func (n *member) callWorker(call controller.WorkerCall) {
+	w, incarnation := n.w, n.incarnation
 	h := w.host(call.Machine)
 	reply := once(func(r controller.WorkerReply) {
 		r.ID, r.Machine = call.ID, call.Machine
-		n.deliver(life, r)
+		n.deliver(incarnation, r)
 	})
 	w.after(call.Timeout, func() { reply(controller.WorkerReply{}) })
 	if h == nil {
@@ -292,8 +292,8 @@
 	}
 	run := func(answer bool) func() {
 		return func() {
-			h.reach(func() {
-				status, rep := h.commands(call.Commands)
+			h.deliver(func() {
+				status, rep := h.handleCommands(call.Commands)
 				w.noteCommand(h, answer, status)
 				if answer {
 					w.after(w.latency(), func() { reply(controller.WorkerReply{Status: status, Report: rep}) })
@@ -305,7 +305,7 @@
 	if len(n.recentCommands) > 40 {
 		n.recentCommands = n.recentCommands[1:]
 	}
-	if n.workersCut || w.faults.isolated.separates(n, h) {
+	if n.cutFromWorkers || w.faults.isolated.separates(n, h) {
 		return
 	}
 	delay := w.latency()
--- a/internal/sim/odd_requests.go
+++ b/internal/sim/odd_requests.go
@@ -12,7 +12,7 @@
 // encodeWithoutField encodes a submission without one of its required fields.
 func (w *World) encodeWithoutField(s wire.Job) []byte {
 	var fields map[string]any
-	if err := wire.Unmarshal(body(s), &fields); err != nil {
+	if err := wire.Unmarshal(encodeJob(s), &fields); err != nil {
 		panic(err)
 	}
 	var required []string
@@ -36,7 +36,7 @@
 	}
 	j := u.list[w.rng.IntN(len(u.list))]
 	if j.accepted {
-		u.askNode(w.nodes[w.rng.IntN(len(w.nodes))], j, controller.UserRequest{Op: controller.UserSubmit, Job: j.spec.ID, Body: body(j.spec)})
+		u.askController(w.controllers[w.rng.IntN(len(w.controllers))], j, controller.UserRequest{Op: controller.UserSubmit, Job: j.spec.ID, Body: encodeJob(j.spec)})
 		if j.reportedDone {
 			u.cancel(j)
 		}
@@ -44,17 +44,17 @@
 	invalid := j.spec
 	invalid.ID = fmt.Sprintf("req-8%08d", w.rng.IntN(1e8))
 	want := http.StatusUnprocessableEntity
-	raw := body(invalid)
+	raw := encodeJob(invalid)
 	switch w.rng.IntN(4) {
 	case 0:
 		invalid.CPUs = 1000
-		raw = body(invalid)
+		raw = encodeJob(invalid)
 	case 1:
 		invalid.Team = "nobody"
-		raw = body(invalid)
+		raw = encodeJob(invalid)
 	case 2:
 		invalid.Types = []string{"none"}
-		raw = body(invalid)
+		raw = encodeJob(invalid)
 	case 3:
 		invalid.Types, invalid.Zone, invalid.DeadlineS, invalid.Needs = nil, "", nil, nil // optional fields may be missing; null ones are never the one removed
 		raw, want = w.encodeWithoutField(invalid), http.StatusBadRequest
@@ -63,7 +63,7 @@
 		switch a.Status {
 		case want, 0, http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		default:
-			w.broken("invented", "a job that can't run or lacks a field is answered with status %d, want %d", a.Status, want)
+			w.recordViolation("invented", "a job that can't run or lacks a field is answered with status %d, want %d", a.Status, want)
 		}
 	})
 }
--- a/internal/sim/paired_faults.go
+++ b/internal/sim/paired_faults.go
@@ -27,7 +27,7 @@
 	func(f *pairedFault) { f.raise(&f.w.faults.cancelAtEnd) },
 	(*pairedFault).slowState,
 	(*pairedFault).fastBoots,
-	(*pairedFault).askAllNodes,
+	(*pairedFault).askAllControllers,
 	(*pairedFault).machinesReceiveNothing,
 	(*pairedFault).machinesSendNothing,
 	func(f *pairedFault) { f.w.users.cancelRunning(f.cancelCount, 0) },
@@ -62,7 +62,7 @@
 // raise sets the probability of a fault of the environment for a while.
 func (f *pairedFault) raise(share *float64) {
 	*share = f.share
-	f.undo(func() { *share = 0 })
+	f.repairAtEnd(func() { *share = 0 })
 }
 
 // delay returns a share of the given maximum.
@@ -72,17 +72,17 @@
 
 func (f *pairedFault) slowState() {
 	f.w.faults.slowState = f.delay(2 * time.Second)
-	f.undo(func() { f.w.faults.slowState = 0 })
+	f.repairAtEnd(func() { f.w.faults.slowState = 0 })
 }
 
 func (f *pairedFault) fastBoots() {
 	f.w.faults.fastBoots = true
-	f.undo(func() { f.w.faults.fastBoots = false })
+	f.repairAtEnd(func() { f.w.faults.fastBoots = false })
 }
 
-func (f *pairedFault) askAllNodes() {
-	f.w.faults.askAllNodes = true
-	f.undo(func() { f.w.faults.askAllNodes = false })
+func (f *pairedFault) askAllControllers() {
+	f.w.faults.askAllControllers = true
+	f.repairAtEnd(func() { f.w.faults.askAllControllers = false })
 }
 
 func (f *pairedFault) machinesReceiveNothing() {
@@ -97,9 +97,9 @@
 // at the end of its duration.
 func (f *pairedFault) someMachines(set func(h *host, on bool)) {
 	for _, h := range f.w.hosts {
-		if !h.gone && h.up <= f.w.now && f.w.chance(f.share) {
+		if !h.hasEnded && h.bootedAt <= f.w.now && f.w.chance(f.share) {
 			set(h, true)
-			f.undo(func() { set(h, false) })
+			f.repairAtEnd(func() { set(h, false) })
 		}
 	}
 }
@@ -127,7 +127,7 @@
 // than the time within which cancellations must take effect.
 func (f *pairedFault) outageAfterCancellations() {
 	w := f.w
-	w.refuse(w.leading(), w.cancelTime()+f.duration, f.end)
+	w.refuse(w.leaderOrFirst(), w.cancelTime()+f.duration, f.end)
 	w.after(w.between(0, 500*time.Millisecond), func() { w.users.cancelRunning(f.cancelCount, 0) })
 	w.after(w.between(600*time.Millisecond, 2*time.Second), func() {
 		w.store.setOutage(true)
@@ -140,7 +140,7 @@
 func (f *pairedFault) repeatedLeaderCrashes() {
 	w := f.w
 	for range 4 {
-		w.after(w.between(0, 4*time.Second), func() { w.leading().crash(f.shortDowntime) })
+		w.after(w.between(0, 4*time.Second), func() { w.leaderOrFirst().crash(f.shortDowntime) })
 	}
 	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.cancelCount, 0) })
 }
@@ -152,7 +152,7 @@
 	for i := range 10 {
 		w.after(time.Duration(i)*2*time.Second, func() {
 			if w.now < f.end {
-				w.refuse(w.leading(), 2*time.Second, f.end)
+				w.refuse(w.leaderOrFirst(), 2*time.Second, f.end)
 			}
 		})
 	}
@@ -163,15 +163,15 @@
 func (f *pairedFault) isolateLeader() {
 	w := f.w
 	w.after(w.between(0, 2*time.Second), func() { w.users.cancelRunning(f.cancelCount, 0) })
-	f.isolate(w.leading())
+	f.isolate(w.leaderOrFirst())
 }
 
 // isolateZone partitions a zone with one controller in it from the rest, for longer than a
 // lease if the faults last that long.
 func (f *pairedFault) isolateZone() {
 	w := f.w
-	n := w.nodes[f.pick>>8%uint64(len(w.nodes))]
-	w.isolate("a", n, w.untilEnd(w.leaseTime()+f.duration, f.end))
+	n := w.controllers[f.pick>>8%uint64(len(w.controllers))]
+	w.isolateZoneWithController("a", n, w.untilEnd(w.leaseTime()+f.duration, f.end))
 	w.users.cancelRunning(f.cancelCount, 0)
 }
 
@@ -179,7 +179,7 @@
 func (f *pairedFault) overloadSlowLinks() {
 	w := f.w
 	w.faults.slowLinks = f.delay(400 * time.Millisecond)
-	f.undo(func() {
+	f.repairAtEnd(func() {
 		w.faults.slowLinks = 0
 		if slices.ContainsFunc(w.users.list, (*simJob).waitsForStart) {
 			w.coverage["much more work than room over slow links"]++
@@ -199,9 +199,9 @@
 func (f *pairedFault) crashWithNewMachines() {
 	w := f.w
 	w.faults.fastBoots, w.faults.slowState = true, f.delay(2*time.Second)
-	f.undo(func() { w.faults.fastBoots, w.faults.slowState = false, 0 })
+	f.repairAtEnd(func() { w.faults.fastBoots, w.faults.slowState = false, 0 })
 	f.submit(4)
-	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { w.leading().crash(f.shortDowntime) })
+	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { w.leaderOrFirst().crash(f.shortDowntime) })
 }
 
 // crashAtTeamLimits submits work beyond the teams' limits, cancels jobs whose machines
@@ -210,7 +210,7 @@
 	w := f.w
 	f.submit(12)
 	w.after(f.duration/4, func() { w.users.cancelRunning(f.cancelCount, f.hangDuration) })
-	w.after(f.duration/4+w.between(0, time.Second), func() { w.leading().crash(f.shortDowntime) })
+	w.after(f.duration/4+w.between(0, time.Second), func() { w.leaderOrFirst().crash(f.shortDowntime) })
 }
 
 // allDownForALease crashes all controllers for at least the duration of a lease; they
@@ -218,11 +218,11 @@
 func (f *pairedFault) allDownForALease() {
 	w := f.w
 	w.after(w.leaseTime()-time.Millisecond, func() { // the first controller returns one millisecond later
-		if !slices.ContainsFunc(w.nodes, func(n *node) bool { return n.core != nil }) {
+		if !slices.ContainsFunc(w.controllers, func(n *member) bool { return n.core != nil }) {
 			w.coverage["all controllers away for longer than a lease"]++
 		}
 	})
-	for i, n := range w.nodes {
+	for i, n := range w.controllers {
 		n.crash(min(w.leaseTime()+time.Duration(i)*f.shortDowntime, max(f.end-w.now, f.shortDowntime)))
 	}
 }
--- a/internal/sim/pipelines.go
+++ b/internal/sim/pipelines.go
@@ -45,12 +45,12 @@
 	for range width {
 		j := u.drawJob()
 		j.spec.Kind, j.spec.Class, j.spec.Priority = wire.KindArray, "stage", "best_effort"
-		j.spec.Tasks, j.run = 1+w.rng.IntN(4), w.between(time.Second, 8*time.Second)
+		j.spec.Tasks, j.runTime = 1+w.rng.IntN(4), w.between(time.Second, 8*time.Second)
 		if width == wideStage {
 			j.spec.Tasks, j.spec.CPUs, j.spec.Spread = 1, 1, false
 		}
 		j.done, j.needs = make([]bool, j.spec.Tasks), before
-		j.spec.EstimateS = j.run.Seconds()
+		j.spec.EstimateS = j.runTime.Seconds()
 		if n == stages-1 {
 			due := 60.0
 			j.spec.Class, j.spec.Priority, j.spec.DeadlineS = "last", "high", &due
@@ -72,9 +72,9 @@
 	var next func()
 	next = func() {
 		switch {
-		case w.now > u.stop+30*time.Second:
+		case w.now > u.submissionsEnd+30*time.Second:
 		case !all(func(j *simJob) bool { return j.accepted }),
-			delayLast && n == stages-2 && !all(func(j *simJob) bool { return j.reportedDone || j.cancelTold }):
+			delayLast && n == stages-2 && !all(func(j *simJob) bool { return j.reportedDone || j.reportedCancelled }):
 			w.after(200*time.Millisecond, next)
 		default:
 			u.submitStage(jobs, n+1, stages, delayLast)
--- a/internal/sim/processes.go
+++ b/internal/sim/processes.go
@@ -22,7 +22,7 @@
 	operatorSettingsPath string // operators' settings, HCL
 	statusAddr           string // address of the status endpoint
 	tracePath            string // file for traces, if the operators' settings name it
-	node                 *node
+	controller           *member
 	cmd                  *exec.Cmd
 	links                []*meshLink // to and from the other controllers
 }
@@ -153,7 +153,7 @@
 // the other controllers.
 func (c *controllerProcess) writeSettings(ctx context.Context, w *World, controllers []*controllerProcess, i int, clientAddr string, meshAddrs []string) error {
 	state, cloud := w.AddController(fmt.Sprintf("n%d", i), clientAddr)
-	c.node = w.nodes[i]
+	c.controller = w.controllers[i]
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "member = \"n%d\"\nclient_listen = %q\nmesh_addr = %q\n[external]\nstate = %q\ncloud = %q\n", i, clientAddr, meshAddrs[i], state, cloud)
 	for j, other := range controllers {
@@ -190,8 +190,8 @@
 	fmt.Fprintf(out, "[facts.resources]\nmemory_mb = %f\nmax_connections = %d\n", f.Resources.MemoryMB, f.Resources.MaxConnections)
 }
 
-// setCut cuts the controller's links to and from the other controllers, or restores them.
-func (c *controllerProcess) setCut(on bool) {
+// setPartitioned cuts the controller's links to and from the other controllers, or restores them.
+func (c *controllerProcess) setPartitioned(on bool) {
 	for _, link := range c.links {
 		link.cut.Store(on)
 	}
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -10,12 +10,12 @@
 	"pumicefront/wire"
 )
 
-// running calls fn for every task that runs or saves on a machine now. Tasks of a
+// forEachRunningTask calls fn for every task that runs or saves on a machine now. Tasks of a
 // machine that hangs beyond its lease don't count: the worker kills them before the
 // machine resumes.
-func (w *World) running(fn func(h *host, t *task)) {
+func (w *World) forEachRunningTask(fn func(h *host, t *task)) {
 	for _, h := range w.hosts {
-		if h.gone || h.hung && w.now >= h.leaseEnd() {
+		if h.hasEnded || h.hung && w.now >= h.leaseEnd() {
 			continue
 		}
 		for _, t := range h.tasks {
@@ -27,17 +27,17 @@
 }
 
 // checkStart checks the rules on a task's start: ran_twice, quota, too_early,
-// wrong_place and ran_cancelled, and in a cluster those of the cells.
+// wrong_place and ran_cancelled, and in a federation those of the cells.
 func (w *World) checkStart(h *host, t *task, j *simJob) {
 	w.Log("%v %s starts %s attempt %d", w.now, h.id, t.id, t.attempt)
-	j.begun = true
+	j.hasStarted = true
 	cores, gpus := j.spec.CPUs, j.spec.GPUs
 	var others []string
 	zones := map[string]int{h.zone: 1}
-	w.running(func(otherHost *host, other *task) {
+	w.forEachRunningTask(func(otherHost *host, other *task) {
 		otherJob := other.job
 		if otherJob == j && other.id == t.id {
-			w.broken("ran_twice", "%s attempt %d starts on %s while attempt %d runs on %s", t.id, t.attempt, h.id, other.attempt, otherHost.id)
+			w.recordViolation("ran_twice", "%s attempt %d starts on %s while attempt %d runs on %s", t.id, t.attempt, h.id, other.attempt, otherHost.id)
 		}
 		if otherJob.spec.Team == j.spec.Team {
 			cores, gpus = cores+otherJob.spec.CPUs, gpus+otherJob.spec.GPUs
@@ -49,25 +49,25 @@
 	})
 	beyond := func(used, limit float64) bool { return limit > 0 && used > limit+1e-6 }
 	if team := w.team(j.spec.Team); beyond(cores, team.CPUsMax) || beyond(gpus, team.GPUsMax) {
-		w.broken("quota", "team %s uses %v of %v cores and %v of %v GPUs with %s on %s and %v",
+		w.recordViolation("quota", "team %s uses %v of %v cores and %v of %v GPUs with %s on %s and %v",
 			team.Name, cores, team.CPUsMax, gpus, team.GPUsMax, t.id, h.id, others)
 	}
 	for _, p := range j.needs {
-		if p.left() > 0 || p.cancelTold {
-			w.broken("too_early", "%s starts although %s, which it needs, is cancelled or has tasks left: %d", t.id, p.spec.ID, p.left())
+		if p.tasksLeft() > 0 || p.reportedCancelled {
+			w.recordViolation("too_early", "%s starts although %s, which it needs, is cancelled or has tasks left: %d", t.id, p.spec.ID, p.tasksLeft())
 		}
 	}
-	w.checkCells(h, t, j)
+	w.checkCrossCellRules(h, t, j)
 	w.checkPlace(h, t, j, zones)
-	if j.cancelTold && w.now > j.cancelledAt+w.cancelTime() {
-		w.broken("ran_cancelled", "%s starts on %s after the time for its cancellation", t.id, h.id)
+	if j.reportedCancelled && w.now > j.cancelledAt+w.cancelTime() {
+		w.recordViolation("ran_cancelled", "%s starts on %s after the time for its cancellation", t.id, h.id)
 	}
 }
 
 // checkAuthority checks that no controller sends commands or answers reports with a
 // fencing token lower than one already used. A controller that only forwards the leader's
 // answer is exempt: that answer was checked when the leader gave it.
-func (w *World) checkAuthority(n *node, o controller.Output) {
+func (w *World) checkAuthority(n *member, o controller.Output) {
 	token := w.highestToken
 	switch o := o.(type) {
 	case controller.WorkerCall:
@@ -82,7 +82,7 @@
 		}
 	}
 	if token < w.highestToken {
-		w.broken("authority", "%s acts with token %d, but token %d has been used already", n.name, token, w.highestToken)
+		w.recordViolation("authority", "%s acts with token %d, but token %d has been used already", n.name, token, w.highestToken)
 	}
 	if token > w.highestToken {
 		w.noteLeaderChange(n)
@@ -108,8 +108,8 @@
 	}
 	late := w.cancelTime() - w.leaseTime()
 	for _, c := range commands {
-		if j := w.users.jobOf(c.Task); c.Op == wire.OpRun && j != nil && j.cancelTold && w.now > j.cancelledAt+late {
-			w.broken("ran_cancelled", "run command for %s, whose job was reported cancelled at %v", c.Task, j.cancelledAt)
+		if j := w.users.jobOf(c.Task); c.Op == wire.OpRun && j != nil && j.reportedCancelled && w.now > j.cancelledAt+late {
+			w.recordViolation("ran_cancelled", "run command for %s, whose job was reported cancelled at %v", c.Task, j.cancelledAt)
 		}
 	}
 }
@@ -118,9 +118,9 @@
 // suitable machine has room for one of its tasks and the team's quota allows it.
 const maxWaitDespiteCapacity = 90 * time.Second
 
-// watchWaiting checks at regular intervals, starting now, that no job waits longer than
+// checkWaitingJobs checks at regular intervals, starting now, that no job waits longer than
 // maxWaitDespiteCapacity despite free capacity. Callers start it once the faults have ended.
-func (w *World) watchWaiting(interval time.Duration) {
+func (w *World) checkWaitingJobs(interval time.Duration) {
 	since := map[*simJob]time.Duration{}
 	var check func()
 	check = func() {
@@ -130,7 +130,7 @@
 			} else if at, ok := since[j]; !ok {
 				since[j] = w.now
 			} else if w.now-at > maxWaitDespiteCapacity {
-				w.broken("kept_waiting", "%s has waited since %v despite free capacity", j.spec.ID, at)
+				w.recordViolation("kept_waiting", "%s has waited since %v despite free capacity", j.spec.ID, at)
 			}
 		}
 		w.after(interval, check)
@@ -142,7 +142,7 @@
 // healthy machine has room for it and the team's quota allows it. Jobs whose placement
 // depends on their other tasks (OneZone, Spread) are left out.
 func (w *World) waitsDespiteCapacity(j *simJob) bool {
-	if !j.accepted || j.mayBeCancelled() || j.waits() || j.spec.OneZone || j.spec.Spread || j.left() == 0 && j.spec.Kind == wire.KindArray {
+	if !j.accepted || j.mayBeCancelled() || j.waitsForNeededJobs() || j.spec.OneZone || j.spec.Spread || j.tasksLeft() == 0 && j.spec.Kind == wire.KindArray {
 		return false
 	}
 	team, s := w.team(j.spec.Team), j.spec
@@ -151,7 +151,7 @@
 	for _, h := range w.hosts {
 		free := h.capacity()
 		for _, t := range h.tasks {
-			if h.gone || t.state == wire.TaskExited || t.job == nil {
+			if h.hasEnded || t.state == wire.TaskExited || t.job == nil {
 				continue
 			}
 			free.CPUs, free.GPUs = free.CPUs-t.job.spec.CPUs, free.GPUs-t.job.spec.GPUs
@@ -163,19 +163,19 @@
 			}
 		}
 		fits := (len(s.Types) == 0 || s.Types[0] == h.typ) && (s.Zone == "" || s.Zone == h.zone) && (s.Spot || !h.spot)
-		healthy := !h.gone && !h.restarting && !h.cut && !h.hung && !h.receivesNothing && !h.sendsNothing && !h.notice && !h.faulty && h.up < w.now
+		healthy := !h.hasEnded && !h.restarting && !h.partitioned && !h.hung && !h.receivesNothing && !h.sendsNothing && !h.terminationNotice && !h.faulty && h.bootedAt < w.now
 		hasRoom = hasRoom || fits && healthy && free.CPUs >= s.CPUs && free.GPUs >= s.GPUs
 	}
 	within := func(used, limit float64) bool { return limit == 0 || used <= limit }
 	left := s.Tasks
 	if s.Kind == wire.KindArray {
-		left = j.left()
+		left = j.tasksLeft()
 	}
 	return hasRoom && placed < left && within(cores, team.CPUsMax) && within(gpus, team.GPUsMax)
 }
 
-// waits reports whether a job that this one needs has not been reported done yet.
-func (j *simJob) waits() bool {
+// waitsForNeededJobs reports whether a job that this one needs has not been reported done yet.
+func (j *simJob) waitsForNeededJobs() bool {
 	return slices.ContainsFunc(j.needs, func(p *simJob) bool { return !p.reportedDone })
 }
 
@@ -189,14 +189,14 @@
 		}
 		for _, group := range []string{"class " + j.spec.Class, "team " + j.spec.Team} {
 			all[group]++
-			if j.begun {
+			if j.hasStarted {
 				started[group]++
 			}
 		}
 	}
 	for group, n := range all {
 		if 2*started[group] < n {
-			w.broken("unserved", "of %d jobs of %s only %d have started", n, group, started[group])
+			w.recordViolation("unserved", "of %d jobs of %s only %d have started", n, group, started[group])
 		}
 	}
 }
@@ -213,7 +213,7 @@
 // whether it has finished or not.
 func (w *World) checkKnown(j *simJob) {
 	if w.faultsEnd > 0 && j.accepted && !j.mayBeCancelled() && w.now-max(j.lastAnswered, w.faultsEnd) > maxTimeUnanswered {
-		w.broken("forgotten", "no query about %s has been answered since %v", j.spec.ID, j.lastAnswered)
+		w.recordViolation("forgotten", "no query about %s has been answered since %v", j.spec.ID, j.lastAnswered)
 	}
 }
 
@@ -231,8 +231,8 @@
 		return
 	}
 	w.after(maxTimeToStart, func() {
-		if !j.begun && !j.mayBeCancelled() {
-			w.broken("starved", "%s with %d tasks has not started", j.spec.ID, j.spec.Tasks)
+		if !j.hasStarted && !j.mayBeCancelled() {
+			w.recordViolation("starved", "%s with %d tasks has not started", j.spec.ID, j.spec.Tasks)
 		}
 	})
 }
@@ -242,7 +242,7 @@
 	ok := (len(s.Types) == 0 || s.Types[0] == h.typ) && (s.Zone == "" || s.Zone == h.zone) && (s.Spot || !h.spot)
 	ok = ok && (!s.OneZone || len(zones) == 1) && (!s.Spread || zones[h.zone] <= (s.Tasks+1)/2)
 	if !ok {
-		w.broken("wrong_place", "%s on %s %s in %s spot %v, zones %v", t.id, h.id, h.typ, h.zone, h.spot, zones)
+		w.recordViolation("wrong_place", "%s on %s %s in %s spot %v, zones %v", t.id, h.id, h.typ, h.zone, h.spot, zones)
 	}
 }
 
@@ -254,9 +254,9 @@
 // its cancellation has passed.
 func (w *World) checkCancelled(j *simJob) {
 	w.after(w.cancelTime()+time.Millisecond, func() {
-		w.everywhere(func(h *host, t *task) {
+		w.forEachTaskInAllCells(func(h *host, t *task) {
 			if t.job == j {
-				w.broken("ran_cancelled", "%s is still on %s after the time for its cancellation", t.id, h.id)
+				w.recordViolation("ran_cancelled", "%s is still on %s after the time for its cancellation", t.id, h.id)
 			}
 		})
 	})
@@ -266,26 +266,26 @@
 // when the request was sent: answers may arrive out of order, so this one may be older
 // than others that have arrived since.
 func (w *World) checkState(j *simJob, known knownState, s wire.JobState) {
-	w.recordEvent(history.Event{Kind: history.Answered, Job: j.spec.ID, Asked: known.at, State: s.State,
+	w.recordEvent(history.Event{Kind: history.Answered, Job: j.spec.ID, RequestedAt: known.at, State: s.State,
 		Final: s.State == wire.StateDone || s.State == wire.StateCancelled})
 	switch {
 	case known.done && s.State != wire.StateDone, known.cancelled && s.State != wire.StateCancelled:
-		w.broken("went_back", "%s is reported %s after a different final state", j.spec.ID, s.State)
+		w.recordViolation("went_back", "%s is reported %s after a different final state", j.spec.ID, s.State)
 	case known.orphaned && (s.State == wire.StateQueued || s.State == wire.StateRunning):
-		w.broken("orphaned", "%s is reported %s long after a job that it needs was cancelled", j.spec.ID, s.State)
+		w.recordViolation("orphaned", "%s is reported %s long after a job that it needs was cancelled", j.spec.ID, s.State)
 	case s.State == wire.StateCancelled && !j.mayBeCancelled():
-		w.broken("went_back", "%s is reported cancelled without a request", j.spec.ID)
-	case s.State == wire.StateDone && j.left() > 0:
-		w.broken("not_done", "%s is reported done with %d tasks left", j.spec.ID, j.left())
+		w.recordViolation("went_back", "%s is reported cancelled without a request", j.spec.ID)
+	case s.State == wire.StateDone && j.tasksLeft() > 0:
+		w.recordViolation("not_done", "%s is reported done with %d tasks left", j.spec.ID, j.tasksLeft())
 	}
 	if s.State == wire.StateDone {
 		j.reportedDone = true
 	}
-	if s.State == wire.StateCancelled && !j.cancelTold {
-		if !j.askedCancel {
+	if s.State == wire.StateCancelled && !j.reportedCancelled {
+		if !j.cancelRequested {
 			w.coverage["a job cancelled with one that it needs"]++
 		}
-		j.cancelTold, j.cancelledAt = true, w.now
+		j.reportedCancelled, j.cancelledAt = true, w.now
 		w.noteCancellation(j)
 		w.checkCancelled(j)
 	}
@@ -300,10 +300,10 @@
 			ran = ran || d
 		}
 		if j.accepted && !j.mayBeCancelled() && j.spec.Kind == wire.KindArray && !j.reportedDone {
-			w.broken("unfinished", "%s is not reported done, %d of %d tasks left: %+v", j.spec.ID, j.left(), j.spec.Tasks, j.spec)
+			w.recordViolation("unfinished", "%s is not reported done, %d of %d tasks left: %+v", j.spec.ID, j.tasksLeft(), j.spec.Tasks, j.spec)
 		}
 	}
 	if !ran {
-		w.broken("nothing_ran", "no task has finished")
+		w.recordViolation("nothing_ran", "no task has finished")
 	}
 }
--- a/internal/sim/runs_test.go
+++ b/internal/sim/runs_test.go
@@ -50,7 +50,7 @@
 		replay(t, seedText, pairShape, runFaultPairsLongRecovery)
 		return
 	}
-	runPairs(t, runsOf("PUMICEFRONT_PAIR_RUNS", 48), pairShape, pairCoverage)
+	runPairs(t, runCount("PUMICEFRONT_PAIR_RUNS", 48), pairShape, pairCoverage)
 }
 
 // runPairs simulates runs, and checks that each of the combinations has occurred in at
@@ -65,7 +65,7 @@
 				t.Parallel()
 				w := New(seed, shapeOf(seed))
 				runFaultPairsLongRecovery(w, faultPhase, recoveryTime(w))
-				report(t, seed, w)
+				reportViolations(t, seed, w)
 				if w.store.tooLarge > 0 {
 					t.Errorf("seed %d: state service refused %d transactions that exceed its size limits", seed, w.store.tooLarge)
 				}
@@ -144,7 +144,7 @@
 		replay(t, seedText, func(uint64) Shape { return Chains }, runFaultPairsLongRecovery)
 		return
 	}
-	runPairs(t, runsOf("PUMICEFRONT_CHAIN_RUNS", 24), func(uint64) Shape { return Chains }, []string{
+	runPairs(t, runCount("PUMICEFRONT_CHAIN_RUNS", 24), func(uint64) Shape { return Chains }, []string{
 		"a job cancelled with one that it needs",
 		"a job accepted that needs a cancelled one",
 		"a job accepted that needs a finished one",
@@ -156,20 +156,20 @@
 
 // runAll simulates runs of one shape. The environment variable overrides their number.
 func runAll(t *testing.T, variable string, runs int, shape Shape) {
-	runs = runsOf(variable, runs)
+	runs = runCount(variable, runs)
 	for seed := range uint64(runs) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(seed, shape)
 			RunFaults(w, faultPhase, recoveryTime(w))
-			report(t, seed, w)
+			reportViolations(t, seed, w)
 		})
 	}
 }
 
-// runsOf returns the number of runs: the value of the environment variable if it is set,
+// runCount returns the number of runs: the value of the environment variable if it is set,
 // otherwise runs, the number for CI.
-func runsOf(variable string, runs int) int {
+func runCount(variable string, runs int) int {
 	if s := os.Getenv(variable); s != "" {
 		runs, _ = strconv.Atoi(s)
 	}
@@ -186,7 +186,7 @@
 	w := New(seed, shapeOf(seed))
 	w.Log = func(f string, args ...any) { fmt.Printf(f+"\n", args...) }
 	run(w, faultPhase, recoveryTime(w))
-	report(t, seed, w)
+	reportViolations(t, seed, w)
 }
 
 // recoveryTime returns the recovery period of a run. The GPU shapes have long leases, and
@@ -199,16 +199,16 @@
 	return recoveryPhase
 }
 
-func report(t *testing.T, seed uint64, w *World) {
+func reportViolations(t *testing.T, seed uint64, w *World) {
 	t.Helper()
-	for _, r := range w.Rules {
+	for _, r := range w.Violations {
 		t.Errorf("seed %d: %s", seed, r)
 	}
 }
 
-// TestSameSeedSameDay checks that a seed always produces the same log, without which a
+// TestSameSeedSameLog checks that a seed always produces the same log, without which a
 // failing seed could not be replayed.
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedSameLog(t *testing.T) {
 	simulate := func() string {
 		var log strings.Builder
 		w := New(3, Small)
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -24,13 +24,13 @@
 	t.Helper()
 	w := New(seed, shape)
 	configure(w)
-	for _, n := range w.nodes { // restarts the cores that New booted, with the new configuration
+	for _, n := range w.controllers { // restarts the cores that New booted, with the new configuration
 		n.boot()
 	}
 	w.after(time.Second, func() {
 		for _, kind := range []string{wire.KindService, wire.KindArray} {
 			j := &simJob{spec: wire.Job{ID: "req-00000" + kind[:1], Class: "web", Team: "red", Kind: kind, Priority: "prod",
-				Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 1}, run: time.Hour, done: make([]bool, 4)}
+				Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 1}, runTime: time.Hour, done: make([]bool, 4)}
 			j.spec.ID = map[string]string{wire.KindService: "req-000001", wire.KindArray: "req-000002"}[kind]
 			w.users.jobs[j.spec.ID] = j
 			w.users.list = append(w.users.list, j)
@@ -46,16 +46,16 @@
 
 func countRunningTasks(w *World) int {
 	n := 0
-	w.running(func(*host, *task) { n++ })
+	w.forEachRunningTask(func(*host, *task) { n++ })
 	return n
 }
 
-// nodeWithMostWorkers returns the node that most workers report to.
-func nodeWithMostWorkers(w *World) *node {
-	count := make([]int, len(w.nodes))
+// memberWithMostWorkers returns the controller that most workers report to.
+func memberWithMostWorkers(w *World) *member {
+	count := make([]int, len(w.controllers))
 	for _, h := range w.hosts {
-		if !h.gone {
-			count[h.node]++
+		if !h.hasEnded {
+			count[h.controllerIndex]++
 		}
 	}
 	best := 0
@@ -64,18 +64,18 @@
 			best = i
 		}
 	}
-	return w.nodes[best]
+	return w.controllers[best]
 }
 
 // checkLeasesAndTasksKept checks that no rule is broken, that no machine rented in the first minute
 // has lost its lease since, and that all tasks of settledWorld run.
 func checkLeasesAndTasksKept(t *testing.T, w *World) {
 	t.Helper()
-	for _, r := range w.Rules {
+	for _, r := range w.Violations {
 		t.Error(r)
 	}
 	for _, h := range w.hosts {
-		if !h.gone && h.session > 1 && h.born < time.Minute {
+		if !h.hasEnded && h.session > 1 && h.rentedAt < time.Minute {
 			t.Errorf("%s lost its lease", h.id)
 		}
 	}
@@ -96,13 +96,13 @@
 }
 
 // A leader must be replaced if the state service refuses its calls and no one else's: its peers can reach
-// the state service, so they refuse to promise that they won't claim the leadership.
+// the state service, so they refuse to grant a peer lease.
 func TestRefusedLeaderIsReplaced(t *testing.T) {
 	w := settledWorld(t, 2)
-	oldLeader := nodeWithMostWorkers(w)
-	oldLeader.refused = true
+	oldLeader := memberWithMostWorkers(w)
+	oldLeader.stateRefused = true
 	w.Run(w.now + 12*time.Second)
-	if current := nodeWithMostWorkers(w); current == oldLeader {
+	if current := memberWithMostWorkers(w); current == oldLeader {
 		t.Error("workers still report to the refused leader")
 	}
 	checkLeasesAndTasksKept(t, w)
@@ -111,10 +111,10 @@
 // A leader that is cut off from the workers, and from nothing else, must not let all their leases run out.
 func TestLeaderCutOffFromWorkersKeepsLeases(t *testing.T) {
 	w := settledWorld(t, 3)
-	n := nodeWithMostWorkers(w)
-	n.workersCut = true
+	n := memberWithMostWorkers(w)
+	n.cutFromWorkers = true
 	w.Run(w.now + 40*time.Second)
-	n.workersCut = false
+	n.cutFromWorkers = false
 	w.Run(w.now + 10*time.Second)
 	checkLeasesAndTasksKept(t, w)
 }
@@ -122,10 +122,10 @@
 // Neither a crash of the leader nor a crash of all controllers may cost a running task.
 func TestCrashesKeepTasks(t *testing.T) {
 	w := settledWorld(t, 4)
-	nodeWithMostWorkers(w).crash(3 * time.Second)
+	memberWithMostWorkers(w).crash(3 * time.Second)
 	w.Run(w.now + 15*time.Second)
 	checkLeasesAndTasksKept(t, w)
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.crash(time.Second)
 	}
 	w.Run(w.now + 15*time.Second)
@@ -142,10 +142,10 @@
 	for _, op := range []controller.UserOp{controller.UserSubmit, controller.UserPoll, controller.UserAbort, controller.UserReady} {
 		r := controller.UserRequest{Op: op, Job: "req-000001"}
 		if op == controller.UserSubmit {
-			r.Body = body(wire.Job{ID: "req-000009", Class: "web", Team: "red", Kind: wire.KindArray, Priority: "prod",
+			r.Body = encodeJob(wire.Job{ID: "req-000009", Class: "web", Team: "red", Kind: wire.KindArray, Priority: "prod",
 				Tasks: 1, CPUs: 1, Image: "img-0"})
 		}
-		for _, n := range w.nodes {
+		for _, n := range w.controllers {
 			n.ask(func(req uint64) controller.Input { r.Req = req; return r }, func(a controller.Answer) {
 				answered++
 				if a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 || w.now-sentAt > time.Second {
@@ -164,8 +164,8 @@
 // one for every task that finishes.
 func TestChangesWrittenPerJob(t *testing.T) {
 	w := New(20, Grown)
-	w.users.stop = 60 * time.Second
-	w.after(time.Second, func() { w.users.arrive(w.shape.ArrivalInterval) })
+	w.users.submissionsEnd = 60 * time.Second
+	w.after(time.Second, func() { w.users.submitRegularly(w.shape.ArrivalInterval) })
 	w.Run(2 * time.Minute)
 	jobs, tasks := 0, 0
 	for _, j := range w.users.list {
@@ -178,28 +178,28 @@
 	}
 }
 
-// A controller that restarts quickly may have promised not to claim the leadership in its earlier life.
-// It doesn't know of the promise and must wait until it would have expired. The tampered controller
+// A controller that restarts quickly may have granted a peer lease in its earlier incarnation. It has
+// no record of the peer lease and must wait until it would have expired. The tampered controller
 // believes that it started an hour ago and skips the wait: the checks must detect two leaders then,
 // and must report nothing for an untampered one.
 func TestRestartedControllerHonoursPeerLeases(t *testing.T) {
 	breaksRule := func(seed uint64, boot func(time.Time) time.Time) bool {
 		w := settledWorld(t, seed)
-		w.Tamper.Boot = boot
-		oldLeader := nodeWithMostWorkers(w)
-		var other *node
-		for _, n := range w.nodes {
-			n.refused = true // unlike in an outage, leases in the state service still run out
+		w.Tamper.StartTime = boot
+		oldLeader := memberWithMostWorkers(w)
+		var other *member
+		for _, n := range w.controllers {
+			n.stateRefused = true // unlike in an outage, leases in the state service still run out
 			if n != oldLeader {
 				other = n
 			}
 		}
 		w.after(4*time.Second, func() {
-			other.refused = false
+			other.stateRefused = false
 			other.crash(30 * time.Millisecond)
 		})
 		w.Run(w.now + 12*time.Second)
-		return len(w.Rules) > 0
+		return len(w.Violations) > 0
 	}
 	caught := 0
 	for seed := range uint64(8) {
@@ -211,7 +211,7 @@
 		}
 	}
 	if caught == 0 {
-		t.Error("a leadership claim against a promise was not detected")
+		t.Error("a leadership claim against a peer lease was not detected")
 	}
 }
 
@@ -219,10 +219,10 @@
 // rejoin by itself and answer readiness requests within seconds, as the other controllers do.
 func TestPausedLeaderIsReplaced(t *testing.T) {
 	w := settledWorld(t, 7)
-	oldLeader := nodeWithMostWorkers(w)
+	oldLeader := memberWithMostWorkers(w)
 	oldLeader.pause(30 * time.Second)
 	w.Run(w.now + 12*time.Second)
-	if nodeWithMostWorkers(w) == oldLeader {
+	if memberWithMostWorkers(w) == oldLeader {
 		t.Error("workers still report to the paused leader")
 	}
 	checkLeasesAndTasksKept(t, w)
@@ -244,7 +244,7 @@
 // While all controllers are paused no reports are received. No machine may be declared lost for that.
 func TestAllControllersPaused(t *testing.T) {
 	w := settledWorld(t, 8)
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.pause(6 * time.Second)
 	}
 	w.Run(w.now + 25*time.Second)
@@ -277,25 +277,25 @@
 	})
 	w.Run(90 * time.Second)
 	busy := map[*host]bool{}
-	w.running(func(h *host, _ *task) { busy[h] = true })
+	w.forEachRunningTask(func(h *host, _ *task) { busy[h] = true })
 	if len(busy) < 20 {
 		t.Fatalf("%d machines run tasks, want at least 20", len(busy))
 	}
-	n := nodeWithMostWorkers(w)
-	n.workersCut = true
+	n := memberWithMostWorkers(w)
+	n.cutFromWorkers = true
 	w.Run(w.now + 40*time.Second)
-	n.workersCut = false
+	n.cutFromWorkers = false
 	w.Run(w.now + 10*time.Second)
 	released := 0
 	for h := range busy {
-		if h.gone && slices.ContainsFunc(h.tasks, (*task).onMachine) {
+		if h.hasEnded && slices.ContainsFunc(h.tasks, (*task).onMachine) {
 			released++
 		}
 	}
 	if released > 0 {
 		t.Errorf("%d of %d machines released while running tasks", released, len(busy))
 	}
-	for _, r := range w.Rules {
+	for _, r := range w.Violations {
 		t.Error(r)
 	}
 }
@@ -328,23 +328,23 @@
 			}
 			return unavailable, true
 		}
-		w.users.enter(dependent)
+		w.users.submitAndMaybeCancel(dependent)
 		w.Run(w.now + 500*time.Millisecond)
 		if !delayed {
 			t.Fatal("the submission's record was not written within 500 ms")
 		}
-		w.faults.askAllNodes = true
-		cancelThrough(t, w, w.nodes[0], arrayJobID)
+		w.faults.askAllControllers = true
+		cancelThrough(t, w, w.controllers[0], arrayJobID)
 		for range 400 {
-			for _, n := range w.nodes {
-				w.users.askNode(n, dependent, controller.UserRequest{Op: controller.UserPoll, Job: secondArrayJobID})
+			for _, n := range w.controllers {
+				w.users.askController(n, dependent, controller.UserRequest{Op: controller.UserPoll, Job: secondArrayJobID})
 			}
 			w.Run(w.now + 20*time.Millisecond)
 		}
-		if !dependent.cancelTold {
+		if !dependent.reportedCancelled {
 			t.Errorf("seed %d: the job that needs a cancelled job is not reported as cancelled", seed)
 		}
-		for _, r := range w.Rules {
+		for _, r := range w.Violations {
 			t.Errorf("seed %d: %s", seed, r)
 		}
 	}
--- a/internal/sim/spread_faults.go
+++ b/internal/sim/spread_faults.go
@@ -23,7 +23,7 @@
 }
 
 // noteMove records a step of a move.
-func (w *World) noteMove(n *node, m controller.MoveChanged) {
+func (w *World) noteMove(n *member, m controller.MoveChanged) {
 	w.moves = append(w.moves, m)
 	w.coverage["a move is "+m.Phase.String()]++
 	if m.Outcome != "" {
@@ -58,14 +58,14 @@
 	name    string
 	phase   balance.Phase
 	jobKind string // kind of the moved task's job; empty: any
-	inject  func(r *spreadRun, n *node, m controller.MoveChanged) bool
+	inject  func(r *spreadRun, n *member, m controller.MoveChanged) bool
 }
 
 // afterCommands is the time after a step of a move by which its commands have arrived.
 const afterCommands = 15 * time.Millisecond
 
 // crashAfter crashes a leader after the given time.
-func (r *spreadRun) crashAfter(n *node, d time.Duration) bool {
+func (r *spreadRun) crashAfter(n *member, d time.Duration) bool {
 	r.w.after(d, func() { n.crash(3 * time.Second) })
 	return true
 }
@@ -86,8 +86,8 @@
 
 func hangHost(h *host)      { h.setHung(true) }
 func resumeHost(h *host)    { h.setHung(false) }
-func cutHost(h *host)       { h.setCut(true) }
-func reconnectHost(h *host) { h.setCut(false) }
+func cutHost(h *host)       { h.setPartitioned(true) }
+func reconnectHost(h *host) { h.setPartitioned(false) }
 
 // disturbFor applies a fault for the given time.
 func (r *spreadRun) disturbFor(d time.Duration, do, undo func()) bool {
@@ -128,7 +128,7 @@
 		return false
 	}
 	j := &simJob{spec: spec, done: make([]bool, spec.Tasks)}
-	r.w.users.enterQuietly(j)
+	r.w.users.submitUncancelled(j)
 	r.w.after(40*time.Second, func() { r.w.users.cancel(j) })
 	return true
 }
@@ -136,17 +136,17 @@
 // moveFaults lists the faults that can occur during a move.
 func moveFaults() []moveFault {
 	return []moveFault{
-		{"the task ends as it is stopped", balance.Stopping, wire.KindArray, func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
+		{"the task ends as it is stopped", balance.Stopping, wire.KindArray, func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			h := r.w.host(m.From)
-			t := h.find(wire.TaskID(m.Job, m.Index), m.Attempt)
+			t := h.findTask(wire.TaskID(m.Job, m.Index), m.Attempt)
 			if t == nil || t.state != wire.TaskRunning {
 				return false
 			}
 			h.finish(t, t.job, m.Index)
 			return true
 		}},
-		{"the leader ends after the stop", balance.Stopping, "", func(r *spreadRun, n *node, _ controller.MoveChanged) bool { return r.crashAfter(n, afterCommands) }},
-		{"the leader ends after the save", balance.Stopping, wire.KindArray, func(r *spreadRun, n *node, m controller.MoveChanged) bool {
+		{"the leader ends after the stop", balance.Stopping, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool { return r.crashAfter(n, afterCommands) }},
+		{"the leader ends after the save", balance.Stopping, wire.KindArray, func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			r.w.onStopped = func(t *task) {
 				if t.id == wire.TaskID(m.Job, m.Index) && t.job.saved[m.Index] > 0 {
 					r.w.onStopped = nil
@@ -155,27 +155,27 @@
 			}
 			return true
 		}},
-		{"the leader ends after the proof", balance.Waiting, "", func(r *spreadRun, n *node, _ controller.MoveChanged) bool { return r.crashAfter(n, 0) }},
-		{"the leader ends after the placement's record", balance.Starting, "", func(r *spreadRun, n *node, m controller.MoveChanged) bool {
+		{"the leader ends after the proof", balance.Waiting, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool { return r.crashAfter(n, 0) }},
+		{"the leader ends after the placement's record", balance.Starting, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			return r.onPlacementWritten(m.Job, func(reply *controller.StateReply) {
 				*reply = controller.StateReply{ID: reply.ID}
 				r.crashAfter(n, 0)
 			})
 		}},
-		{"a deposed leader's stop is late", balance.Stopping, "", func(_ *spreadRun, n *node, _ controller.MoveChanged) bool {
+		{"a deposed leader's stop is late", balance.Stopping, "", func(_ *spreadRun, n *member, _ controller.MoveChanged) bool {
 			n.pause(7 * time.Second)
 			return true
 		}},
-		{"a deposed leader's run is late", balance.Starting, "", func(r *spreadRun, n *node, m controller.MoveChanged) bool {
+		{"a deposed leader's run is late", balance.Starting, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			return r.onPlacementWritten(m.Job, func(*controller.StateReply) { n.pause(9 * time.Second) })
 		}},
-		{"the source hangs", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
+		{"the source hangs", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.From, hangHost, resumeHost, 14*time.Second)
 		}},
-		{"the source is cut off", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
+		{"the source is cut off", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.From, cutHost, reconnectHost, 14*time.Second)
 		}},
-		{"half of the machines are cut off", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
+		{"half of the machines are cut off", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			for i, h := range r.w.hostsUp() {
 				if h.id != m.To && i%2 == 0 || h.id == m.From {
 					r.disturbHost(h.id, cutHost, reconnectHost, 9*time.Second)
@@ -183,47 +183,47 @@
 			}
 			return true
 		}},
-		{"the source hears nothing", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
+		{"the source hears nothing", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.From, func(h *host) { h.receivesNothing = true }, func(h *host) { h.receivesNothing = false }, 12*time.Second)
 		}},
-		{"the destination dies", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
-			return r.disturbHost(m.To, (*host).vanish, nil, 0)
+		{"the destination dies", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
+			return r.disturbHost(m.To, (*host).terminate, nil, 0)
 		}},
-		{"the destination hangs", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
+		{"the destination hangs", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.To, hangHost, resumeHost, 14*time.Second)
 		}},
-		{"the destination will be taken", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool {
-			return r.disturbHost(m.To, func(h *host) { h.notice = true; h.report() }, (*host).vanish, 5*time.Second)
+		{"the destination will be taken", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
+			return r.disturbHost(m.To, func(h *host) { h.terminationNotice = true; h.report() }, (*host).terminate, 5*time.Second)
 		}},
-		{"prod services take all room", balance.Stopping, wire.KindArray, func(r *spreadRun, _ *node, _ controller.MoveChanged) bool { return r.fillCapacity() }},
-		{"the job is cancelled as it stops", balance.Stopping, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancelJob(m) }},
-		{"the job is cancelled as it waits", balance.Waiting, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancelJob(m) }},
-		{"the job is cancelled as it starts", balance.Starting, "", func(r *spreadRun, _ *node, m controller.MoveChanged) bool { return r.cancelJob(m) }},
-		{"the job is cancelled and the leader ends", balance.Stopping, "", func(r *spreadRun, n *node, m controller.MoveChanged) bool {
+		{"prod services take all room", balance.Stopping, wire.KindArray, func(r *spreadRun, _ *member, _ controller.MoveChanged) bool { return r.fillCapacity() }},
+		{"the job is cancelled as it stops", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool { return r.cancelJob(m) }},
+		{"the job is cancelled as it waits", balance.Waiting, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool { return r.cancelJob(m) }},
+		{"the job is cancelled as it starts", balance.Starting, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool { return r.cancelJob(m) }},
+		{"the job is cancelled and the leader ends", balance.Stopping, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			return r.cancelJob(m) && r.crashAfter(n, afterCommands)
 		}},
-		{"the state service is out", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
+		{"the state service is out", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
 			return r.disturbFor(9*time.Second, func() { r.w.store.setOutage(true) }, func() { r.w.store.setOutage(false) })
 		}},
-		{"the state service refuses the leader", balance.Waiting, "", func(r *spreadRun, n *node, _ controller.MoveChanged) bool {
-			return r.disturbFor(9*time.Second, func() { n.refused = true }, func() { n.refused = false })
+		{"the state service refuses the leader", balance.Waiting, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool {
+			return r.disturbFor(9*time.Second, func() { n.stateRefused = true }, func() { n.stateRefused = false })
 		}},
-		{"the state service answers late", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
+		{"the state service answers late", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
 			return r.disturbFor(15*time.Second, func() { r.w.faults.slowState = 900 * time.Millisecond }, func() { r.w.faults.slowState = 0 })
 		}},
-		{"the state service loses answers", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
+		{"the state service loses answers", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
 			return r.disturbFor(15*time.Second, func() { r.w.faults.lostAnswers, r.w.faults.lateWrites = 0.4, 0.1 },
 				func() { r.w.faults.lostAnswers, r.w.faults.lateWrites = 0, 0 })
 		}},
-		{"a third of the machines is drained", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
+		{"a third of the machines is drained", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
 			r.drainThird()
 			return true
 		}},
-		{"late reports show tasks where they were", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
+		{"late reports show tasks where they were", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
 			return r.disturbFor(20*time.Second, func() { r.w.faults.duplicateReports, r.w.faults.keepReports = 1, 0.5 },
 				func() { r.w.faults.duplicateReports, r.w.faults.keepReports = 0, 0 })
 		}},
-		{"commands are late", balance.Stopping, "", func(r *spreadRun, _ *node, _ controller.MoveChanged) bool {
+		{"commands are late", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
 			return r.disturbFor(10*time.Second, func() { r.w.faults.delayedCommands, r.w.faults.commandDelay = 0.7, 9*time.Second },
 				func() { r.w.faults.delayedCommands, r.w.faults.commandDelay = 0, 0 })
 		}},
@@ -241,7 +241,7 @@
 // injectRepeatedly injects a fault at the first of every three steps that match it, up to three times.
 func (r *spreadRun) injectRepeatedly(f moveFault) {
 	steps := 0
-	r.w.onMove = func(n *node, m controller.MoveChanged) {
+	r.w.onMove = func(n *member, m controller.MoveChanged) {
 		if !f.matches(r, m) {
 			return
 		}
@@ -258,7 +258,7 @@
 	injected := map[string]int{}
 	faults := moveFaults()
 	first := faults[run%len(faults)]
-	r.w.onMove = func(n *node, m controller.MoveChanged) {
+	r.w.onMove = func(n *member, m controller.MoveChanged) {
 		f := first
 		if injected[first.name] > 0 {
 			if r.w.chance(0.8) {
--- a/internal/sim/spread_measure.go
+++ b/internal/sim/spread_measure.go
@@ -81,14 +81,14 @@
 	cores := float64(o.machines) * spreadMachineCores
 	w := New(o.seed, Shape{Controllers: o.controllers, Machines: o.machines, Scale: cores / 16, Tasks: 50})
 	w.deterministic = true
-	w.cloud.most = o.machines
+	w.cloud.maxPerType = o.machines
 	w.op.IdleS = 24 * 3600
 	w.cfg.Facts.State.RPS, w.cfg.Facts.State.WriteRPS, w.cfg.Facts.State.TxnOps = 350, 150, 32
 	if o.large() { // heartbeats are as infrequent as in deployments of that size
 		w.cfg.Facts.Workers.ReportS, w.cfg.Facts.Workers.LeaseS, w.cfg.Facts.Workers.CancelS = 10, 45, 70
 	}
-	w.alwaysUp = true
-	for _, n := range w.nodes {
+	w.machinesAlwaysBoot = true
+	for _, n := range w.controllers {
 		n.boot()
 	}
 	r := &spreadRun{spreadOptions: o, w: w, replicaStarts: map[string][]time.Duration{}}
@@ -102,7 +102,7 @@
 	submitSpec := func(spec wire.Job, run time.Duration) {
 		spec.ID, spec.MemoryGB, spec.ImageGB, spec.Types = fmt.Sprintf("req-%06d", id), 2, 1, []string{"big"}
 		id++
-		w.users.enterQuietly(&simJob{spec: spec, run: run, done: make([]bool, spec.Tasks), saved: map[int]time.Duration{}})
+		w.users.submitUncancelled(&simJob{spec: spec, runTime: run, done: make([]bool, spec.Tasks), saved: map[int]time.Duration{}})
 	}
 	coresPerTask := 2.0
 	if r.large() {
@@ -194,7 +194,7 @@
 			}
 		})
 	}
-	for i, n := range r.w.nodes {
+	for i, n := range r.w.controllers {
 		r.w.after(time.Duration(i)*3*time.Second, func() { n.crash(time.Second) })
 	}
 }
--- a/internal/sim/spread_report.go
+++ b/internal/sim/spread_report.go
@@ -53,7 +53,7 @@
 	}
 	return line + fmt.Sprintf("even after the skew: %s, after the drain: %s; %d machines rented, %d replicas, %.0f replica-s missing (%.2f%%), %d fetches, %s, moved twice in ten minutes: %d, processor %.1f s",
 		even(spreadRestartAt, spreadDrainAt-time.Second), even(spreadDrainEnd, spreadEnd), len(r.w.hosts), r.replicas, r.lostReplicaTime.Seconds(),
-		100*r.lostReplicaTime.Seconds()/(float64(r.replicas)*(spreadEnd-spreadRestartAt).Seconds()), r.fetches, r.formatOutcomes(), r.movedTwiceWithin(10*time.Minute), r.w.processor.Seconds())
+		100*r.lostReplicaTime.Seconds()/(float64(r.replicas)*(spreadEnd-spreadRestartAt).Seconds()), r.fetches, r.formatOutcomes(), r.movedTwiceWithin(10*time.Minute), r.w.coreTime.Seconds())
 }
 
 // formatOutcomes formats how many moves of service replicas and of array tasks ended, and the number of
--- a/internal/sim/spread_rules.go
+++ b/internal/sim/spread_rules.go
@@ -36,7 +36,7 @@
 			}
 		}
 		if within > limit {
-			r.w.broken("moves", "%d moves start within %v, at most %d may", within, window, limit)
+			r.w.recordViolation("moves", "%d moves start within %v, at most %d may", within, window, limit)
 			return
 		}
 	}
@@ -52,7 +52,7 @@
 				inTeam[m.Team]++
 			}
 			if len(inFlight) > 4 || inTeam[m.Team] > 2 {
-				r.w.broken("moves", "%d moves are in flight in term %d, %d of team %s", len(inFlight), term, inTeam[m.Team], m.Team)
+				r.w.recordViolation("moves", "%d moves are in flight in term %d, %d of team %s", len(inFlight), term, inTeam[m.Team], m.Team)
 				return
 			}
 		}
--- a/internal/sim/spreading_test.go
+++ b/internal/sim/spreading_test.go
@@ -21,15 +21,15 @@
 	w.after(spreadRestartAt, r.restartControllers)
 	w.after(spreadFaultsEnd, func() {
 		w.faultsEnd = w.now
-		w.watchWaiting(5 * time.Second)
+		w.checkWaitingJobs(5 * time.Second)
 	})
 	w.Run(until)
-	if len(w.Rules) == 0 {
+	if len(w.Violations) == 0 {
 		w.checkEnds()
 		w.checkServed()
 		r.checkMoveLimits()
 	}
-	for _, rule := range w.Rules {
+	for _, rule := range w.Violations {
 		t.Errorf("seed %d: %s", r.seed, rule)
 	}
 	for _, v := range history.Check(w.history) {
@@ -55,7 +55,7 @@
 		fault    string
 		coverage map[string]int
 	}
-	seeds := runsOf("PUMICEFRONT_SPREAD_SEEDS", 1)
+	seeds := runCount("PUMICEFRONT_SPREAD_SEEDS", 1)
 	results := make(chan result, len(moveFaults())*seeds)
 	t.Run("cases", func(t *testing.T) {
 		for _, f := range moveFaults() {
@@ -89,7 +89,7 @@
 // controllers.
 func TestSpreadFaults(t *testing.T) {
 	occurrences := map[string]int{}
-	runs := runsOf("PUMICEFRONT_SPREAD_RUNS", len(moveFaults()))
+	runs := runCount("PUMICEFRONT_SPREAD_RUNS", len(moveFaults()))
 	results := make(chan map[string]int, runs)
 	t.Run("runs", func(t *testing.T) {
 		for seed := range uint64(runs) {
@@ -130,7 +130,7 @@
 	crashedLeaders := 0
 	for at := spreadRestartAt + 30*time.Second; at < spreadRestartAt+150*time.Second; at += 12 * time.Second {
 		r.w.after(at, func() {
-			if n := r.w.leading(); n.leads() {
+			if n := r.w.leaderOrFirst(); n.isLeader() {
 				crashedLeaders++
 				n.crash(2 * time.Second)
 			}
@@ -148,18 +148,18 @@
 // Moves must respect the constraints of jobs. While a task of a team at its limit moves, waiting work of
 // the same team must not take the part of the limit that the task uses.
 func TestSpreadConstraintsAndLimits(t *testing.T) {
-	for seed := range uint64(runsOf("PUMICEFRONT_SPREAD_SEEDS", 2)) {
+	for seed := range uint64(runCount("PUMICEFRONT_SPREAD_SEEDS", 2)) {
 		o := spreadFaultOptions(seed, 3)
 		o.constrained = true
 		r := newSpreadRun(o)
 		team := &r.w.cfg.Facts.Teams[0]
 		team.CPUs, team.CPUsMax = 64, 128 // exactly the cores of its jobs, all of which run before the next one is submitted
-		for _, n := range r.w.nodes {
+		for _, n := range r.w.controllers {
 			n.boot()
 		}
 		r.w.after(spreadRestartAt-5*time.Second, func() {
-			r.w.users.enterQuietly(&simJob{spec: wire.Job{ID: "req-800000", Class: "bulk", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 20,
-				CPUs: 2, MemoryGB: 2, Image: "img-hot-0", ImageGB: 1, Types: []string{"big"}}, run: 10 * time.Second, done: make([]bool, 20)})
+			r.w.users.submitUncancelled(&simJob{spec: wire.Job{ID: "req-800000", Class: "bulk", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 20,
+				CPUs: 2, MemoryGB: 2, Image: "img-hot-0", ImageGB: 1, Types: []string{"big"}}, runTime: 10 * time.Second, done: make([]bool, 20)})
 		})
 		r.runWithFaults(t, spreadFaultRunEnd)
 		services := 0
@@ -192,7 +192,7 @@
 				r.w.after(spreadRestartAt, r.restartControllers)
 				r.w.Run(spreadRestartAt + time.Hour)
 				rentedMachines[on] = len(r.w.hosts)
-				for _, rule := range r.w.Rules {
+				for _, rule := range r.w.Violations {
 					t.Error(rule)
 				}
 				late := 0
@@ -229,13 +229,13 @@
 			r := newSpreadRun(o)
 			spec.ID, spec.Class, spec.Team, spec.Priority, spec.MemoryGB, spec.Image, spec.ImageGB, spec.Types = "req-700000", "bulk", "blue", "standard", 2, "img-1", 1, []string{"big"}
 			r.w.after(spreadSkewAt, func() {
-				r.w.users.enterQuietly(&simJob{spec: spec, run: time.Hour, done: make([]bool, spec.Tasks), saved: map[int]time.Duration{}})
+				r.w.users.submitUncancelled(&simJob{spec: spec, runTime: time.Hour, done: make([]bool, spec.Tasks), saved: map[int]time.Duration{}})
 			})
 			r.w.after(spreadRestartAt, r.restartControllers)
 			r.w.Run(spreadRestartAt + 3*time.Minute)
 			r.takeSample()
-			if s := r.samples[0]; s.maximum < evenMaximum || len(r.w.Rules) > 0 {
-				t.Errorf("the load is even, or rules were violated: %+v %v", s, r.w.Rules)
+			if s := r.samples[0]; s.maximum < evenMaximum || len(r.w.Violations) > 0 {
+				t.Errorf("the load is even, or rules were violated: %+v %v", s, r.w.Violations)
 			}
 			if n := len(r.startedMoves()); n > 0 {
 				t.Errorf("%d moves started, want none", n)
@@ -252,10 +252,10 @@
 	r.w.after(spreadRestartAt, r.restartControllers)
 	const submitted = spreadRestartAt + 30*time.Second // no task has run long enough to be moved: the skew remains
 	j := &simJob{spec: wire.Job{ID: "req-700000", Class: "bulk", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 8,
-		CPUs: 2, MemoryGB: 2, Image: "img-hot-0", ImageGB: 1, Types: []string{"big"}}, run: time.Minute, done: make([]bool, 8)}
+		CPUs: 2, MemoryGB: 2, Image: "img-hot-0", ImageGB: 1, Types: []string{"big"}}, runTime: time.Minute, done: make([]bool, 8)}
 	started, machines, lastStart := 0, map[string]bool{}, time.Duration(0)
 	r.w.after(submitted, func() {
-		r.w.users.enterQuietly(j)
+		r.w.users.submitUncancelled(j)
 		r.fetches = 0
 	})
 	r.w.onFetch = func() { r.fetches++ }
@@ -273,12 +273,12 @@
 // Controllers with and without load spreading lead in turn. Every task must keep one owner and every job
 // one final state, and each leader continues with the tasks that the other kind has placed.
 func TestSpreadBesideEarlierVersions(t *testing.T) {
-	for seed := range uint64(runsOf("PUMICEFRONT_SPREAD_SEEDS", 2)) {
+	for seed := range uint64(runCount("PUMICEFRONT_SPREAD_SEEDS", 2)) {
 		r := newSpreadRun(spreadFaultOptions(seed, 3))
 		leaderRestarts := map[bool]int{}
 		for i := range 8 { // restarts the leader, with load spreading off and on in turn
 			r.w.after(spreadRestartAt+time.Duration(25+12*i)*time.Second, func() {
-				n := r.w.leading()
+				n := r.w.leaderOrFirst()
 				spreads := r.w.op.Spreading
 				leaderRestarts[spreads != nil]++
 				if i%2 == 0 {
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -37,7 +37,7 @@
 type watch struct {
 	prefix string
 	after  uint64
-	n      *node
+	n      *member
 	reply  func(controller.StateReply)
 	done   bool
 }
@@ -93,8 +93,8 @@
 }
 
 // handle executes a call that has arrived at the service.
-func (s *store) handle(n *node, call controller.StateCall, reply func(controller.StateReply)) {
-	if s.outage || n.refused {
+func (s *store) handle(n *member, call controller.StateCall, reply func(controller.StateReply)) {
+	if s.outage || n.stateRefused {
 		reply(controller.StateReply{Status: http.StatusServiceUnavailable})
 		return
 	}
@@ -209,7 +209,7 @@
 
 // watch answers with the events after a revision. If there are none, it waits for some until
 // the wait time of the call has passed.
-func (s *store) watch(n *node, call controller.StateCall, reply func(controller.StateReply)) {
+func (s *store) watch(n *member, call controller.StateCall, reply func(controller.StateReply)) {
 	x := &watch{prefix: call.Key, after: call.Revision, n: n, reply: reply}
 	if call.Wait == 0 || !s.answer(x, false) {
 		if call.Wait == 0 {
@@ -227,7 +227,7 @@
 	if x.done {
 		return true
 	}
-	if s.outage || x.n.refused || x.n.isolated {
+	if s.outage || x.n.stateRefused || x.n.cutFromStateAndPeers {
 		return false // the watch stays open until the service is reachable again
 	}
 	events := s.changes(x.prefix, x.after)
--- a/internal/sim/user_checks.go
+++ b/internal/sim/user_checks.go
@@ -14,10 +14,10 @@
 	at                        time.Duration // the time of this knowledge
 }
 
-// told returns what the users know for good about a job now.
-func (w *World) told(j *simJob) knownState {
+// knownState returns what the users know for good about a job now.
+func (w *World) knownState(j *simJob) knownState {
 	at, cancelled := j.neededJobCancelled()
-	return knownState{j.reportedDone, j.cancelTold, cancelled && w.now > at+w.cancelTime(), w.now}
+	return knownState{j.reportedDone, j.reportedCancelled, cancelled && w.now > at+w.cancelTime(), w.now}
 }
 
 // neededJobCancelled reports whether a job that this one needs, directly or through others,
@@ -25,7 +25,7 @@
 func (j *simJob) neededJobCancelled() (at time.Duration, cancelled bool) {
 	for _, p := range j.needs {
 		t, ok := p.neededJobCancelled()
-		if p.cancelTold && (!ok || p.cancelledAt < t) {
+		if p.reportedCancelled && (!ok || p.cancelledAt < t) {
 			t, ok = p.cancelledAt, true
 		}
 		if ok && (!cancelled || t < at) {
@@ -39,5 +39,5 @@
 // this job, or for one that it needs directly or through others, and no job
 // from that one to this one was reported done.
 func (j *simJob) mayBeCancelled() bool {
-	return !j.reportedDone && (j.askedCancel || slices.ContainsFunc(j.needs, (*simJob).mayBeCancelled))
+	return !j.reportedDone && (j.cancelRequested || slices.ContainsFunc(j.needs, (*simJob).mayBeCancelled))
 }
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -12,33 +12,33 @@
 
 // users simulates the users: they submit jobs, poll them and cancel some.
 type users struct {
-	w    *World
-	jobs map[string]*simJob
-	list []*simJob
-	stop time.Duration // when submissions end
+	w              *World
+	jobs           map[string]*simJob
+	list           []*simJob
+	submissionsEnd time.Duration // when submissions end
 }
 
-// simJob is a job with its true state, and with what its user has been told of it.
+// simJob is a job with its true state, and with what has been reported to its user.
 type simJob struct {
-	spec          wire.Job
-	run           time.Duration
-	done          []bool
-	accepted      bool
-	reportedDone  bool
-	askedCancel   bool
-	cancelTold    bool
-	cancelledAt   time.Duration
-	begun         bool          // at least one task has started
-	lastTaskEnded bool          // its last task has ended
-	firstEnd      time.Duration // when the first of its tasks ended
-	lastAnswered  time.Duration // when a query about it was last answered
-	needs         []*simJob
-	saved         map[int]time.Duration // saved progress by task number; nil: its tasks can't save
-	broken        bool                  // its tasks fail on every machine, as with a faulty submission
+	spec              wire.Job
+	runTime           time.Duration
+	done              []bool
+	accepted          bool
+	reportedDone      bool
+	cancelRequested   bool
+	reportedCancelled bool
+	cancelledAt       time.Duration
+	hasStarted        bool          // at least one task has started
+	lastTaskEnded     bool          // its last task has ended
+	firstTaskEnd      time.Duration // when the first of its tasks ended
+	lastAnswered      time.Duration // when a query about it was last answered
+	needs             []*simJob
+	saved             map[int]time.Duration // saved progress by task number; nil: its tasks can't save
+	alwaysFails       bool                  // its tasks fail on every machine, as with a faulty submission
 }
 
-// left returns how many tasks have not finished.
-func (j *simJob) left() int {
+// tasksLeft returns how many tasks have not finished.
+func (j *simJob) tasksLeft() int {
 	n := 0
 	for _, d := range j.done {
 		if !d {
@@ -50,33 +50,33 @@
 
 func newUsers(w *World) *users { return &users{w: w, jobs: map[string]*simJob{}} }
 
-// jobOf returns the job of a task, which in a cluster may belong to another cell.
+// jobOf returns the job of a task, which in a federation may belong to another cell.
 func (u *users) jobOf(task string) *simJob {
 	id, _, _ := wire.SplitTaskID(task)
-	if j := u.jobs[id]; j != nil || u.w.cluster == nil {
+	if j := u.jobs[id]; j != nil || u.w.federation == nil {
 		return j
 	}
-	return u.w.jobAnywhere(id)
+	return u.w.jobInAnyCell(id)
 }
 
-// arrive submits a job, and schedules the next submission until the submissions end.
-func (u *users) arrive(interval time.Duration) {
-	if u.w.now > u.stop {
+// submitRegularly submits a job, and schedules the next submission until the submissions end.
+func (u *users) submitRegularly(interval time.Duration) {
+	if u.w.now > u.submissionsEnd {
 		return
 	}
 	u.submitRandomJob()
-	u.w.after(u.w.between(0, 2*interval), func() { u.arrive(interval) })
+	u.w.after(u.w.between(0, 2*interval), func() { u.submitRegularly(interval) })
 }
 
 func (u *users) submitRandomJob() {
-	u.enter(u.drawJob())
+	u.submitAndMaybeCancel(u.drawJob())
 }
 
 // submitSmallJob submits a job with one task, and in a quarter of the cases cancels it soon.
 func (u *users) submitSmallJob() {
 	j := u.drawJob()
-	j.spec.Tasks, j.done, j.run = 1, j.done[:1], u.w.between(time.Second, 4*time.Second)
-	u.enter(j)
+	j.spec.Tasks, j.done, j.runTime = 1, j.done[:1], u.w.between(time.Second, 4*time.Second)
+	u.submitAndMaybeCancel(j)
 	if u.w.chance(0.25) {
 		u.w.coverage["one-task job of a burst cancelled"]++
 		u.w.after(u.w.between(0, 6*time.Second), func() { u.cancel(j) })
@@ -90,7 +90,7 @@
 		ID: fmt.Sprintf("req-%06d", w.rng.IntN(1000)*1000+len(u.list)), Class: "batch", Team: w.cfg.Facts.Teams[w.rng.IntN(len(w.cfg.Facts.Teams))].Name,
 		Kind: wire.KindArray, Priority: "standard", Tasks: 1 + w.rng.IntN(w.shape.Tasks), CPUs: float64(int(1) << w.rng.IntN(3)), MemoryGB: 2,
 		Image: fmt.Sprintf("img-%d", w.rng.IntN(3)), ImageGB: 1, Spot: w.chance(0.5), Spread: w.chance(0.3),
-	}, run: w.between(2*time.Second, 25*time.Second)}
+	}, runTime: w.between(2*time.Second, 25*time.Second)}
 	if w.chance(0.3) {
 		j.spec.Kind, j.spec.Class, j.spec.Priority, j.spec.CPUs = wire.KindService, "web", "prod", 1
 		j.spec.Tasks = 1 + w.rng.IntN(3)
@@ -115,11 +115,11 @@
 	return j
 }
 
-// enter submits a job, and schedules the cancellation of every service and of a quarter of
+// submitAndMaybeCancel submits a job, and schedules the cancellation of every service and of a quarter of
 // the array jobs.
-func (u *users) enter(j *simJob) {
+func (u *users) submitAndMaybeCancel(j *simJob) {
 	w := u.w
-	u.belongHere(j)
+	u.assignHome(j)
 	u.jobs[j.spec.ID] = j
 	u.list = append(u.list, j)
 	u.submit(j)
@@ -128,18 +128,18 @@
 	}
 }
 
-// enterQuietly submits a job that is not cancelled.
-func (u *users) enterQuietly(j *simJob) {
+// submitUncancelled submits a job that is not cancelled.
+func (u *users) submitUncancelled(j *simJob) {
 	u.jobs[j.spec.ID] = j
 	u.list = append(u.list, j)
 	u.submit(j)
 }
 
-// belongHere makes this cell a job's home, and the job's id unique among the cells.
-func (u *users) belongHere(j *simJob) {
-	if c := u.w.cluster; c != nil {
-		j.spec.ID += fmt.Sprint(u.w.place + 1)
-		c.homes[j.spec.ID] = u.w
+// assignHome makes this cell a job's home, and the job's id unique among the cells.
+func (u *users) assignHome(j *simJob) {
+	if c := u.w.federation; c != nil {
+		j.spec.ID += fmt.Sprint(u.w.cellIndex + 1)
+		c.homeCells[j.spec.ID] = u.w
 	}
 }
 
@@ -151,23 +151,23 @@
 		j.spec.GPUs = 1
 	}
 	if j.spec.Kind == wire.KindArray {
-		j.spec.EstimateS = j.run.Seconds() * (0.5 + w.rng.Float64())
+		j.spec.EstimateS = j.runTime.Seconds() * (0.5 + w.rng.Float64())
 		due := 1.5*j.spec.EstimateS + 20
 		j.spec.DeadlineS = &due
 	}
 }
 
-// body encodes a submission as a user does, with amounts of zero spelled out.
-func body(s wire.Job) []byte { return wire.Marshal(s) }
+// encodeJob encodes a submission as a user does, with amounts of zero spelled out.
+func encodeJob(s wire.Job) []byte { return wire.Marshal(s) }
 
 // request sends a request to a random controller. fn gets the answer, with status 0 if
 // there is none.
 func (u *users) request(r controller.UserRequest, fn func(controller.Answer)) {
-	u.requestOf(u.w.nodes[u.w.rng.IntN(len(u.w.nodes))], r, fn)
+	u.requestFrom(u.w.controllers[u.w.rng.IntN(len(u.w.controllers))], r, fn)
 }
 
-// requestOf sends a request to the given controller, with a time-out of 5 s.
-func (u *users) requestOf(n *node, r controller.UserRequest, fn func(controller.Answer)) {
+// requestFrom sends a request to the given controller, with a time-out of 5 s.
+func (u *users) requestFrom(n *member, r controller.UserRequest, fn func(controller.Answer)) {
 	w, finish := u.w, once(fn)
 	w.after(5*time.Second, func() { finish(controller.Answer{}) })
 	w.after(w.latency(), func() {
@@ -187,8 +187,8 @@
 // submit submits a job, with retries until it is accepted, and then polls it. It submits an
 // accepted job again later, which must have no effect.
 func (u *users) submit(j *simJob) {
-	known := u.w.told(j)
-	u.request(controller.UserRequest{Op: controller.UserSubmit, Body: body(j.spec)}, func(a controller.Answer) {
+	known := u.w.knownState(j)
+	u.request(controller.UserRequest{Op: controller.UserSubmit, Body: encodeJob(j.spec)}, func(a controller.Answer) {
 		switch a.Status {
 		case http.StatusOK, http.StatusCreated:
 			first := !j.accepted
@@ -203,18 +203,18 @@
 					u.w.coverage["a job accepted with a long list of needed jobs"]++
 				}
 				for _, p := range j.needs {
-					if p.cancelTold {
+					if p.reportedCancelled {
 						u.w.coverage["a job accepted that needs a cancelled one"]++
 					} else if p.reportedDone {
 						u.w.coverage["a job accepted that needs a finished one"]++
 					}
 				}
-				u.askAllNodes(j)
+				u.askAllControllers(j)
 				u.poll(j)
 				u.w.after(u.w.between(5*time.Second, 60*time.Second), func() { u.submit(j) }) // late duplicate
 			}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.w.broken("forgotten", "valid submission of %s is answered with status %d", j.spec.ID, a.Status)
+			u.w.recordViolation("forgotten", "valid submission of %s is answered with status %d", j.spec.ID, a.Status)
 		default:
 			u.w.after(u.w.between(time.Second, 2*time.Second), func() { u.submit(j) })
 		}
@@ -224,18 +224,18 @@
 // poll queries a job's state at intervals, and less often from its end until the end of
 // the faults.
 func (u *users) poll(j *simJob) {
-	known := u.w.told(j)
+	known := u.w.knownState(j)
 	u.request(controller.UserRequest{Op: controller.UserPoll, Job: j.spec.ID}, func(a controller.Answer) {
 		switch a.Status {
 		case http.StatusOK:
 			j.lastAnswered = u.w.now
 			u.w.checkState(j, known, a.Body.(wire.JobState))
 		case http.StatusNotFound:
-			u.w.broken("forgotten", "poll of accepted job %s is answered with status 404", j.spec.ID)
+			u.w.recordViolation("forgotten", "poll of accepted job %s is answered with status 404", j.spec.ID)
 		}
 		u.w.checkKnown(j)
 		wait := u.w.between(2*time.Second, 6*time.Second)
-		if u.w.faultsEnd == 0 && (j.reportedDone || j.cancelTold) {
+		if u.w.faultsEnd == 0 && (j.reportedDone || j.reportedCancelled) {
 			wait *= 6
 		}
 		u.w.after(wait, func() { u.poll(j) })
@@ -244,19 +244,19 @@
 
 // cancel cancels a job, with retries until the request succeeds.
 func (u *users) cancel(j *simJob) {
-	j.askedCancel = true
-	accepted, known := j.accepted, u.w.told(j)
+	j.cancelRequested = true
+	accepted, known := j.accepted, u.w.knownState(j)
 	u.request(controller.UserRequest{Op: controller.UserAbort, Job: j.spec.ID}, func(a controller.Answer) {
 		if a.Status == http.StatusOK {
 			u.w.checkState(j, known, a.Body.(wire.JobState))
 			if j.reportedDone && slices.ContainsFunc(u.list, func(later *simJob) bool { return slices.Contains(later.needs, j) }) {
 				u.w.coverage["a cancellation answered with done, and jobs that need the job go on"]++
 			}
-			u.askAllNodes(j)
+			u.askAllControllers(j)
 			return
 		}
 		if a.Status == http.StatusNotFound && accepted {
-			u.w.broken("forgotten", "cancellation of accepted job %s is answered with status 404", j.spec.ID)
+			u.w.recordViolation("forgotten", "cancellation of accepted job %s is answered with status 404", j.spec.ID)
 		}
 		u.w.after(u.w.between(time.Second, 2*time.Second), func() { u.cancel(j) })
 	})
@@ -267,7 +267,7 @@
 	id := fmt.Sprintf("req-9%08d", u.w.rng.IntN(1e8))
 	u.request(controller.UserRequest{Op: controller.UserPoll, Job: id}, func(a controller.Answer) {
 		if a.Status == http.StatusOK {
-			u.w.broken("invented", "poll of %s, which was never submitted, is answered with a state", id)
+			u.w.recordViolation("invented", "poll of %s, which was never submitted, is answered with a state", id)
 		}
 	})
 	u.w.after(u.w.between(3*time.Second, 9*time.Second), u.askUnknownJobs)
@@ -279,40 +279,40 @@
 		u.w.coverage["cancelled at the end of its last task"]++
 		u.cancel(j)
 	}
-	u.askAllNodes(j)
+	u.askAllControllers(j)
 }
 
-// askAllNodes polls a job and submits it again at every controller within 20 ms, three
+// askAllControllers polls a job and submits it again at every controller within 20 ms, three
 // times each: no answer may be older than one already given by any controller.
-func (u *users) askAllNodes(j *simJob) {
-	if !u.w.faults.askAllNodes {
+func (u *users) askAllControllers(j *simJob) {
+	if !u.w.faults.askAllControllers {
 		return
 	}
 	for range 3 {
-		for _, n := range u.w.nodes {
+		for _, n := range u.w.controllers {
 			for _, r := range []controller.UserRequest{
 				{Op: controller.UserPoll, Job: j.spec.ID},
-				{Op: controller.UserSubmit, Job: j.spec.ID, Body: body(j.spec)},
+				{Op: controller.UserSubmit, Job: j.spec.ID, Body: encodeJob(j.spec)},
 			} {
-				u.w.after(u.w.between(0, 20*time.Millisecond), func() { u.askNode(n, j, r) })
+				u.w.after(u.w.between(0, 20*time.Millisecond), func() { u.askController(n, j, r) })
 			}
 		}
 	}
 }
 
-func (u *users) askNode(n *node, j *simJob, r controller.UserRequest) {
-	known, accepted := u.w.told(j), j.accepted
+func (u *users) askController(n *member, j *simJob, r controller.UserRequest) {
+	known, accepted := u.w.knownState(j), j.accepted
 	if known.done || known.cancelled {
 		u.w.coverage["asked at all nodes after a final answer"]++
 	}
-	u.requestOf(n, r, func(a controller.Answer) {
+	u.requestFrom(n, r, func(a controller.Answer) {
 		switch {
 		case a.Status == http.StatusOK:
 			u.w.checkState(j, known, a.Body.(wire.JobState))
 		case a.Status == http.StatusCreated && accepted:
-			u.w.broken("went_back", "%s is accepted a second time", j.spec.ID)
+			u.w.recordViolation("went_back", "%s is accepted a second time", j.spec.ID)
 		case accepted && (a.Status == http.StatusNotFound || a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity):
-			u.w.broken("forgotten", "request about accepted job %s is answered with status %d", j.spec.ID, a.Status)
+			u.w.recordViolation("forgotten", "request about accepted job %s is answered with status %d", j.spec.ID, a.Status)
 		}
 	})
 }
@@ -322,9 +322,9 @@
 func (u *users) cancelRunning(count int, hang time.Duration) []*simJob {
 	var jobs []*simJob
 	hung := map[*host]bool{}
-	u.w.running(func(h *host, t *task) {
+	u.w.forEachRunningTask(func(h *host, t *task) {
 		j := t.job
-		if !j.accepted || j.askedCancel || len(jobs) >= count && !slices.Contains(jobs, j) {
+		if !j.accepted || j.cancelRequested || len(jobs) >= count && !slices.Contains(jobs, j) {
 			return
 		}
 		if !slices.Contains(jobs, j) {
@@ -336,7 +336,7 @@
 	})
 	for _, j := range jobs {
 		u.w.after(u.w.between(0, 200*time.Millisecond), func() {
-			if !j.askedCancel {
+			if !j.cancelRequested {
 				u.cancel(j)
 			}
 		})
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -25,55 +25,55 @@
 	Answer     func(w *World, r *controller.ReportRequest, a *controller.Answer)
 	Report     func(h *host, late bool, r *wire.Report) // late: r is a delayed copy
 	User       func(r *controller.UserRequest, a *controller.Answer)
-	Output     func(n *node, o controller.Output) controller.Output
-	Boot       func(now time.Time) time.Time // the start time passed to a starting controller process
+	Output     func(n *member, o controller.Output) controller.Output
+	StartTime  func(now time.Time) time.Time // the start time passed to a starting controller process
 	State      func(call *controller.StateCall) (controller.StateReply, bool)
 	StateReply func(call *controller.StateCall, r *controller.StateReply)
-	Clock      func(n *node, now time.Time) time.Time
+	Clock      func(n *member, now time.Time) time.Time
 	Settings   func(p *config.Platform) // the settings passed to a starting controller process
 	Cloud      func(call *controller.CloudCall) (controller.CloudReply, bool)
 }
 
 // World is one simulated run.
 type World struct {
-	Rules  []string             // violations found so far: rule, time and details
-	Log    func(string, ...any) // called with the format and arguments of each line of the run's log
-	Tamper Tamper
-
-	shape         Shape
-	faults        faults
-	zoneHistory   zoneHistory
-	cluster       *Cluster               // the group of cells that this cell is part of; nil: a single cell
-	place         int                    // index of this cell in the cluster
-	onStart       func(h *host, t *task) // called when a task starts
-	onMove        func(n *node, m controller.MoveChanged)
-	moves         []controller.MoveChanged // every step of every move
-	onStopped     func(t *task)            // called when a task has ended because of a stop command
-	onFetch       func()                   // called when starting a task requires fetching its image
-	alwaysUp      bool                     // every machine boots, and none is faulty
-	processor     time.Duration            // time spent in the controllers' cores, by the wall clock
-	keepHistory   bool
-	history       []history.Event
-	live          *live          // real controllers in real time; nil: cores in virtual time
-	deterministic bool           // disables sporadic loss, duplication and delay of messages
-	highestToken  uint64         // highest fencing token sent so far
-	keptReports   []func()       // each delivers a copy of a report once a higher token is used
-	coverage      map[string]int // how often each combination of faults has come about
-	lastLeader    *node          // controller that last used a new highest token
-	leaderSince   time.Duration  // when lastLeader last changed
-	faultsEnd     time.Duration  // when all faults had ended; 0: not yet
-	rng           *rand.Rand
-	start         time.Time
-	now           time.Duration
-	events        events
-	seq           int
-	cfg           config.Platform
-	op            config.Operator
-	nodes         []*node
-	store         *store
-	cloud         *cloud
-	hosts         []*host
-	users         *users
+	Violations []string             // violations found so far: rule, time and details
+	Log        func(string, ...any) // called with the format and arguments of each line of the run's log
+	Tamper     Tamper
+
+	shape              Shape
+	faults             faults
+	zoneHistory        zoneHistory
+	federation         *Federation            // the group of cells that this cell is part of; nil: a single cell
+	cellIndex          int                    // index of this cell in the federation
+	onStart            func(h *host, t *task) // called when a task starts
+	onMove             func(n *member, m controller.MoveChanged)
+	moves              []controller.MoveChanged // every step of every move
+	onStopped          func(t *task)            // called when a task has ended because of a stop command
+	onFetch            func()                   // called when starting a task requires fetching its image
+	machinesAlwaysBoot bool                     // every machine boots, and none is faulty
+	coreTime           time.Duration            // time spent in the controllers' cores, by the wall clock
+	keepHistory        bool
+	history            []history.Event
+	live               *liveRuntime   // real controllers in real time; nil: cores in virtual time
+	deterministic      bool           // disables sporadic loss, duplication and delay of messages
+	highestToken       uint64         // highest fencing token sent so far
+	keptReports        []func()       // each delivers a copy of a report once a higher token is used
+	coverage           map[string]int // how often each combination of faults has come about
+	lastLeader         *member        // controller that last used a new highest token
+	leaderSince        time.Duration  // when lastLeader last changed
+	faultsEnd          time.Duration  // when all faults had ended; 0: not yet
+	rng                *rand.Rand
+	start              time.Time
+	now                time.Duration
+	events             events
+	seq                int
+	cfg                config.Platform
+	op                 config.Operator
+	controllers        []*member
+	store              *store
+	cloud              *cloud
+	hosts              []*host
+	users              *users
 }
 
 // faults are the temporary faults that change how the simulated environment behaves.
@@ -90,22 +90,22 @@
 	slowLinks          time.Duration   // maximum extra latency of each message
 	fastBoots          bool            // machines boot within two seconds
 	isolated           isolatedZone    // a zone that is partitioned from the rest, with one controller in it
-	darkZones          map[string]bool // zones whose machines, including new ones, reach no controller
+	unreachableZones   map[string]bool // zones whose machines, including new ones, reach no controller
 	cancelAtEnd        float64         // jobs cancelled at the moment their last task ends
-	askAllNodes        bool            // users query every controller within milliseconds of each answer
+	askAllControllers  bool            // users query every controller within milliseconds of each answer
 }
 
 // isolatedZone is a zone that is partitioned from everything else, together with the
 // one controller in it.
 type isolatedZone struct {
-	zone  string
-	node  *node
-	token uint64 // highest fencing token that any machine had seen before the partition
+	zone       string
+	controller *member
+	token      uint64 // highest fencing token that any machine had seen before the partition
 }
 
 // separates reports whether the partition lies between a controller and a machine.
-func (i isolatedZone) separates(n *node, h *host) bool {
-	return i.node != nil && (i.node == n) != (i.zone == h.zone)
+func (i isolatedZone) separates(n *member, h *host) bool {
+	return i.controller != nil && (i.controller == n) != (i.zone == h.zone)
 }
 
 // event is a function to be called at a virtual time. Events of the same time run in
@@ -138,17 +138,17 @@
 		shape: shape,
 		rng:   rand.New(rand.NewPCG(seed, 77)), start: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC),
 		op: config.DefaultOperator(), Log: func(string, ...any) {}, coverage: map[string]int{},
-		faults: faults{darkZones: map[string]bool{}},
+		faults: faults{unreachableZones: map[string]bool{}},
 	}
 	w.cfg = settings(shape)
 	w.store = newStore(w)
 	w.cloud = newCloud(w)
 	w.users = newUsers(w)
 	for i := range shape.Controllers {
-		n := &node{w: w, i: i, name: fmt.Sprintf("n%d", i), drift: (w.rng.Float64() - 0.5) * 0.0008}
-		w.nodes = append(w.nodes, n)
+		n := &member{w: w, index: i, name: fmt.Sprintf("n%d", i), drift: (w.rng.Float64() - 0.5) * 0.0008}
+		w.controllers = append(w.controllers, n)
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.boot()
 	}
 	return w
@@ -180,7 +180,7 @@
 
 // Run processes events until the given virtual time or the first violated rule.
 func (w *World) Run(until time.Duration) {
-	for len(w.events) > 0 && len(w.Rules) == 0 {
+	for len(w.events) > 0 && len(w.Violations) == 0 {
 		e := heap.Pop(&w.events).(event)
 		if e.at > until {
 			heap.Push(&w.events, e)
@@ -192,24 +192,24 @@
 	w.now = until
 }
 
-// runOne runs the next event without advancing the clock.
-func (w *World) runOne() { heap.Pop(&w.events).(event).fn() }
+// runNextEvent runs the next event without advancing the clock.
+func (w *World) runNextEvent() { heap.Pop(&w.events).(event).fn() }
 
-// runDue runs the events that are due by now, up to the first violated rule.
-func (w *World) runDue() {
-	for len(w.events) > 0 && w.events[0].at <= w.now && len(w.Rules) == 0 {
+// runDueEvents runs the events that are due by now, up to the first violated rule.
+func (w *World) runDueEvents() {
+	for len(w.events) > 0 && w.events[0].at <= w.now && len(w.Violations) == 0 {
 		heap.Pop(&w.events).(event).fn()
 	}
 }
 
-// broken records the violation of a rule.
-func (w *World) broken(rule, format string, args ...any) {
-	w.Rules = append(w.Rules, fmt.Sprintf("%s at %v: %s", rule, w.now, fmt.Sprintf(format, args...)))
+// recordViolation records the violation of a rule.
+func (w *World) recordViolation(rule, format string, args ...any) {
+	w.Violations = append(w.Violations, fmt.Sprintf("%s at %v: %s", rule, w.now, fmt.Sprintf(format, args...)))
 }
 
 func (w *World) host(id string) *host {
 	for _, h := range w.hosts {
-		if h.id == id && !h.gone {
+		if h.id == id && !h.hasEnded {
 			return h
 		}
 	}
--- a/internal/sim/zone_faults.go
+++ b/internal/sim/zone_faults.go
@@ -26,12 +26,12 @@
 		change(&settings)
 	}
 	w.op.ZoneRecovery = &config.ZoneRecovery{Settings: settings}
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.boot()
 	}
 }
 
-func (w *World) noteZone(change controller.ZoneChanged) {
+func (w *World) noteZoneChange(change controller.ZoneChanged) {
 	w.Log("%v zone %s is %s", w.now, change.Zone, change.To)
 	w.coverage["a zone is "+change.To.String()]++
 	w.zoneHistory.changes = append(w.zoneHistory.changes, change)
@@ -45,14 +45,14 @@
 	w.coverage["a task that was lost with its zone runs again"]++
 }
 
-// noteFetch updates the largest number of machines in a zone that fetch an image at once.
-func (w *World) noteFetch(zone string) {
+// noteConcurrentFetches updates the largest number of machines in a zone that fetch an image at once.
+func (w *World) noteConcurrentFetches(zone string) {
 	if w.shape.Zones == 0 {
 		return
 	}
 	n := 0
 	for _, h := range w.hosts {
-		if h.zone == zone && !h.gone && h.fetches() {
+		if h.zone == zone && !h.hasEnded && h.isFetching() {
 			n++
 		}
 	}
@@ -62,9 +62,9 @@
 	w.zoneHistory.maxFetching[zone] = max(w.zoneHistory.maxFetching[zone], n)
 }
 
-// darken cuts off a zone's machines for a while. Messages to and from them are delivered when the cut
+// cutOffZone cuts off a zone's machines for a while. Messages to and from them are delivered when the cut
 // ends.
-func (w *World) darken(zone string, duration time.Duration) {
+func (w *World) cutOffZone(zone string, duration time.Duration) {
 	w.Log("%v zone %s goes dark", w.now, zone)
 	w.setZoneCut(zone, true)
 	w.after(duration, func() {
@@ -74,30 +74,30 @@
 }
 
 func (w *World) setZoneCut(zone string, cut bool) {
-	w.faults.darkZones[zone] = cut
+	w.faults.unreachableZones[zone] = cut
 	for _, h := range w.hosts {
-		if h.zone == zone && !h.gone {
-			h.setCut(cut)
+		if h.zone == zone && !h.hasEnded {
+			h.setPartitioned(cut)
 		}
 	}
 }
 
-// isolate cuts off a zone together with a controller in it for a while: the controller reaches the zone's
-// machines, but neither other machines, the other controllers nor the state service.
-func (w *World) isolate(zone string, n *node, duration time.Duration) {
+// isolateZoneWithController cuts off a zone together with a controller in it for a while: the controller reaches the
+// zone's machines, but neither other machines, the other controllers nor the state service.
+func (w *World) isolateZoneWithController(zone string, n *member, duration time.Duration) {
 	w.Log("%v zone %s is cut off with %s", w.now, zone, n.name)
-	w.faults.isolated = isolatedZone{zone: zone, node: n}
+	w.faults.isolated = isolatedZone{zone: zone, controller: n}
 	for _, h := range w.hosts {
 		w.faults.isolated.token = max(w.faults.isolated.token, h.token)
 	}
-	n.isolated = true
+	n.cutFromStateAndPeers = true
 	since := w.now
 	w.after(duration, func() {
 		if w.now-since > w.leaseTime() {
 			w.coverage["a zone with a controller cut off"]++
 		}
 		w.faults.isolated = isolatedZone{}
-		n.isolated = false
+		n.cutFromStateAndPeers = false
 		w.store.notify()
 	})
 }
@@ -105,8 +105,8 @@
 // powerOffZone ends all machines of a zone that are up, and the tasks on them.
 func (w *World) powerOffZone(zone string) {
 	for _, h := range w.hosts {
-		if h.zone == zone && !h.gone && h.up < w.now {
-			h.vanish()
+		if h.zone == zone && !h.hasEnded && h.bootedAt < w.now {
+			h.terminate()
 		}
 	}
 }
--- a/internal/sim/zone_measure.go
+++ b/internal/sim/zone_measure.go
@@ -42,7 +42,7 @@
 	w := New(seed, shape)
 	w.deterministic = true
 	w.cfg.Facts.State.RPS, w.cfg.Facts.State.WriteRPS, w.cfg.Facts.State.TxnOps = 350, 150, 32
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.boot()
 	}
 	if recovery {
@@ -74,19 +74,19 @@
 	}
 	w.after(lossAt, func() {
 		m.machinesUp = len(w.hostsUp())
-		w.running(func(h *host, task *task) {
+		w.forEachRunningTask(func(h *host, task *task) {
 			if h.zone == "a" {
 				lostTasks[task.id] = task.job
 			}
 		})
-		w.darken("a", loss)
+		w.cutOffZone("a", loss)
 	})
 	w.after(lossAt+loss, func() { w.zoneHistory.maxFetching = nil })
 	for at := lossAt; at < end; at += time.Second {
 		w.after(at, func() {
 			runningReplicas := 0
-			w.running(func(h *host, task *task) {
-				if task.job.spec.Kind == wire.KindService && (h.zone != "a" || !h.cut) {
+			w.forEachRunningTask(func(h *host, task *task) {
+				if task.job.spec.Kind == wire.KindService && (h.zone != "a" || !h.partitioned) {
 					runningReplicas++
 				}
 			})
@@ -94,13 +94,13 @@
 		})
 	}
 	w.Run(end)
-	m.violations = w.Rules
+	m.violations = w.Violations
 	for _, j := range w.users.list {
 		if j.spec.Kind == wire.KindArray {
-			m.unfinishedTasks += j.left()
+			m.unfinishedTasks += j.tasksLeft()
 		}
 	}
-	m.maxFetching, m.cpuS = w.zoneHistory.maxFetching["a"], w.processor.Seconds()
+	m.maxFetching, m.cpuS = w.zoneHistory.maxFetching["a"], w.coreTime.Seconds()
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
@@ -117,7 +117,7 @@
 	submit := func(spec wire.Job, run time.Duration) {
 		spec.ID, spec.MemoryGB, spec.Image, spec.ImageGB = fmt.Sprintf("req-%06d", id), 2, fmt.Sprintf("img-%d", id%12), 1
 		id++
-		w.users.enterQuietly(&simJob{spec: spec, run: run, done: make([]bool, spec.Tasks)})
+		w.users.submitUncancelled(&simJob{spec: spec, runTime: run, done: make([]bool, spec.Tasks)})
 	}
 	for used := 0.0; used < cores/3; used += 6 * coresPerTask {
 		replicas += 6
--- a/internal/sim/zone_recovery_test.go
+++ b/internal/sim/zone_recovery_test.go
@@ -26,11 +26,11 @@
 	w.enableZoneRecovery(change)
 	w.after(time.Second, func() {
 		for i, zone := range w.shape.zones() { // a pinned service each, so that every zone has machines
-			w.users.enterQuietly(&simJob{spec: wire.Job{ID: fmt.Sprintf("req-00000%d", i), Class: "web", Team: "red", Kind: wire.KindService,
+			w.users.submitUncancelled(&simJob{spec: wire.Job{ID: fmt.Sprintf("req-00000%d", i), Class: "web", Team: "red", Kind: wire.KindService,
 				Priority: "high", Tasks: 3, CPUs: 3, MemoryGB: 2, Image: "img-0", ImageGB: 1, Zone: zone, Types: []string{"small"}}, done: make([]bool, 3)})
 		}
 	})
-	w.begin(zoneLossAt + 40*time.Second)
+	w.startUsers(zoneLossAt + 40*time.Second)
 	return w
 }
 
@@ -38,13 +38,13 @@
 // completed unless it was cancelled, and that each entry of expectedCoverage occurred.
 func runZones(t *testing.T, w *World, until time.Duration, expectedCoverage ...string) {
 	t.Helper()
-	w.after(until-150*time.Second, func() { w.watchWaiting(5 * time.Second) })
+	w.after(until-150*time.Second, func() { w.checkWaitingJobs(5 * time.Second) })
 	w.Run(until)
-	if len(w.Rules) == 0 {
+	if len(w.Violations) == 0 {
 		w.checkEnds()
 		w.checkServed()
 	}
-	for _, r := range w.Rules {
+	for _, r := range w.Violations {
 		t.Error(r)
 	}
 	for _, what := range expectedCoverage {
@@ -89,7 +89,7 @@
 		{"no capacity elsewhere", noCapacityElsewhere, nil, 360 * time.Second, []string{"a zone is lost", "rentals are refused in the zones left"}},
 	}
 	for _, c := range cases {
-		for seed := range uint64(runsOf("PUMICEFRONT_ZONE_SEEDS", 3)) {
+		for seed := range uint64(runCount("PUMICEFRONT_ZONE_SEEDS", 3)) {
 			t.Run(fmt.Sprintf("%s/%d", c.name, seed), func(t *testing.T) {
 				t.Parallel()
 				w := newZoneRun(seed, c.settings)
@@ -104,14 +104,14 @@
 }
 
 func zoneLostAndBack(_ *testing.T, w *World) {
-	w.after(zoneLossAt, func() { w.darken("a", 40*time.Second) })
+	w.after(zoneLossAt, func() { w.cutOffZone("a", 40*time.Second) })
 }
 
 // The zone returns after 8 s, before the leases of its machines end (10 s): its tasks still run.
 func zoneBackBeforeLeasesEnd(_ *testing.T, w *World) {
-	w.after(zoneLossAt, func() { w.darken("a", 8*time.Second) })
+	w.after(zoneLossAt, func() { w.cutOffZone("a", 8*time.Second) })
 	w.after(zoneLossAt+8*time.Second, func() {
-		w.running(func(h *host, task *task) {
+		w.forEachRunningTask(func(h *host, task *task) {
 			if h.zone == "a" && slices.Contains(w.zoneStates("a"), zones.Lost) {
 				w.coverage["a lost zone is back with attempts in force"]++
 			}
@@ -127,7 +127,7 @@
 			if states := w.zoneStates("a"); after > 0 && len(states) > 0 && states[len(states)-1] == zones.Returning {
 				w.coverage["a zone fails within its ramp"]++
 			}
-			w.darken("a", 20*time.Second)
+			w.cutOffZone("a", 20*time.Second)
 		})
 	}
 	t.Cleanup(func() {
@@ -157,13 +157,13 @@
 // The controller in the zone continues to answer its workers until its authority expires. Then another
 // controller leads.
 func zoneCutOffWithController(_ *testing.T, w *World) {
-	w.after(zoneLossAt, func() { w.isolate("a", w.nodes[0], 30*time.Second) })
+	w.after(zoneLossAt, func() { w.isolateZoneWithController("a", w.controllers[0], 30*time.Second) })
 }
 
 func twoZonesLost(_ *testing.T, w *World) {
 	w.after(zoneLossAt, func() {
-		w.darken("a", 30*time.Second)
-		w.darken("b", 35*time.Second)
+		w.cutOffZone("a", 30*time.Second)
+		w.cutOffZone("b", 35*time.Second)
 	})
 	w.after(zoneLossAt+29*time.Second, func() {
 		if slices.Contains(w.zoneStates("a"), zones.Lost) && slices.Contains(w.zoneStates("b"), zones.Lost) {
@@ -185,7 +185,7 @@
 func leaderInLostZone(_ *testing.T, w *World) {
 	w.after(zoneLossAt, func() {
 		w.coverage["the leader is in the lost zone"]++
-		w.isolate(w.largestZone(), w.leading(), 40*time.Second)
+		w.isolateZoneWithController(w.largestZone(), w.leaderOrFirst(), 40*time.Second)
 	})
 }
 
@@ -207,13 +207,13 @@
 			return
 		}
 		w.coverage["a leader ends within a ramp"]++
-		w.leading().crash(5 * time.Second)
+		w.leaderOrFirst().crash(5 * time.Second)
 	}
 	w.after(zoneLossAt, crashOnReturn)
 }
 
 func zoneLostInStateServiceOutage(t *testing.T, w *World) {
-	w.after(zoneLossAt, func() { w.darken("a", 40*time.Second) })
+	w.after(zoneLossAt, func() { w.cutOffZone("a", 40*time.Second) })
 	w.after(zoneLossAt+time.Second, func() {
 		w.store.setOutage(true)
 		w.coverage["a zone is dark in an outage of the state service"]++
@@ -230,7 +230,7 @@
 // arrive.
 func machinesHangAfterReturn(_ *testing.T, w *World) {
 	w.faults.duplicateReports = 0.3
-	w.after(zoneLossAt, func() { w.darken("a", 22*time.Second) })
+	w.after(zoneLossAt, func() { w.cutOffZone("a", 22*time.Second) })
 	w.after(zoneLossAt+23*time.Second, func() {
 		inZone := slices.DeleteFunc(w.hostsUp(), func(h *host) bool { return h.zone != "a" })
 		for i, h := range inZone {
@@ -268,22 +268,22 @@
 		w.enableZoneRecovery(nil)
 	}
 	pinned := &simJob{spec: wire.Job{ID: "req-000001", Class: "batch", Team: "blue", Kind: wire.KindArray, Priority: "standard", Tasks: 200,
-		CPUs: 4, MemoryGB: 2, Image: "img-9", ImageGB: 1, Zone: "a"}, run: 3 * time.Second, done: make([]bool, 200)}
+		CPUs: 4, MemoryGB: 2, Image: "img-9", ImageGB: 1, Zone: "a"}, runTime: 3 * time.Second, done: make([]bool, 200)}
 	service := &simJob{spec: wire.Job{ID: "req-000002", Class: "web", Team: "red", Kind: wire.KindService, Priority: "prod", Tasks: 12,
 		CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1, Spread: true}, done: make([]bool, 12)}
 	filler := &simJob{spec: wire.Job{ID: "req-000003", Class: "bulk", Team: "blue", Kind: wire.KindArray, Priority: "standard", Tasks: 160,
-		CPUs: 4, MemoryGB: 2, Image: "img-2", ImageGB: 1, Zone: "a"}, run: 100 * time.Second, done: make([]bool, 160)}
-	w.after(time.Second, func() { w.users.enterQuietly(service); w.users.enterQuietly(filler) })
-	w.after(zoneLossAt, func() { w.darken("a", 40*time.Second) })
-	w.after(zoneLossAt+30*time.Second, func() { w.users.enterQuietly(pinned); w.zoneHistory.maxFetching = nil })
+		CPUs: 4, MemoryGB: 2, Image: "img-2", ImageGB: 1, Zone: "a"}, runTime: 100 * time.Second, done: make([]bool, 160)}
+	w.after(time.Second, func() { w.users.submitUncancelled(service); w.users.submitUncancelled(filler) })
+	w.after(zoneLossAt, func() { w.cutOffZone("a", 40*time.Second) })
+	w.after(zoneLossAt+30*time.Second, func() { w.users.submitUncancelled(pinned); w.zoneHistory.maxFetching = nil })
 	w.Run(zoneLossAt + 5*time.Minute)
-	for _, r := range w.Rules {
+	for _, r := range w.Violations {
 		t.Error(r)
 	}
-	if pinned.left() > 0 || filler.left() > 0 {
-		t.Errorf("%d and %d tasks pinned to the zone are unfinished", pinned.left(), filler.left())
+	if pinned.tasksLeft() > 0 || filler.tasksLeft() > 0 {
+		t.Errorf("%d and %d tasks pinned to the zone are unfinished", pinned.tasksLeft(), filler.tasksLeft())
 	}
-	return w.zoneHistory.maxFetching["a"], pinned.firstEnd
+	return w.zoneHistory.maxFetching["a"], pinned.firstTaskEnd
 }
 
 // A job that can only run in the returning zone completes there. Zone recovery limits the starts in the
@@ -324,22 +324,22 @@
 // A leader must not declare a zone lost when the leader itself is cut off from the workers or from
 // everything, is refused by the state service, or pauses.
 func TestLeaderFaultIsNotZoneLoss(t *testing.T) {
-	for name, cut := range map[string]func(w *World, n *node){
-		"cut off from workers":     func(_ *World, n *node) { n.workersCut = true },
-		"refused by state service": func(_ *World, n *node) { n.refused = true },
-		"isolated":                 func(_ *World, n *node) { n.workersCut, n.isolated = true, true },
-		"paused":                   func(_ *World, n *node) { n.pause(15 * time.Second) },
+	for name, cut := range map[string]func(w *World, n *member){
+		"cut off from workers":     func(_ *World, n *member) { n.cutFromWorkers = true },
+		"refused by state service": func(_ *World, n *member) { n.stateRefused = true },
+		"isolated":                 func(_ *World, n *member) { n.cutFromWorkers, n.cutFromStateAndPeers = true, true },
+		"paused":                   func(_ *World, n *member) { n.pause(15 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newZoneRun(5, nil)
-			w.after(zoneLossAt, func() { cut(w, w.leading()) })
+			w.after(zoneLossAt, func() { cut(w, w.leaderOrFirst()) })
 			w.Run(zoneLossAt + 40*time.Second)
 			for _, c := range w.zoneHistory.changes {
 				if c.To != zones.Suspected && c.To != zones.Healthy {
 					t.Errorf("zone %s became %s", c.Zone, c.To)
 				}
 			}
-			for _, r := range w.Rules {
+			for _, r := range w.Violations {
 				t.Error(r)
 			}
 		})
@@ -349,7 +349,7 @@
 // TestZoneFaults runs with losses of zones among other random faults. PUMICEFRONT_ZONE_RUNS sets the
 // number of runs.
 func TestZoneFaults(t *testing.T) {
-	for seed := range uint64(runsOf("PUMICEFRONT_ZONE_RUNS", 12)) {
+	for seed := range uint64(runCount("PUMICEFRONT_ZONE_RUNS", 12)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(seed, Zoned)
@@ -357,11 +357,11 @@
 			for at := 30 * time.Second; at < faultPhase-30*time.Second; at += w.between(20*time.Second, 50*time.Second) {
 				zone := w.shape.zones()[w.rng.IntN(3)]
 				loss := w.between(4*time.Second, 30*time.Second)
-				w.after(at, func() { w.darken(zone, loss) })
+				w.after(at, func() { w.cutOffZone(zone, loss) })
 			}
-			w.after(faultPhase, func() { w.watchWaiting(5 * time.Second) })
+			w.after(faultPhase, func() { w.checkWaitingJobs(5 * time.Second) })
 			RunFaults(w, faultPhase, recoveryPhase+60*time.Second)
-			report(t, seed, w)
+			reportViolations(t, seed, w)
 		})
 	}
 }
@@ -396,10 +396,10 @@
 // Only the leader answers with the status of the zones, and it answers at once.
 func TestZoneStatus(t *testing.T) {
 	w := newZoneRun(1, nil)
-	w.after(zoneLossAt, func() { w.darken("a", 30*time.Second) })
+	w.after(zoneLossAt, func() { w.cutOffZone("a", 30*time.Second) })
 	w.Run(zoneLossAt + 15*time.Second)
 	leaders := 0
-	for _, n := range w.nodes {
+	for _, n := range w.controllers {
 		n.ask(func(req uint64) controller.Input { return controller.ZoneStatusRequest{Req: req} }, func(a controller.Answer) {
 			s := a.Body.(zones.Status)
 			if !s.Leading {
