--- a/internal/spreadseries/series.go
+++ b/internal/spreadseries/series.go
@@ -67,8 +67,8 @@
 	Samples []Sample // one for each time in the rows, in ascending order
 }
 
-// Courses groups rows by run, in the order of the runs' names, and summarizes each time in a run.
-func Courses(rows []Row) []Series {
+// SeriesByRun groups rows by run, in the order of the runs' names, and summarizes each time in a run.
+func SeriesByRun(rows []Row) []Series {
 	sorted := slices.Clone(rows)
 	slices.SortStableFunc(sorted, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(a.AtS, b.AtS)) })
 	var all []Series
--- a/internal/spreadseries/series_test.go
+++ b/internal/spreadseries/series_test.go
@@ -33,7 +33,7 @@
 	if err != nil || !reflect.DeepEqual(read, rows) {
 		t.Fatalf("read rows differ from written ones: %d read, %d written, error %v", len(read), len(rows), err)
 	}
-	all := Courses(read)
+	all := SeriesByRun(read)
 	if len(all) != 2 || len(all[1].Samples) != 300 || all[1].Samples[7].Machines != 2 || !all[1].Spread {
 		t.Fatalf("%d series, want 2; sample 7 of the second: %+v", len(all), all[1].Samples[7])
 	}
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -41,7 +41,7 @@
 }
 
 // Send queues a message to a peer; a message to an unknown peer is ignored. When
-// the queue is full, its oldest message is dropped, because a new promise or an
+// the queue is full, its oldest message is dropped, because a new peer lease message or an
 // answer that a worker waits for matters more than messages that are already late.
 func (m *Mesh) Send(to string, e *Envelope) {
 	queue, known := m.queues[to]
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A promise must not be lost behind older messages: the queue of a peer that reads
-// nothing is full of progress messages when the promise is sent.
+// The answer to a peer lease request must not be lost behind older messages: the queue of a peer that reads
+// nothing is full of progress messages when the answer is sent.
 func TestFullQueueKeepsTheNewest(t *testing.T) {
 	m := &Mesh{queues: map[string]chan *Envelope{"n1": make(chan *Envelope, 4)}}
 	for range 10 {
@@ -16,6 +16,6 @@
 		last = <-m.queues["n1"]
 	}
 	if last.GetPromise().GetRound() != 7 {
-		t.Errorf("the newest queued message is %v, want the promise", last)
+		t.Errorf("the newest queued message is %v, want the peer lease answer", last)
 	}
 }
