--- a/cmd/pumicefront/main.go
+++ b/cmd/pumicefront/main.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	for _, warning := range cfg.Warnings {
-		slog.Error("setting unusable, using safe value instead", "warning", warning)
+		slog.Error("setting not used", "warning", warning)
 	}
 	configureRuntime(cfg)
 	return server.New(cfg, op).Run(context.Background())
