--- a/internal/sim/coverage.go
+++ b/internal/sim/coverage.go
@@ -37,9 +37,9 @@
 	}
 	w.forEachRunningTask(func(_ *host, t *task) {
 		if t.job.reportedCancelled {
-			w.coverage["leases renewed in an outage after a cancellation was told"]++
+			w.coverage["leases renewed in an outage after a cancellation was reported"]++
 			if n.stateRefused {
-				w.coverage["by a leader that had been refused alone"]++
+				w.coverage["leases renewed in an outage by a leader that only the state service had refused before"]++
 			}
 		}
 	})
@@ -63,7 +63,7 @@
 			w.coverage["leaders change while tasks are on machines that can't be reached"]++
 		}
 		if unreachable && t.job.reportedCancelled && cores[t.job.spec.Team] > w.team(t.job.spec.Team).CPUsMax-4 {
-			w.coverage["the same with a team at its limit and its job cancelled"]++
+			w.coverage["leaders change while tasks of a cancelled job are on machines that can't be reached, its team near its limit"]++
 		}
 	})
 }
@@ -71,14 +71,14 @@
 // noteLeaderEnd counts the conditions under which a leader crashes.
 func (w *World) noteLeaderEnd(downtime time.Duration) {
 	if downtime < time.Second {
-		w.coverage["a leader ends and is back within a second"]++
+		w.coverage["a leader crashes and restarts within a second"]++
 	}
 	if w.store.outage {
-		w.coverage["a leader ends in an outage"]++
+		w.coverage["a leader crashes in an outage"]++
 	}
 	w.forEachRunningTask(func(h *host, _ *task) {
 		if w.faults.fastBoots && w.faults.slowState > 0 && w.now-h.bootedAt < 5*time.Second {
-			w.coverage["a leader ends while writes lag and machines just up have work"]++
+			w.coverage["a leader crashes while the state service is slow and newly booted machines have work"]++
 		}
 	})
 }
@@ -86,19 +86,19 @@
 // noteCancellation counts the conditions under which a cancellation is confirmed to a user.
 func (w *World) noteCancellation(j *simJob) {
 	if w.now-w.leaderSince < 3*time.Second {
-		w.coverage["a cancellation told as leaders change"]++
+		w.coverage["a cancellation reported as leaders change"]++
 	}
 	if w.faults.slowState > 0 {
-		w.coverage["a cancellation told while the state service is slow"]++
+		w.coverage["a cancellation reported while the state service is slow"]++
 	}
 	for _, n := range w.controllers {
 		if n.cutFromStateAndPeers && n == w.lastLeader {
-			w.coverage["a cancellation told by others while the leader has its workers alone"]++
+			w.coverage["a cancellation reported by other controllers while the leader reaches only workers and users"]++
 		}
 	}
 	w.forEachRunningTask(func(h *host, t *task) {
 		if t.job == j && h.hung {
-			w.coverage["a cancellation told while a machine of the job hangs"]++
+			w.coverage["a cancellation reported while a machine of the job hangs"]++
 		}
 	})
 }
@@ -107,7 +107,7 @@
 func (w *World) noteLostAnswer(sent time.Duration, r controller.StateReply) {
 	switch late := w.now-sent > time.Second; {
 	case r.Status != http.StatusOK && late:
-		w.coverage["a late transaction refused for newer ones"]++
+		w.coverage["a late transaction refused"]++
 	case r.Status == http.StatusOK && late:
 		w.coverage["a late transaction carried out"]++
 	case r.Status == http.StatusOK:
@@ -120,9 +120,9 @@
 func (w *World) noteCommand(h *host, answer bool, status int) {
 	switch {
 	case !answer && status == http.StatusOK:
-		w.coverage["a held command, or one with its answer held, is carried out"]++
+		w.coverage["a delayed or repeated command, or one whose answer is lost, is carried out"]++
 	case h.sendsNothing:
-		w.coverage["a direct command reaches a machine that reaches nobody"]++
+		w.coverage["a direct command reaches a machine that can't reach controllers"]++
 	}
 }
 
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -179,7 +179,7 @@
 func checkLiveZones(t *testing.T, w *World, status zones.Status, zone string) {
 	t.Helper()
 	counts := checkLiveHistory(t, w)
-	if counts[history.Started] < 150 || counts[history.Answered] < 100 || w.coverage["a zone with a controller cut off"] == 0 {
+	if counts[history.Started] < 150 || counts[history.Answered] < 100 || w.coverage["a zone with a controller in it partitioned for longer than a lease"] == 0 {
 		t.Errorf("too few starts or answers, or no zone cut off with its controller: %v, %v", counts, w.coverage)
 	}
 	if z := findZone(status, zone); z.Penalty < 1.5 { // the losses occurred under two leaders; the last one must know both
--- a/internal/sim/paired_faults.go
+++ b/internal/sim/paired_faults.go
@@ -219,7 +219,7 @@
 	w := f.w
 	w.after(w.leaseTime()-time.Millisecond, func() { // the first controller returns one millisecond later
 		if !slices.ContainsFunc(w.controllers, func(n *member) bool { return n.core != nil }) {
-			w.coverage["all controllers away for longer than a lease"]++
+			w.coverage["all controllers down for a lease"]++
 		}
 	})
 	for i, n := range w.controllers {
--- a/internal/sim/spread_faults.go
+++ b/internal/sim/spread_faults.go
@@ -30,7 +30,7 @@
 		w.coverage["a move ends: "+string(m.Outcome)]++
 	}
 	if m.ReleaseReason != "" && m.ReleaseReason != balance.ReleasedMoveEnded {
-		w.coverage["held room is given up: "+string(m.ReleaseReason)]++
+		w.coverage["a reservation is released: "+string(m.ReleaseReason)]++
 	}
 	if w.onMove != nil {
 		w.onMove(n, m)
@@ -155,18 +155,18 @@
 			}
 			return true
 		}},
-		{"the leader ends after the proof", balance.Waiting, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool { return r.crashAfter(n, 0) }},
-		{"the leader ends after the placement's record", balance.Starting, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
+		{"the leader ends after the old attempt has ended", balance.Waiting, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool { return r.crashAfter(n, 0) }},
+		{"the leader ends after the placement is written", balance.Starting, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			return r.onPlacementWritten(m.Job, func(reply *controller.StateReply) {
 				*reply = controller.StateReply{ID: reply.ID}
 				r.crashAfter(n, 0)
 			})
 		}},
-		{"a deposed leader's stop is late", balance.Stopping, "", func(_ *spreadRun, n *member, _ controller.MoveChanged) bool {
+		{"a deposed leader's stop command is late", balance.Stopping, "", func(_ *spreadRun, n *member, _ controller.MoveChanged) bool {
 			n.pause(7 * time.Second)
 			return true
 		}},
-		{"a deposed leader's run is late", balance.Starting, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
+		{"a deposed leader's run command is late", balance.Starting, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			return r.onPlacementWritten(m.Job, func(*controller.StateReply) { n.pause(9 * time.Second) })
 		}},
 		{"the source hangs", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
@@ -183,7 +183,7 @@
 			}
 			return true
 		}},
-		{"the source hears nothing", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
+		{"the source receives nothing", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.From, func(h *host) { h.receivesNothing = true }, func(h *host) { h.receivesNothing = false }, 12*time.Second)
 		}},
 		{"the destination dies", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -303,7 +303,7 @@
 func (u *users) askController(n *member, j *simJob, r controller.UserRequest) {
 	known, accepted := u.w.knownState(j), j.accepted
 	if known.done || known.cancelled {
-		u.w.coverage["asked at all nodes after a final answer"]++
+		u.w.coverage["asked at all controllers after a final answer"]++
 	}
 	u.requestFrom(n, r, func(a controller.Answer) {
 		switch {
--- a/internal/sim/zone_faults.go
+++ b/internal/sim/zone_faults.go
@@ -94,7 +94,7 @@
 	since := w.now
 	w.after(duration, func() {
 		if w.now-since > w.leaseTime() {
-			w.coverage["a zone with a controller cut off"]++
+			w.coverage["a zone with a controller in it partitioned for longer than a lease"]++
 		}
 		w.faults.isolated = isolatedZone{}
 		n.cutFromStateAndPeers = false
--- a/internal/sim/zone_recovery_test.go
+++ b/internal/sim/zone_recovery_test.go
@@ -77,14 +77,14 @@
 	}{
 		{"zone lost and back", zoneLostAndBack, nil, 330 * time.Second, []string{"a zone is lost", "a zone is held down", "a zone is returning", "a zone is healthy", "a task that was lost with its zone runs again"}},
 		{"returns before its leases end", zoneBackBeforeLeasesEnd, func(s *zones.Settings) { s.LostAfter = time.Second }, 330 * time.Second,
-			[]string{"a zone is returning", "a lost zone is back with attempts in force"}},
+			[]string{"a zone is returning", "a lost zone is back while its attempts still run"}},
 		{"fails twice and within the ramp", zoneFailsAgain, nil, 420 * time.Second, []string{"a zone is returning", "a zone fails within its ramp"}},
-		{"cut off with a controller", zoneCutOffWithController, nil, 330 * time.Second, []string{"a zone with a controller cut off", "a zone is lost"}},
+		{"cut off with a controller", zoneCutOffWithController, nil, 330 * time.Second, []string{"a zone with a controller in it partitioned for longer than a lease", "a zone is lost"}},
 		{"two zones at once", twoZonesLost, nil, 360 * time.Second, []string{"two zones are lost at once"}},
 		{"power lost", zonePoweredOff, nil, 330 * time.Second, []string{"a zone is suspected"}},
 		{"leader in the lost zone", leaderInLostZone, nil, 360 * time.Second, []string{"a zone is lost", "the leader is in the lost zone"}},
 		{"leader ends within the ramp", leaderCrashesInRamp, nil, 360 * time.Second, []string{"a leader ends within a ramp", "a zone is healthy"}},
-		{"state service out meanwhile", zoneLostInStateServiceOutage, nil, 360 * time.Second, []string{"a zone is dark in an outage of the state service", "a zone is lost"}},
+		{"state service out meanwhile", zoneLostInStateServiceOutage, nil, 360 * time.Second, []string{"a zone is cut off in an outage of the state service", "a zone is lost"}},
 		{"hanging machines and late copies", machinesHangAfterReturn, nil, 360 * time.Second, []string{"machines of a returned zone hang", "a report from an earlier session arrives"}},
 		{"no capacity elsewhere", noCapacityElsewhere, nil, 360 * time.Second, []string{"a zone is lost", "rentals are refused in the zones left"}},
 	}
@@ -113,7 +113,7 @@
 	w.after(zoneLossAt+8*time.Second, func() {
 		w.forEachRunningTask(func(h *host, task *task) {
 			if h.zone == "a" && slices.Contains(w.zoneStates("a"), zones.Lost) {
-				w.coverage["a lost zone is back with attempts in force"]++
+				w.coverage["a lost zone is back while its attempts still run"]++
 			}
 		})
 	})
@@ -216,7 +216,7 @@
 	w.after(zoneLossAt, func() { w.cutOffZone("a", 40*time.Second) })
 	w.after(zoneLossAt+time.Second, func() {
 		w.store.setOutage(true)
-		w.coverage["a zone is dark in an outage of the state service"]++
+		w.coverage["a zone is cut off in an outage of the state service"]++
 	})
 	w.after(zoneLossAt+16*time.Second, func() {
 		if slices.Contains(w.zoneStates("a"), zones.Lost) {
