--- a/balance/move_tracker.go
+++ b/balance/move_tracker.go
@@ -127,8 +127,8 @@
 	return a
 }
 
-// Begin adds a move of the given attempt and reserves room at its destination.
-func (t *MoveTracker) Begin(now time.Time, m Move, attempt uint64) {
+// Start adds a move of the given attempt and reserves room at its destination.
+func (t *MoveTracker) Start(now time.Time, m Move, attempt uint64) {
 	t.budget--
 	t.counts.Started++
 	t.movedAt[m.TaskID] = now
--- a/balance/move_tracker_test.go
+++ b/balance/move_tracker_test.go
@@ -41,7 +41,7 @@
 		settings.Hold = 35 * time.Second
 		l := NewMoveTracker(settings, startTime)
 		m := testMove("job")
-		l.Begin(startTime, m, 4)
+		l.Start(startTime, m, 4)
 		if held := l.ReservedOn("b"); held.CPUs != 1 {
 			t.Errorf("%s: %v is reserved after the start", name, held)
 		}
@@ -67,7 +67,7 @@
 // Reserved room is released once, and only while it is reserved. The move itself goes on.
 func TestReleaseReservedRoom(t *testing.T) {
 	l := NewMoveTracker(DefaultSettings(), startTime)
-	l.Begin(startTime, testMove("job"), 4)
+	l.Start(startTime, testMove("job"), 4)
 	id := testMove("job").TaskID
 	if c, any := l.ReleaseReservation(id, ReleasedForUrgent); !any || c.ReleaseReason != ReleasedForUrgent || l.ReservedOn("b").CPUs != 0 {
 		t.Errorf("%+v", c)
@@ -92,7 +92,7 @@
 		if a := l.Allowance(now, machines, 0); a.Moves != 0 {
 			t.Fatalf("%d moves allowed to a new leader", a.Moves)
 		}
-		begun := 0
+		started := 0
 		for now.Sub(startTime) < 5*time.Minute {
 			now = now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
 			if rng.IntN(12) == 0 {
@@ -104,14 +104,14 @@
 				t.Fatalf("allowance %+v with %d own moves under way and %d others", a, l.Len(), others)
 			}
 			for range a.Moves {
-				m := testMove(fmt.Sprint(begun))
-				l.Begin(now, m, 4)
+				m := testMove(fmt.Sprint(started))
+				l.Start(now, m, 4)
 				l.Observe(now, m.TaskID, Observation{Completed: true})
-				begun++
+				started++
 			}
 		}
-		if most := int(perSecond*now.Sub(startTime).Seconds()) + 1; begun > most {
-			t.Fatalf("%d moves in five minutes, want at most %d", begun, most)
+		if most := int(perSecond*now.Sub(startTime).Seconds()) + 1; started > most {
+			t.Fatalf("%d moves in five minutes, want at most %d", started, most)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	l := NewMoveTracker(DefaultSettings(), startTime)
 	for i, at := range []time.Duration{0, time.Minute} {
 		m := testMove(fmt.Sprint(i))
-		l.Begin(startTime.Add(at), m, 4)
+		l.Start(startTime.Add(at), m, 4)
 		l.Observe(startTime.Add(at), m.TaskID, Observation{Completed: true})
 	}
 	l.Sweep(startTime.Add(l.settings.Stay + time.Second))
--- a/controller/broken_jobs.go
+++ b/controller/broken_jobs.go
@@ -55,8 +55,8 @@
 }
 
 // runsElsewhere reports whether a job that failed on machine m has shown that it can run: one of its
-// tasks has succeeded, or one has run on another machine for minRunElsewhere. A job that is over
-// gives no evidence, because it may have been cancelled for its failures.
+// tasks has succeeded, or one has run on another machine for minRunElsewhere. A job that has
+// ended gives no evidence, because it may have been cancelled for its failures.
 func (l *leader) runsElsewhere(id string, m *machine) bool {
 	j := l.jobs[id]
 	if j == nil {
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -255,8 +255,8 @@
 
 // mayStart reports whether this leader may place tasks of a job. Tasks of another cell's job may be placed only
 // once the home has confirmed, in a call that carries this leader's challenge, that the grant is open. During
-// an outage the grant may have been declared over, and a delayed copy of an earlier call would not show
-// that. Tasks that run already keep running until the grant is known to be over.
+// an outage the grant may have been declared ended, and a delayed copy of an earlier call would not show
+// that. Tasks that run already keep running until the grant is known to have ended.
 func (s *spilloverManager) mayStart(j *job) bool {
 	if j.origin == nil {
 		return true
@@ -285,7 +285,7 @@
 	return f
 }
 
-// raiseFloor applies a floor received from a home. Jobs here whose grant is over at the home, as after this cell
+// raiseFloor applies a floor received from a home. Jobs here whose grant has ended at the home, as after this cell
 // was declared gone, are stopped. The fences at or below the floor are replaced by the recorded floor in one
 // transaction.
 func (s *spilloverManager) raiseFloor(home cells.Cell, epoch cells.Epoch) {
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return false
 	}
-	// A grant that is applied late must fail if attempts are in force by then, so it is conditional on no
+	// A grant that is applied late must fail if attempts are active by then, so it is conditional on no
 	// placement being on record. A placement written after the grant fails on the header's version.
 	conds := []wire.Cond{{Key: epochKey, Version: s.c.watchCache.versions[epochKey]}}
 	for n := range j.chunks {
--- a/controller/cell_spillover.go
+++ b/controller/cell_spillover.go
@@ -16,7 +16,7 @@
 // The leader's part of spillover between cells. As the home of a job, it grants the job to another cell, the
 // holder, in a new epoch, and sends offers and recalls; as a holder, it answers with what it has recorded. A
 // holder records the end of an epoch as a fence: no grant at or below it is accepted any more. A home's floor is the
-// epoch up to which all its grants to a holder are over; once recorded, it replaces the fences below it. Every
+// epoch up to which all its grants to a holder have ended; once recorded, it replaces the fences below it. Every
 // step follows from the records in the state service; package cells decides which step may follow.
 
 // Intervals and limits of the calls between cells.
@@ -216,7 +216,7 @@
 	return true
 }
 
-// dropJob drops the in-memory state of a job that is over.
+// dropJob drops the in-memory state of a job that has ended.
 func (s *spilloverManager) dropJob(id string) {
 	if s != nil {
 		delete(s.returnedAt, id)
--- a/controller/cell_spillover_test.go
+++ b/controller/cell_spillover_test.go
@@ -190,7 +190,7 @@
 	}
 	c.cellRequest(CellRequest{From: "b", Floor: 6, Challenge: l.spillover.challenge})
 	if l.spillover.mayStart(j) {
-		t.Error("may start though its grant is over")
+		t.Error("may start though its grant has ended")
 	}
 	c.watchCache.loaded, c.out = true, nil
 	c.lookup("req-000066", func(k lookupResult) {
@@ -254,7 +254,7 @@
 }
 
 // A floor is recorded, and the fences that it replaces are removed, in one transaction; until that is confirmed
-// the fences remain in force.
+// the fences remain in effect.
 func TestFloorReplacesFences(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
 	key := fenceKey("b", "req-000088")
@@ -379,7 +379,7 @@
 	}
 }
 
-// A call to a cell that was declared gone carries a floor at which all its grants are over, even while another cell
+// A call to a cell that was declared gone carries a floor at which all its grants have ended, even while another cell
 // holds an older grant, and before the writes that take the grants back are made.
 func TestFloorOfCellDeclaredGone(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -70,7 +70,7 @@
 	return j == nil || !j.dirty && j.write == nil
 }
 
-// stop stops an attempt, which stays in force until it is proved to have ended. An attempt whose run
+// stop stops an attempt, which stays active until it is proved to have ended. An attempt whose run
 // command has not been sent ends at once, as nothing else would ever prove its end. If its record is
 // being written, the completion of that write ends it.
 func (l *leader) stop(a *attempt, grace float64) {
@@ -101,7 +101,7 @@
 }
 
 // sendCommands sends the commands that should not wait for the next heartbeat. A command without an
-// answer may still take effect; the attempt stays in force in either case.
+// answer may still take effect; the attempt stays active in either case.
 func (l *leader) sendCommands() {
 	ms := l.toSend
 	l.toSend = nil
--- a/controller/commands_test.go
+++ b/controller/commands_test.go
@@ -46,7 +46,7 @@
 }
 
 // An attempt that is stopped after its record is written and before its run command is sent must not
-// stay in force forever.
+// stay active forever.
 func TestStopBeforeRunIsSent(t *testing.T) {
 	_, l, j := newLeadingCore(t)
 	m := l.machine("i-1")
@@ -54,7 +54,7 @@
 	placeAttempt(l, j, 0, m)
 	l.completeTask(j, 0) // an earlier attempt that counted as lost has finished
 	if j.attempts[0] != nil {
-		t.Fatal("stopped attempt still in force though its run command was not sent")
+		t.Fatal("stopped attempt still active though its run command was not sent")
 	}
 }
 
--- a/controller/demands.go
+++ b/controller/demands.go
@@ -55,7 +55,7 @@
 	return j.deadline.last != nil && (len(j.spec.Needs) > 0 || len(dependencies.Successors(j.id)) > 0)
 }
 
-// Ages beyond which a waiting job is placed before all others. Even the largest jobs must begin within four minutes,
+// Ages beyond which a waiting job is placed before all others. Even the largest jobs must start within four minutes,
 // although smaller ones never stop arriving.
 const (
 	unstartedAgingAfter  = 80 * time.Second  // no task of the job has run
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -25,7 +25,7 @@
 	c.now = c.now.Add(11 * time.Second)
 	l.failureDetector.checkLeaseExpiry()
 	if j.attempts[0] != nil {
-		t.Fatal("the attempt is still in force after the lease of its session has expired")
+		t.Fatal("the attempt is still active after the lease of its session has expired")
 	}
 }
 
@@ -44,7 +44,7 @@
 	l.token = 8
 	l.failureDetector.applyHeartbeat(m, newReport(m, 8))
 	if j.attempts[0] != nil {
-		t.Fatal("attempt still in force though no copy of its run command can take effect")
+		t.Fatal("attempt still active though no copy of its run command can take effect")
 	}
 	// An earlier leader may have sent the run command with any token below this leader's first.
 	b := placeAttempt(l, j, 1, m)
@@ -80,7 +80,7 @@
 	c.now = c.now.Add(tokenRaiseInterval)
 	l.failureDetector.applyHeartbeat(m, newReport(m, 7))
 	if j.attempts[0] == nil || !l.raisingToken {
-		t.Fatalf("in force %v, raising %v", j.attempts[0] != nil, l.raisingToken)
+		t.Fatalf("active %v, raising %v", j.attempts[0] != nil, l.raisingToken)
 	}
 }
 
@@ -110,7 +110,7 @@
 
 // An answer with an older session and sequence number than the machine had sent before the command
 // shows that its counters were reset. None of its statuses can be relied on then: the machine is
-// released, and its attempts stay in force until the release is confirmed.
+// released, and its attempts stay active until the release is confirmed.
 func TestMachineWithResetSequenceIsReleased(t *testing.T) {
 	c, l, j := newLeadingCore(t)
 	m := l.machine("i-1")
@@ -120,10 +120,10 @@
 	id := c.out[len(c.out)-1].(WorkerCall).ID
 	resume(c.workerCalls, id, WorkerReply{Status: 200, Report: wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 8}})
 	if !m.releasing || m.session != 3 || j.attempts[0] == nil || l.usable(m) {
-		t.Fatalf("releasing %v, session %d, in force %v", m.releasing, m.session, j.attempts[0] != nil)
+		t.Fatalf("releasing %v, session %d, active %v", m.releasing, m.session, j.attempts[0] != nil)
 	}
 	if l.autoscaler.forgetMachine(m.id); j.attempts[0] != nil {
-		t.Fatal("in force after the release")
+		t.Fatal("attempt still active after the release")
 	}
 }
 
@@ -135,11 +135,11 @@
 	m := l.machine("i-1")
 	l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 6})
 	if cs := l.heartbeatCommands(m); len(cs) != 0 || j.attempts[0] == nil {
-		t.Fatalf("commands %v, in force %v", cs, j.attempts[0] != nil)
+		t.Fatalf("commands %v, active %v", cs, j.attempts[0] != nil)
 	}
 	l.failureDetector.applyHeartbeat(m, newReport(m, 7))
 	if j.attempts[0] != nil {
-		t.Fatal("attempt in force though the machine has received this leader's token and does not list it")
+		t.Fatal("attempt active though the machine has received this leader's token and does not list it")
 	}
 }
 
--- a/controller/placement.go
+++ b/controller/placement.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// startAttempt puts an attempt in force; its run command is sent once the job's record is written.
+// startAttempt adds an active attempt; its run command is sent once the job's record is written.
 func (l *leader) startAttempt(j *job, p scheduler.Assignment, number uint64) *attempt {
 	m := l.machines[p.Machine.ID]
 	a := &attempt{job: j, task: p.Task, number: number, machine: m, session: m.session, placed: l.c.now, needsFetch: !m.images[j.spec.Image]}
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -44,7 +44,7 @@
 // keepsIdleMachines reports whether operators keep idle machines for load to be spread over.
 func (s *spreading) keepsIdleMachines() bool { return s != nil && s.settings().KeepIdle }
 
-// run observes the moves in progress and begins new ones.
+// run observes the moves in progress and starts new ones.
 func (s *spreading) run() {
 	if s == nil {
 		return
@@ -97,10 +97,10 @@
 	s.schedulePlacement()
 }
 
-// beginMove reserves room for a task at its destination, and stops the attempt that is moved.
-func (s *spreading) beginMove(m balance.Move) {
+// startMove reserves room for a task at its destination, and stops the attempt that is moved.
+func (s *spreading) startMove(m balance.Move) {
 	a := s.jobs[m.Job].attempts[m.Index]
-	s.tracker.Begin(s.c.now, m, a.number)
+	s.tracker.Start(s.c.now, m, a.number)
 	entry, _ := s.tracker.ActiveMove(m.TaskID)
 	s.handleChange(balance.Change{ActiveMove: entry})
 	s.stop(a, saveGraceS(&a.job.spec))
--- a/controller/spreading_bench_test.go
+++ b/controller/spreading_bench_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// planOnly plans moves without beginning them, and returns their number.
+// planOnly plans moves without starting them, and returns their number.
 func planOnly(l *leader, fleet balance.FleetSnapshot) int {
 	allowance := l.spreading.tracker.Allowance(l.c.now, benchMachines, 0)
 	return len(balance.Plan(fleet, *l.spreading.settings(), allowance))
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -9,7 +9,7 @@
 	"pumicefront/wire"
 )
 
-// When moves may begin, and the state of the fleet that they are planned from.
+// When moves may start, and the state of the fleet that they are planned from.
 
 // Intervals and thresholds of planning.
 const (
@@ -20,7 +20,7 @@
 	freeBackgroundDivisor = 2                // the burst of background writes divided by this must be free
 )
 
-// plan begins the moves that are worth their cost, unless moves are blocked.
+// plan starts the moves that are worth their cost, unless moves are blocked.
 func (s *spreading) plan() {
 	if s.c.now.Sub(s.plannedAt) < planInterval {
 		return
@@ -48,11 +48,11 @@
 	}
 	moves = s.preserveHeadroom(machines, moves)
 	for _, m := range moves {
-		s.beginMove(m)
+		s.startMove(m)
 	}
 }
 
-// moveBlock is why no move may begin now.
+// moveBlock returns why no move may start now.
 func (s *spreading) moveBlock() balance.BlockReason {
 	switch {
 	case !s.c.now.Before(s.authority) || s.c.now.Sub(s.renewed) > s.c.op.LeaderLeaseTTL()/lateRenewalDivisor:
--- a/controller/spreading_record.go
+++ b/controller/spreading_record.go
@@ -8,7 +8,7 @@
 	"pumicefront/wire"
 )
 
-// The record of moves, which outlives its leader: it says until when moves may have been begun.
+// The record of moves, which outlives its leader: it says until when moves may have been started.
 
 // movesKey is the key of the record. Versions without load spreading neither read nor write it.
 const movesKey = "b/moves"
@@ -20,7 +20,7 @@
 
 // movesRecordState is what this leader knows of the record in the state service.
 type movesRecordState struct {
-	until             time.Time // moves may begin until then
+	until             time.Time // moves may start until then
 	version           uint64
 	writing           bool
 	restoredStayUntil time.Time // until then, attempts placed by an earlier leader stay: they may have moved recently
@@ -50,7 +50,7 @@
 	}
 }
 
-// ensureMovesRecord reports whether the record allows moves to begin, and writes it where it is due.
+// ensureMovesRecord reports whether the record allows moves to start, and writes it where it is due.
 func (s *spreading) ensureMovesRecord() bool {
 	left := s.record.until.Sub(s.c.now)
 	if left < movesRecordRenewMargin {
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -80,7 +80,7 @@
 	return l.spreading.tracker.ActiveMoves()
 }
 
-// Each condition that blocks moves prevents them and is reported; without one, moves begin.
+// Each condition that blocks moves prevents them and is reported; without one, moves start.
 func TestMoveBlocks(t *testing.T) {
 	waiting := func(l *leader) { addRunningJob(l, wire.Job{ID: "req-000009", Kind: wire.KindArray, Tasks: 1}) }
 	for name, c := range map[string]struct {
@@ -174,7 +174,7 @@
 }
 
 func hasMoved(l *leader, j *job) {
-	l.spreading.tracker.Begin(l.c.now, balance.Move{Task: balance.Task{TaskID: balance.TaskID{Job: j.id}}}, 1)
+	l.spreading.tracker.Start(l.c.now, balance.Move{Task: balance.Task{TaskID: balance.TaskID{Job: j.id}}}, 1)
 }
 
 func mayHaveMoved(l *leader, j *job) {
@@ -238,7 +238,7 @@
 	}
 }
 
-// No move begins before the record that allows it is written. The write is conditional on leadership, and the next
+// No move starts before the record that allows it is written. The write is conditional on leadership, and the next
 // leader obeys the record of an earlier one.
 func TestMovesRecord(t *testing.T) {
 	c, l, _ := skewedLeader(t)
@@ -275,12 +275,12 @@
 	}
 }
 
-// Moves that an earlier leader has begun count as in progress.
+// Moves that an earlier leader has started count as in progress.
 func TestMovesOfAnEarlierLeaderCount(t *testing.T) {
 	_, l, jobs := skewedLeader(t)
 	jobs[0].attempts[0].savingCheckpoint = true
 	if moves := runUntilPlanned(l); len(moves) > 0 {
-		t.Errorf("moves %+v begin in addition to one of an earlier leader", moves)
+		t.Errorf("moves %+v start in addition to one of an earlier leader", moves)
 	}
 }
 
@@ -356,7 +356,7 @@
 			m := fmt.Sprintf("m000%d", i+1)
 			addRunningJob(l, wire.Job{ID: fmt.Sprintf("req-00010%d", i), Kind: wire.KindService}, m, m, m)
 			j := addRunningJob(l, wire.Job{ID: fmt.Sprintf("req-00000%d", i), Kind: wire.KindService}, "m0000")
-			l.spreading.tracker.Begin(l.c.now, balance.Move{Task: j.attempts[0].movableTask(1), From: "m0000", To: m}, j.attempts[0].number)
+			l.spreading.tracker.Start(l.c.now, balance.Move{Task: j.attempts[0].movableTask(1), From: "m0000", To: m}, j.attempts[0].number)
 		}
 		addRunningJob(l, wire.Job{ID: "req-000200", Kind: wire.KindService}, "m0000")
 		j := addRunningJob(l, c.spec)
--- a/controller/zone_recovery_test.go
+++ b/controller/zone_recovery_test.go
@@ -143,7 +143,7 @@
 }
 
 // Starts are not throttled forever: after maxThrottleTime a job's starts are no longer limited, also for
-// an old job that has already begun.
+// an old job that has already started.
 func TestThrottlingIsBounded(t *testing.T) {
 	c, l := recoveringLeader(t)
 	j := l.jobs["req-000001"]
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -84,7 +84,7 @@
 	return func() { kind(f) }
 }
 
-// untilEnd returns the duration, shortened if necessary to be over at end.
+// untilEnd returns the duration, shortened if necessary so that it does not extend beyond end.
 func (w *World) untilEnd(duration, end time.Duration) time.Duration {
 	return min(duration, max(end-w.now, 0))
 }
--- a/internal/sim/member.go
+++ b/internal/sim/member.go
@@ -122,9 +122,9 @@
 		return
 	}
 	n.currentInput = in
-	began := time.Now()
+	startedAt := time.Now()
 	outputs := n.core.Step(n.clock(), in)
-	n.w.coreTime += time.Since(began)
+	n.w.coreTime += time.Since(startedAt)
 	for _, o := range outputs {
 		if n.w.Tamper.Output != nil {
 			o = n.w.Tamper.Output(n, o)
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -21,7 +21,7 @@
 type Victim struct {
 	*PreemptionTerms
 	Task        int
-	Since       time.Time // when it began to run; zero if it is not running
+	Since       time.Time // when it started to run; zero if it is not running
 	PlacedByAge bool      // placed because its job had aged: only a higher priority may preempt it
 }
 
--- a/spreadview/render_test.go
+++ b/spreadview/render_test.go
@@ -10,7 +10,7 @@
 )
 
 // The text of a status that was encoded as JSON and decoded again contains the hot machines, the reasons why
-// their tasks are not moved, the moves, and the reason why no further moves begin.
+// their tasks are not moved, the moves, and the reason why no further moves start.
 func TestRender(t *testing.T) {
 	s := balance.Status{Member: "n1", Leading: true, HotShare: 0.8, Block: balance.WorkPending, Others: 5,
 		Distribution: balance.Distribution{Machines: 42, Mean: 0.7, Variation: 0.31, Maximum: 1.43},
--- a/statusview/view_test.go
+++ b/statusview/view_test.go
@@ -48,9 +48,9 @@
 	release := make(chan struct{})
 	defer close(release)
 	silent := startEndpoint(t, func(http.ResponseWriter) { <-release })
-	began := time.Now()
-	if _, err := testView.Fetch(context.Background(), []string{silent}); err == nil || time.Since(began) > 2*statusclient.RequestTimeout {
-		t.Errorf("error %v after %v, want a time-out", err, time.Since(began))
+	startedAt := time.Now()
+	if _, err := testView.Fetch(context.Background(), []string{silent}); err == nil || time.Since(startedAt) > 2*statusclient.RequestTimeout {
+		t.Errorf("error %v after %v, want a time-out", err, time.Since(startedAt))
 	}
 }
 
--- a/zonetrace/recorder.go
+++ b/zonetrace/recorder.go
@@ -22,7 +22,7 @@
 	spanRestart  = "restart "
 
 	keyZone       = "zone"
-	keyResumed    = "resumed"     // began under an earlier leader
+	keyResumed    = "resumed"     // started under an earlier leader
 	keyHandedOver = "handed_over" // continues under another leader
 	keyDisplaced  = "tasks_displaced"
 	keyRestarted  = "tasks_restarted"
