--- a/balance/allowance.go
+++ b/balance/allowance.go
@@ -1,12 +1,12 @@
 package balance
 
-// Allowance limits the moves that may be started now. A job never has more than one move under way, so that
+// Allowance limits the moves that may be started now. A job never has more than one active move, so that
 // no two replicas of a service are down at once.
 type Allowance struct {
 	Moves      int             // moves that may be started in all
-	MaxPerTeam int             // moves that one team may have under way
-	Teams      map[string]int  // moves under way, by team
-	Jobs       map[string]bool // jobs with a move under way
+	MaxPerTeam int             // active moves that one team may have
+	Teams      map[string]int  // active moves, by team
+	Jobs       map[string]bool // jobs with an active move
 }
 
 // allows reports whether the limits permit a move of a task.
--- a/balance/move_tracker.go
+++ b/balance/move_tracker.go
@@ -58,7 +58,7 @@
 	ReleasedMoveEnded       ReleaseReason = "over"        // the move has ended, or its new attempt occupies its own room
 )
 
-// ActiveMove is a move under way.
+// ActiveMove is a move that has started and has not ended.
 type ActiveMove struct {
 	Move
 	Attempt   uint64    // number of the attempt that is moved away
@@ -77,15 +77,15 @@
 	DestinationLost      bool   // the destination can't run any task now
 }
 
-// Change is a change of a move under way. It embeds the state after the change.
+// Change is a change of an active move. It embeds the state after the change.
 type Change struct {
 	ActiveMove
 	PreviousPhase Phase         // the phase before the change
-	Outcome       Outcome       // empty if the move is still under way
+	Outcome       Outcome       // empty if the move is still active
 	ReleaseReason ReleaseReason // empty if no room was released
 }
 
-// MoveTracker tracks the moves under way, reserves room for them and limits their rate. It starts with an empty
+// MoveTracker tracks the active moves, reserves room for them and limits their rate. It starts with an empty
 // budget, so that several leaders in quick succession start no more moves than a single one would.
 type MoveTracker struct {
 	settings   Settings
@@ -100,7 +100,7 @@
 type Counts struct {
 	Started  int                   `json:"begun"`              // moves started
 	Outcomes map[Outcome]int       `json:"outcomes,omitempty"` // moves that have ended, by outcome
-	Releases map[ReleaseReason]int `json:"losses,omitempty"`   // reservations that were released while their move was under way, by reason
+	Releases map[ReleaseReason]int `json:"losses,omitempty"`   // reservations that were released while their move was active, by reason
 }
 
 // NewMoveTracker returns a tracker without moves and with an empty budget.
@@ -113,7 +113,7 @@
 const burstSeconds = 5
 
 // Allowance returns the limits on the moves to start now in a fleet of the given number of machines. others
-// is the number of moves under way that the tracker does not know because an earlier leader started them.
+// is the number of active moves that the tracker does not know because an earlier leader started them.
 func (t *MoveTracker) Allowance(now time.Time, machines, others int) *Allowance {
 	rate := t.settings.movesPerSecond(machines)
 	t.budget = math.Min(t.budget+rate*now.Sub(t.refilledAt).Seconds(), math.Max(1, rate*burstSeconds))
@@ -150,7 +150,7 @@
 	return *e, true
 }
 
-// ActiveMoves returns the moves under way, sorted by task.
+// ActiveMoves returns the active moves, sorted by task.
 func (t *MoveTracker) ActiveMoves() []ActiveMove {
 	all := make([]ActiveMove, 0, len(t.moves))
 	for _, e := range t.moves {
@@ -160,7 +160,7 @@
 	return all
 }
 
-// Len returns the number of moves under way.
+// Len returns the number of active moves.
 func (t *MoveTracker) Len() int { return len(t.moves) }
 
 // Counts returns a copy of the counts so far.
--- a/balance/move_tracker_test.go
+++ b/balance/move_tracker_test.go
@@ -49,11 +49,11 @@
 		for i, seen := range c.seen {
 			last, _ = l.Observe(startTime.Add(time.Duration(i+1)*10*time.Second), m.TaskID, seen)
 			if _, under := l.ActiveMove(m.TaskID); under == (last.Outcome != "") {
-				t.Errorf("%s: under way %v, outcome %q", name, under, last.Outcome)
+				t.Errorf("%s: active %v, outcome %q", name, under, last.Outcome)
 			}
 		}
 		if last.Outcome != c.outcome || l.Len() != 0 || l.ReservedOn("b") != (scheduler.Resources{}) {
-			t.Errorf("%s: outcome %q, %d moves under way, %v reserved", name, last.Outcome, l.Len(), l.ReservedOn("b"))
+			t.Errorf("%s: outcome %q, %d active moves, %v reserved", name, last.Outcome, l.Len(), l.ReservedOn("b"))
 		}
 		if counts := l.Counts(); counts.Outcomes[c.outcome] != 1 || fmt.Sprint(counts.Releases) != fmt.Sprint(c.releases) {
 			t.Errorf("%s: counts %+v", name, counts)
@@ -101,7 +101,7 @@
 			others := rng.IntN(3)
 			a := l.Allowance(now, machines, others)
 			if a.Moves+l.Len()+others > max(settings.maxMovesInFlight(machines), l.Len()+others) || a.MaxPerTeam > settings.maxMovesPerTeam(machines) {
-				t.Fatalf("allowance %+v with %d own moves under way and %d others", a, l.Len(), others)
+				t.Fatalf("allowance %+v with %d own active moves and %d others", a, l.Len(), others)
 			}
 			for range a.Moves {
 				m := testMove(fmt.Sprint(started))
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -14,7 +14,7 @@
 	Hold    time.Duration // longest time for which room is reserved at a destination
 
 	MovesPerMinute float64 // moves started per minute and hundred machines
-	MovesInFlight  float64 // moves under way per hundred machines
+	MovesInFlight  float64 // active moves per hundred machines
 	KeepIdle       bool    // idle machines are not returned, and take part in load spreading
 }
 
@@ -27,12 +27,12 @@
 	}
 }
 
-// maxMovesInFlight returns how many moves may be under way at once in a fleet of the given number of machines.
+// maxMovesInFlight returns how many moves may be active at once in a fleet of the given number of machines.
 func (s Settings) maxMovesInFlight(machines int) int {
 	return max(1, int(s.MovesInFlight*float64(machines)/100))
 }
 
-// maxMovesPerTeam returns how many moves of one team may be under way at once.
+// maxMovesPerTeam returns how many moves of one team may be active at once.
 func (s Settings) maxMovesPerTeam(machines int) int { return max(1, s.maxMovesInFlight(machines)/2) }
 
 // movesPerSecond returns how many moves may be started per second on average.
--- a/balance/status.go
+++ b/balance/status.go
@@ -16,7 +16,7 @@
 	Others       int             `json:"others"`             // machines that are not listed: neither hot nor among the first
 	Teams        []TeamStatus    `json:"teams,omitempty"`    // how each team's load is distributed over the machines
 	Images       []ImageStatus   `json:"images,omitempty"`   // images that only hot machines have
-	Moves        []MoveStatus    `json:"moves,omitempty"`    // moves under way
+	Moves        []MoveStatus    `json:"moves,omitempty"`    // active moves
 	Counts       Counts          `json:"counts"`             // numbers of moves since this leader took office
 }
 
@@ -37,7 +37,7 @@
 	Tasks  int    `json:"tasks"`  // number of tasks that stay for this reason
 }
 
-// MoveStatus is a move under way.
+// MoveStatus is the status of an active move.
 type MoveStatus struct {
 	Job      string  `json:"job"`   // the job's id
 	Task     int     `json:"task"`  // the task's index in its job
--- a/cells/transfer_test.go
+++ b/cells/transfer_test.go
@@ -14,7 +14,7 @@
 	last          Epoch // the last epoch that the home allocated
 	jobs          map[string]*homeModel
 	holders       map[Cell]*holderModel
-	network       []Message // messages under way; none expires
+	network       []Message // messages in flight; none expires
 	delayedWrites []func()  // writes at home whose result is unknown
 	homeDown      bool
 	answers       map[string]Result // the final result that was reported to the user, by job
@@ -196,7 +196,7 @@
 	}
 }
 
-// deliver delivers a random message under way, however old, and keeps half of them for another delivery.
+// deliver delivers a random message in flight, however old, and keeps half of them for another delivery.
 func (m *model) deliver() {
 	if len(m.network) == 0 {
 		return
--- a/client/errors.go
+++ b/client/errors.go
@@ -50,7 +50,7 @@
 	// did not hold, and nothing was changed.
 	ErrConditionFailed = errors.New("condition failed")
 	// ErrFenced means status 409 from a worker: the fencing token is lower than the highest that the
-	// worker has seen, or the agent epoch does not match, and nothing was executed.
+	// worker has seen, or the session does not match, and nothing was executed.
 	ErrFenced = errors.New("fenced")
 	// ErrCompacted means status 410 for a watch: the state service no longer keeps the revision to start
 	// after.
--- a/config/cell.go
+++ b/config/cell.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Cell holds the operator settings of a cell that takes part in spill-over; docs/operations.md explains each
+// Cell holds the operator settings of a cell that takes part in spillover; docs/operations.md explains each
 // of them.
 type Cell struct {
 	Name        string        // this cell's name, as configured in its peers
--- a/config/config.go
+++ b/config/config.go
@@ -131,7 +131,7 @@
 	CellBlock         *cellBlock          `hcl:"cell,block"`           // block as in the file; nil after loading
 	SpreadingBlock    *loadSpreadingBlock `hcl:"load_spreading,block"` // block as in the file; nil after loading
 	Spreading         *LoadSpreading      // parsed from the block; nil: load spreading is off
-	Cell              *Cell               // parsed from the block; nil: spill-over between cells is off
+	Cell              *Cell               // parsed from the block; nil: spillover between cells is off
 }
 
 // DefaultOperator returns the defaults of settings that the operators' file leaves out.
--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -12,22 +12,22 @@
 // Autoscaling: when to scale out and in, and how many machines of which type the pending work needs.
 
 const (
-	autoscaleInterval      = time.Second
-	typesInterval          = time.Minute
-	releasedRetention      = 10 * time.Minute // how long a released machine is remembered
-	refusalRetention       = 15 * time.Second // how long a refused offer is not requested again
-	peakHalfLife           = 90.0             // seconds after which a class's past peak counts half
-	minCharge              = 50 * time.Second // a minute is charged at least, and a release call takes its time
-	scaleInMax             = 4                // unneeded machines released in one round,
-	scaleInDivisor         = 16               // or one in so many of all machines if that is more
-	maxInstancesPerRequest = 50               // machines in one request, the cloud's limit
-	maxRequestsPerRound    = 8                // instance requests made in one round
-	maxMachinesPerRelease  = 100              // machines in one release call, the cloud's limit
-	cloudRateShare         = 0.9              // share of the cloud's rate limit that calls use: above the limit the cloud answers 429
+	autoscaleInterval     = time.Second
+	typesInterval         = time.Minute
+	releasedRetention     = 10 * time.Minute // how long a released machine is remembered
+	refusalRetention      = 15 * time.Second // how long a refused offer is not requested again
+	peakHalfLife          = 90.0             // seconds after which a class's past peak counts half
+	minCharge             = 50 * time.Second // a minute is charged at least, and a release call takes its time
+	scaleInMax            = 4                // unneeded machines released in one round,
+	scaleInDivisor        = 16               // or one in so many of all machines if that is more
+	maxMachinesPerRequest = 50               // machines in one request, the cloud's limit
+	maxRequestsPerRound   = 8                // rental requests made in one round
+	maxMachinesPerRelease = 100              // machines in one release call, the cloud's limit
+	cloudRateShare        = 0.9              // share of the cloud's rate limit that calls use: above the limit the cloud answers 429
 )
 
-// autoscaler is the part of the leader that scales the fleet out and in. It keeps the record of instance requests,
-// requests instances for pending work and for headroom, and releases idle machines.
+// autoscaler is the part of the leader that scales the fleet out and in. It keeps the record of rental requests,
+// requests machines for pending work and for headroom, and releases idle machines.
 type autoscaler struct {
 	*leader
 	cloudLimiter      *rate.Limiter // keeps calls to the cloud within its rate limit
@@ -37,7 +37,7 @@
 	listInFlight      bool          // a page of the cloud's list is requested
 	typesAt           time.Time     // last successful read of the machine types
 	typesInFlight     bool          // the machine types are requested
-	requests          map[string]*instanceRequest
+	requests          map[string]*rentalRequest
 	requestSeq        int // number in the last request name of this leader
 	refusedAt         map[offerKey]time.Time
 	peaks             map[string]*peak
@@ -50,20 +50,20 @@
 func newAutoscaler(l *leader) *autoscaler {
 	return &autoscaler{
 		leader:      l,
-		requests:    map[string]*instanceRequest{},
+		requests:    map[string]*rentalRequest{},
 		refusedAt:   map[offerKey]time.Time{},
 		peaks:       map[string]*peak{},
 		demandHints: map[string]demandHint{},
 	}
 }
 
-// restore takes over the recorded instance requests of earlier leaders. Those without a recorded answer are sent again,
+// restore takes over the recorded rental requests of earlier leaders. Those without a recorded answer are sent again,
 // which is idempotent because requests are identified by their names.
 func (s *autoscaler) restore(items []wire.Item) {
 	s.cloudLimiter = rate.NewLimiter(rate.Limit(s.c.cfg.Facts.Cloud.RPS*cloudRateShare), max(1, int(s.c.cfg.Facts.Cloud.RPS)))
 	for _, it := range items {
 		if rec := decode[rentalRecord](it.Value); rec != nil {
-			req := &instanceRequest{spec: rec.Rent, version: it.Version, sent: true, answered: rec.Answered, machines: rec.Machines}
+			req := &rentalRequest{spec: rec.Rent, version: it.Version, sent: true, answered: rec.Answered, machines: rec.Machines}
 			s.requests[rec.Rent.Request] = req
 			s.addRequestedMachines(req)
 		}
@@ -87,7 +87,7 @@
 	}
 	s.schedulePlacement()
 	s.refreshTypes()
-	s.sendInstanceRequests()
+	s.sendRentalRequests()
 	s.refreshList()
 	s.scaleIn()
 	s.consolidate()
@@ -96,7 +96,7 @@
 	}
 }
 
-// scaleOut requests instances for pending work without room, and for the headroom that the service-level objectives
+// scaleOut requests machines for pending work without room, and for the headroom that the service-level objectives
 // call for.
 func (s *autoscaler) scaleOut() {
 	for _, req := range s.requests {
@@ -109,8 +109,8 @@
 	s.zones.excludeClosedZones(demands)
 	wants := scheduler.PlanRentals(machines, demands, s.offers(), maxRequestsPerRound)
 	for _, w := range wants {
-		for left := s.zones.limitRentals(w.Offer.Zone, w.Count); left > 0; left -= maxInstancesPerRequest {
-			s.requestInstances(wire.RentRequest{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, maxInstancesPerRequest)})
+		for left := s.zones.limitRentals(w.Offer.Zone, w.Count); left > 0; left -= maxMachinesPerRequest {
+			s.requestRental(wire.RentRequest{Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot, Count: min(left, maxMachinesPerRequest)})
 		}
 	}
 }
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -18,8 +18,9 @@
 const returnCooldown = 2 * time.Minute
 
 // canSpill reports whether a job may be granted to another cell at all. It must be an own array that is neither
-// granted nor cancelled, without dependencies, dependents or a required zone. None of its tasks may have run, be in
-// force, or have a placement on record or in flight, and its chunks must fit into the conditions of one transaction.
+// granted nor cancelled, without dependencies, dependents or a required zone. None of its tasks may have run, have
+// an active attempt, or have a placement on record or in flight, and its chunks must fit into the conditions of one
+// transaction.
 func (s *spilloverManager) canSpill(j *job) bool {
 	return j.spec.Kind == wire.KindArray && j.origin == nil && j.grant == nil && !j.cancelled && !j.hasStarted &&
 		len(j.attempts) == 0 && j.write == nil && !j.dirty && j.state.Count(reduction.Pending) == j.spec.Tasks &&
--- a/controller/cloud_listing.go
+++ b/controller/cloud_listing.go
@@ -65,7 +65,7 @@
 // handleUnlisted handles the machines that a page of the list leaves out. The list is late by up to twice its lag, and a
 // machine stays listed until it has ended: one that was listed or requested longer ago than that, and is not listed, has
 // ended. Its silence would show that only after a report interval; and a new leader that finds it in the record of an
-// old instance request would take it for a booting machine. The list is no proof, so the machine is released.
+// old rental request would take it for a booting machine. The list is no proof, so the machine is released.
 func (s *autoscaler) handleUnlisted(after string, page wire.MachinePage, requestedAt time.Time) {
 	present := map[string]bool{}
 	last := after
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -206,14 +206,14 @@
 }
 
 // attemptMissing handles an attempt that a heartbeat does not list. This proves that the attempt has
-// ended only if no copy of its run command can still take effect: the worker is in a newer agent
-// epoch, or has received a fencing token higher than any that the run command was sent with.
+// ended only if no copy of its run command can still take effect: the worker is in a newer
+// session, or has received a fencing token higher than any that the run command was sent with.
 func (f *failureDetector) attemptMissing(a *attempt) {
 	m := a.machine
 	if m.session > a.session || m.token > a.token && a.phase >= attemptSent {
 		f.removeAttempt(a, reduction.Reset, proofAbsent)
 	} else if a.phase >= attemptReported {
-		// An earlier heartbeat of the same agent epoch listed the attempt, none reported its end, and
+		// An earlier heartbeat of the same session listed the attempt, none reported its end, and
 		// this one does not list it: the machine has restarted. Only a higher fencing token can
 		// prove that the attempt has ended.
 		f.raiseToken("attempt has vanished")
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -8,7 +8,7 @@
 	"pumicefront/wire"
 )
 
-// The first status of a new agent epoch may arrive in the answer to a direct command. Attempts
+// The first status of a new session may arrive in the answer to a direct command. Attempts
 // placed in the new epoch must not count as lost when the old epoch's lease expires.
 func TestNewAgentEpochHasItsOwnLease(t *testing.T) {
 	c, l, j := newLeadingCore(t)
@@ -68,7 +68,7 @@
 	}
 }
 
-// An attempt that a machine ran and no longer lists, in the same agent epoch, makes the leader raise
+// An attempt that a machine ran and no longer lists, in the same session, makes the leader raise
 // the fencing token.
 func TestVanishedAttemptRaisesTheFencingToken(t *testing.T) {
 	c, l, j := newLeadingCore(t)
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -16,8 +16,8 @@
 // Scale-out: requests for instances. A request is recorded under a unique name before it is sent, so that a retry never
 // rents a machine twice.
 
-// instanceRequest is a request for instances that are not all known to be up or released.
-type instanceRequest struct {
+// rentalRequest is a request for machines that are not all known to be up or released.
+type rentalRequest struct {
 	spec     wire.RentRequest
 	since    time.Time
 	version  uint64 // of its record; 0: not written yet
@@ -45,10 +45,10 @@
 	return true
 }
 
-// sendInstanceRequests sends the recorded instance requests that have no answer, and drops those whose machines are all
+// sendRentalRequests sends the recorded rental requests that have no answer, and drops those whose machines are all
 // accounted for. A request that was never sent is dropped if the cloud has refused the same offer since: calls are
 // limited, and other requests need them.
-func (s *autoscaler) sendInstanceRequests() {
+func (s *autoscaler) sendRentalRequests() {
 	for _, name := range s.requestOrder() {
 		req := s.requests[name]
 		switch {
@@ -66,7 +66,7 @@
 	}
 }
 
-// requestOrder lists the names of the instance requests in the order of sending. While zones recover it is the order in
+// requestOrder lists the names of the rental requests in the order of sending. While zones recover it is the order in
 // which the requests were decided, so that machines for what restarts first are requested first.
 func (s *autoscaler) requestOrder() []string {
 	names := slices.Sorted(maps.Keys(s.requests))
@@ -79,12 +79,12 @@
 }
 
 // offer is the kind of instance that a request is for: type, zone, and whether spot.
-func (req *instanceRequest) offer() offerKey {
+func (req *rentalRequest) offer() offerKey {
 	return offerKey{req.spec.Type, req.spec.Zone, req.spec.Spot}
 }
 
-// handleRequestReply handles the cloud's reply to an instance request.
-func (s *autoscaler) handleRequestReply(req *instanceRequest, r CloudReply) {
+// handleRequestReply handles the cloud's reply to a rental request.
+func (s *autoscaler) handleRequestReply(req *rentalRequest, r CloudReply) {
 	req.inFlight = false
 	k := req.offer()
 	switch r.Status {
@@ -105,7 +105,7 @@
 }
 
 // addRequestedMachines adds the machines of an answered request to the fleet.
-func (s *autoscaler) addRequestedMachines(req *instanceRequest) {
+func (s *autoscaler) addRequestedMachines(req *rentalRequest) {
 	for _, id := range req.machines {
 		if _, released := s.released[id]; released {
 			continue
@@ -121,7 +121,7 @@
 }
 
 // recordRequest writes the state of a request, conditional on leadership and on the record's known version.
-func (s *autoscaler) recordRequest(req *instanceRequest, done func(StateReply)) {
+func (s *autoscaler) recordRequest(req *rentalRequest, done func(StateReply)) {
 	key := rentalPrefix + req.spec.Request
 	txn := wire.Txn{
 		If:   []wire.Cond{s.leadershipCondition(), {Key: key, Version: req.version}},
@@ -135,7 +135,7 @@
 }
 
 // allAccountedFor reports whether every machine of a request is up or released.
-func (s *autoscaler) allAccountedFor(req *instanceRequest) bool {
+func (s *autoscaler) allAccountedFor(req *rentalRequest) bool {
 	for _, id := range req.machines {
 		if m := s.machines[id]; m != nil && !m.up {
 			return false
@@ -144,16 +144,16 @@
 	return true
 }
 
-func (s *autoscaler) dropRequest(req *instanceRequest) {
+func (s *autoscaler) dropRequest(req *rentalRequest) {
 	delete(s.requests, req.spec.Request)
 	s.obsoleteKeys = append(s.obsoleteKeys, rentalPrefix+req.spec.Request)
 }
 
-// requestInstances records a request under a name that is never used again, then sends it.
-func (s *autoscaler) requestInstances(r wire.RentRequest) {
+// requestRental records a request under a name that is never used again, then sends it.
+func (s *autoscaler) requestRental(r wire.RentRequest) {
 	s.requestSeq++
 	r.Request = fmt.Sprintf("r-%d-%d", s.token, s.requestSeq)
-	req := &instanceRequest{spec: r, since: s.c.now}
+	req := &rentalRequest{spec: r, since: s.c.now}
 	s.requests[r.Request] = req
 	s.recordRequest(req, func(reply StateReply) {
 		if reply.Status != http.StatusOK {
@@ -161,7 +161,7 @@
 			return
 		}
 		req.version = reply.Txn.Revision
-		s.sendInstanceRequests()
+		s.sendRentalRequests()
 	})
 }
 
--- a/controller/scale_out_test.go
+++ b/controller/scale_out_test.go
@@ -11,9 +11,9 @@
 	"pumicefront/wire"
 )
 
-// The cloud allows few calls a second. A new leader sends again only the instance requests that have no recorded
+// The cloud allows few calls a second. A new leader sends again only the rental requests that have no recorded
 // answer, and none is sent whose offer was just refused.
-func TestInstanceRequestsAreSentOnce(t *testing.T) {
+func TestRentalRequestsAreSentOnce(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
 	rent := func(id string) wire.RentRequest { return wire.RentRequest{Request: id, Type: "t", Zone: "a", Count: 2} }
 	item := func(r rentalRecord) wire.Item {
@@ -24,7 +24,7 @@
 		item(rentalRecord{Rent: rent("r-1-2")}),
 	})
 	if m := l.machines["i-2"]; m == nil || m.typ != "t" {
-		t.Error("a machine of a recorded instance request is not known")
+		t.Error("a machine of a recorded rental request is not known")
 	}
 	sentNames := func() (names []string) {
 		for _, o := range c.out {
@@ -35,17 +35,17 @@
 		return names
 	}
 	c.out = nil
-	l.autoscaler.sendInstanceRequests()
+	l.autoscaler.sendRentalRequests()
 	if got := sentNames(); len(got) != 1 || got[0] != "r-1-2" {
 		t.Fatalf("sent %v, want only r-1-2", got)
 	}
 	for _, name := range []string{"r-2-1", "r-2-2"} {
-		l.autoscaler.requests[name] = &instanceRequest{spec: rent(name), version: 6, since: c.now}
+		l.autoscaler.requests[name] = &rentalRequest{spec: rent(name), version: 6, since: c.now}
 	}
 	c.now = c.now.Add(time.Second)
 	l.autoscaler.handleRequestReply(l.autoscaler.requests["r-1-2"], CloudReply{Status: http.StatusServiceUnavailable})
 	c.out = nil
-	l.autoscaler.sendInstanceRequests()
+	l.autoscaler.sendRentalRequests()
 	if got := sentNames(); len(got) > 0 || l.autoscaler.requests["r-2-1"] != nil || l.autoscaler.requests["r-1-1"] == nil {
 		t.Errorf("sent %v after a refusal of the same offer, left %v", got, l.autoscaler.requests)
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-// A new leader knows machines from the records of instance requests. A machine that was released since must not count
+// A new leader knows machines from the records of rental requests. A machine that was released since must not count
 // as booting until its boot time has passed: nothing would be requested meanwhile. Nor may the writes of task counts,
 // which never end, keep those records from being deleted.
 func TestMachinesOfOldRequestsAreNotCountedAsBooting(t *testing.T) {
@@ -158,10 +158,10 @@
 	c.now = c.now.Add(config.Seconds(2*c.cfg.Facts.Cloud.ListLagS) + 2*time.Second)
 	l.autoscaler.handleUnlisted("", wire.MachinePage{}, c.now)
 	if m := l.machines["i-9"]; !m.releasing {
-		t.Error("an unlisted machine of an old instance request still counts as booting")
+		t.Error("an unlisted machine of an old rental request still counts as booting")
 	}
 	l.autoscaler.forgetMachine("i-9")
-	l.autoscaler.sendInstanceRequests()
+	l.autoscaler.sendRentalRequests()
 	for n := range 200 {
 		id := fmt.Sprintf("req-1%05d", n)
 		l.addJob(id, &headerRecord{TasksPerChunk: 10, Job: wire.Job{ID: id, Kind: wire.KindArray, Priority: "standard", Tasks: 2, CPUs: 1}})
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -44,7 +44,7 @@
 // keepsIdleMachines reports whether operators keep idle machines for load to be spread over.
 func (s *spreading) keepsIdleMachines() bool { return s != nil && s.settings().KeepIdle }
 
-// run observes the moves in progress and starts new ones.
+// run observes the active moves and starts new ones.
 func (s *spreading) run() {
 	if s == nil {
 		return
@@ -53,7 +53,7 @@
 	s.plan()
 }
 
-// observeMoves updates the moves in progress from what is known of their tasks.
+// observeMoves updates the active moves from what is known of their tasks.
 func (s *spreading) observeMoves() {
 	if s.tracker.Len() == 0 {
 		return
@@ -262,7 +262,7 @@
 	return demands
 }
 
-// moving reports whether any move is in progress.
+// moving reports whether any move is active.
 func (s *spreading) moving() bool { return s != nil && s.tracker.Len() > 0 }
 
 // sweep removes outdated entries from the tracker, at most once a minute.
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// headroomPlaced counts the headroom that has room while moves are in progress: room at their destinations is taken, and
+// headroomPlaced counts the headroom that has room while moves are active: room at their destinations is taken, and
 // room at their sources is not free yet.
 func (s *spreading) headroomPlaced(machines []*scheduler.Machine, moves []balance.Move) int {
 	taken := map[string]scheduler.Resources{}
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -70,7 +70,7 @@
 	return c, l, jobs
 }
 
-// runUntilPlanned lets time pass, runs load spreading, and returns the moves that are in progress then.
+// runUntilPlanned lets time pass, runs load spreading, and returns the moves that are active then.
 func runUntilPlanned(l *leader) []balance.ActiveMove {
 	for range 3 {
 		advance(l, 4*time.Second)
@@ -194,7 +194,7 @@
 func TestMoveReservesRoom(t *testing.T) {
 	c, l, _ := skewedLeader(t)
 	moves := runUntilPlanned(l)
-	if len(moves) != 1 { // the most in flight for so small a fleet
+	if len(moves) != 1 { // the most that may be active in so small a fleet
 		t.Fatalf("%d moves", len(moves))
 	}
 	e := moves[0]
@@ -275,7 +275,7 @@
 	}
 }
 
-// Moves that an earlier leader has started count as in progress.
+// Moves that an earlier leader has started count as active.
 func TestMovesOfAnEarlierLeaderCount(t *testing.T) {
 	_, l, jobs := skewedLeader(t)
 	jobs[0].attempts[0].savingCheckpoint = true
@@ -473,7 +473,7 @@
 	e := runUntilPlanned(l)[0]
 	c.op.Spreading.KeepIdle, l.autoscaler.consolidatedAt = false, time.Time{}
 	if l.autoscaler.consolidate(); !l.autoscaler.consolidatedAt.IsZero() {
-		t.Error("machines are emptied while a move is under way")
+		t.Error("machines are emptied while a move is active")
 	}
 	l.removeAttempt(l.jobs[e.Job].attempts[0], reduction.Reset, proofAbsent)
 	for _, d := range l.autoscaler.backlog() {
@@ -511,7 +511,7 @@
 }
 
 // The status shows why the tasks of each hot machine stay, which teams and images are concentrated on hot
-// machines, and the moves in progress.
+// machines, and the active moves.
 func TestSpreadStatus(t *testing.T) {
 	c, l, jobs := skewedLeader(t)
 	addRunningJob(l, wire.Job{ID: "req-000009", Kind: wire.KindArray}, "m0001")
--- a/controller/zone_status.go
+++ b/controller/zone_status.go
@@ -41,7 +41,7 @@
 		s := z.tracker.Status(name, z.c.now)
 		started := z.countStartsInProgress(name)
 		s.Responsive, s.Silent, s.Displaced = seen[name].Responsive, seen[name].Silent, displaced[name]
-		s.UnderWay = started.starts
+		s.StartsInProgress = started.starts
 		for _, n := range started.fetches {
 			s.Fetching += n
 		}
--- a/internal/sim/cell_measure.go
+++ b/internal/sim/cell_measure.go
@@ -8,7 +8,7 @@
 	"pumicefront/wire"
 )
 
-// Measurement of spilling over: one cell receives more work than it has room for.
+// Measurement of spillover: one cell receives more work than it has room for.
 
 // measureCells submits twice the work that fits to one of four cells, for two minutes. The mode is "off"
 // (no cell lends cores), "on", or "holder lost" (a cell that holds jobs fails for a minute).
--- a/internal/sim/controller_process.go
+++ b/internal/sim/controller_process.go
@@ -96,7 +96,7 @@
 var loopbackHostsUsed atomic.Uint32
 
 // freeAddresses returns the given number of unused addresses, all on a loopback host of their own. The
-// stand-ins listen on another loopback host: on the same one they could be given a port that was found
+// simulated services listen on another loopback host: on the same one they could be given a port that was found
 // free a moment ago, and would then answer a controller's users in its place.
 func freeAddresses(count int) ([]string, error) {
 	host := fmt.Sprintf("127.1.%d.1", loopbackHostsUsed.Add(1)%250)
@@ -121,7 +121,7 @@
 	return binary, nil
 }
 
-// startControllers starts controllers that use the stand-ins of a world, with their files in a directory.
+// startControllers starts controllers that use the simulated services of a world, with their files in a directory.
 // operatorSettings returns the operators' settings (HCL) of each controller.
 func startControllers(ctx context.Context, w *World, binary, dir string, count int, operatorSettings func(c *controllerProcess, i int) string) ([]*controllerProcess, error) {
 	addresses, err := freeAddresses(3 * count)
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -16,7 +16,7 @@
 )
 
 // Worlds in real time: the controllers are real processes that are reached over TCP on the loopback
-// interface; the state service, the cloud, the workers and the users are the same stand-ins as in virtual
+// interface; the state service, the cloud, the workers and the users are simulated as in virtual
 // time. One goroutine owns the world, as in virtual time; requests that arrive on other goroutines are
 // enqueued for it.
 
@@ -29,14 +29,14 @@
 	err    error // joined errors of listeners that could not be opened; ends the run
 }
 
-// liveController connects the stand-ins with one real controller.
+// liveController connects the simulated services with one real controller.
 type liveController struct {
 	*liveRuntime
 	address    string // at which it serves users and workers
 	controller *member
 }
 
-// callTimeout bounds how long the stand-ins wait for a controller.
+// callTimeout bounds how long the simulated services wait for a controller.
 const callTimeout = 5 * time.Second
 
 // NewLiveWorld returns a world of the given shape without controllers; AddController adds real ones. All its
@@ -142,7 +142,7 @@
 	return answer, false
 }
 
-// writeReply writes a stand-in's reply to a controller.
+// writeReply writes a simulated service's reply to a controller.
 func writeReply(w http.ResponseWriter, status int, body any) {
 	raw := wire.Marshal(body)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
@@ -150,7 +150,7 @@
 	_, _ = w.Write(raw)
 }
 
-// decodeRequestBody decodes the body of a request to a stand-in.
+// decodeRequestBody decodes the body of a request to a simulated service.
 func decodeRequestBody[T any](r *http.Request) T {
 	var v T
 	if raw, err := io.ReadAll(io.LimitReader(r.Body, 1<<20)); err == nil {
@@ -315,7 +315,7 @@
 	return http.MethodGet, wire.PathReady, nil
 }
 
-// decodeAnswerBody decodes the body of an answer into the type that the stand-ins expect for the request.
+// decodeAnswerBody decodes the body of an answer into the type that the simulated services expect for the request.
 func decodeAnswerBody(in controller.Input, status int, raw []byte) any {
 	_, report := in.(controller.ReportRequest)
 	switch {
--- a/internal/sim/spread_rules.go
+++ b/internal/sim/spread_rules.go
@@ -7,7 +7,7 @@
 	"pumicefront/controller"
 )
 
-// Checks of the limits on moves: their rate, and their number in flight.
+// Checks of the limits on moves: their rate, and the number of active moves.
 
 // startedMoves lists the first step of every move.
 func (r *spreadRun) startedMoves() []controller.MoveChanged {
@@ -21,7 +21,7 @@
 }
 
 // checkMoveLimits checks the limit on the rate of moves, over all leaders together, and for the term of
-// each leader the limits on moves in flight: 4 in all and 2 of one team.
+// each leader the limits on active moves: 4 in all and 2 of one team.
 func (r *spreadRun) checkMoveLimits() {
 	s := r.w.op.Spreading.Settings
 	const window = 30 * time.Second
@@ -41,18 +41,18 @@
 		}
 	}
 	for term, moves := range r.movesByTerm() {
-		inFlight, inTeam := map[balance.TaskID]bool{}, map[string]int{}
+		active, inTeam := map[balance.TaskID]bool{}, map[string]int{}
 		for _, m := range moves {
 			switch {
 			case m.Outcome != "":
 				inTeam[m.Team]--
-				delete(inFlight, m.TaskID)
-			case !inFlight[m.TaskID]:
-				inFlight[m.TaskID] = true
+				delete(active, m.TaskID)
+			case !active[m.TaskID]:
+				active[m.TaskID] = true
 				inTeam[m.Team]++
 			}
-			if len(inFlight) > 4 || inTeam[m.Team] > 2 {
-				r.w.recordViolation("moves", "%d moves are in flight in term %d, %d of team %s", len(inFlight), term, inTeam[m.Team], m.Team)
+			if len(active) > 4 || inTeam[m.Team] > 2 {
+				r.w.recordViolation("moves", "%d moves are in flight in term %d, %d of team %s", len(active), term, inTeam[m.Team], m.Team)
 				return
 			}
 		}
--- a/movetrace/recorder.go
+++ b/movetrace/recorder.go
@@ -37,7 +37,7 @@
 	moves  map[balance.TaskID]moveSpan
 }
 
-// moveSpan is the span of a move in progress, and the leader's term in which the span was started.
+// moveSpan is the span of an active move, and the leader's term in which the span was started.
 type moveSpan struct {
 	span trace.Span
 	term uint64
--- a/server/cell_listener.go
+++ b/server/cell_listener.go
@@ -12,7 +12,7 @@
 	"pumicefront/controller"
 )
 
-// The listener for other cells and for operators of spill-over between cells.
+// The listener for other cells and for operators of spillover between cells.
 
 // startCellListener starts the listener if the settings configure a cell, and returns the function that
 // stops it.
--- a/server/server.go
+++ b/server/server.go
@@ -49,13 +49,13 @@
 	mesh           *mesh.Mesh
 	inputs         chan controller.Input
 	requests       chan request
-	cellRequests   chan request // requests of other cells, and of operators about cells, in a separate queue; nil: spill-over is off
+	cellRequests   chan request // requests of other cells, and of operators about cells, in a separate queue; nil: spillover is off
 	cellLimiter    *cellRateLimiter
 	nextID         atomic.Uint64
 	conns          atomic.Int64              // open connections of users and workers
 	authorityUntil atomic.Pointer[time.Time] // when the core's authority expires, as of its last step
 	zoneTrace      *zonetrace.Recorder       // nil: zone recoveries are not traced
-	cellClient     *celllink.Client          // nil: spill-over is off
+	cellClient     *celllink.Client          // nil: spillover is off
 	moveTrace      *movetrace.Recorder       // nil: moves are not traced
 }
 
--- a/spreadview/render.go
+++ b/spreadview/render.go
@@ -1,5 +1,5 @@
 // Package spreadview displays the state of load spreading to operators: machines by load, the hot machines
-// and the reasons why their tasks are not moved, and the moves in progress.
+// and the reasons why their tasks are not moved, and the active moves.
 package spreadview
 
 import (
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -119,7 +119,7 @@
 	Type    string   `cbor:"build"`     // machine type
 	Zone    string   `cbor:"yard"`      // zone
 	Spot    bool     `cbor:"lendable"`  // a spot instance
-	Session uint64   `cbor:"stint"`     // agent epoch: starts at 1, incremented each time the worker's lease expires
+	Session uint64   `cbor:"stint"`     // worker session: starts at 1, incremented each time the worker's lease expires
 	Seq     uint64   `cbor:"tally"`     // incremented with every report and every answer of the worker; the message with the larger (Session, Seq) is newer
 	Token   uint64   `cbor:"baton"`     // highest fencing token that the worker has seen
 	NoticeS *float64 `cbor:"warning_s"` // seconds until the cloud reclaims the spot instance; nil: no notice
@@ -153,7 +153,7 @@
 // Commands is the body of direct commands, which the leader sends to a worker outside of its answers to reports.
 type Commands struct {
 	Token    uint64    `cbor:"baton"`  // fencing token of the leader
-	Session  uint64    `cbor:"stint"`  // agent epoch that the commands are for
+	Session  uint64    `cbor:"stint"`  // worker session that the commands are for
 	Commands []Command `cbor:"orders"` // executed in order
 }
 
--- a/zones/settings.go
+++ b/zones/settings.go
@@ -8,7 +8,7 @@
 	HoldDown     time.Duration // hold-down after the first loss; each further loss doubles it
 	HoldDownMost time.Duration // the longest hold-down
 	FlapWindow   time.Duration // half-life of the penalty for a loss
-	FirstStarts  int           // limit on the starts under way at once in a zone that has just returned
+	FirstStarts  int           // limit on the starts in progress at once in a zone that has just returned
 	FirstFetches int           // limit on those that must fetch the same image
 }
 
--- a/zones/status.go
+++ b/zones/status.go
@@ -16,18 +16,18 @@
 
 // ZoneStatus is the state of one zone.
 type ZoneStatus struct {
-	Name       string  `json:"name"`                 // the zone's name
-	State      State   `json:"state"`                // its state
-	ForS       float64 `json:"for_s"`                // seconds since it entered that state
-	Responsive int     `json:"responsive"`           // machines that report in time
-	Silent     int     `json:"silent"`               // machines whose reports are overdue
-	Losses     int     `json:"losses"`               // number of losses since this leader took office
-	Penalty    float64 `json:"penalty"`              // number of losses, decaying by half every flap window; it lengthens the hold-down
-	HeldForS   float64 `json:"held_for_s,omitempty"` // remaining hold-down in seconds
-	Window     int     `json:"window,omitempty"`     // limit on the starts under way at once; 0 if they are not limited
-	UnderWay   int     `json:"under_way"`            // starts under way in the zone
-	Fetching   int     `json:"fetching"`             // number of those whose machine fetches the image
-	Displaced  int     `json:"displaced"`            // tasks lost with the zone that have not been restarted yet
+	Name             string  `json:"name"`                 // the zone's name
+	State            State   `json:"state"`                // its state
+	ForS             float64 `json:"for_s"`                // seconds since it entered that state
+	Responsive       int     `json:"responsive"`           // machines that report in time
+	Silent           int     `json:"silent"`               // machines whose reports are overdue
+	Losses           int     `json:"losses"`               // number of losses since this leader took office
+	Penalty          float64 `json:"penalty"`              // number of losses, decaying by half every flap window; it lengthens the hold-down
+	HeldForS         float64 `json:"held_for_s,omitempty"` // remaining hold-down in seconds
+	Window           int     `json:"window,omitempty"`     // limit on the starts in progress at once; 0 if they are not limited
+	StartsInProgress int     `json:"under_way"`            // starts in progress in the zone
+	Fetching         int     `json:"fetching"`             // number of those whose machine fetches the image
+	Displaced        int     `json:"displaced"`            // tasks lost with the zone that have not been restarted yet
 }
 
 // ClassStatus counts the pending tasks of one job class by what they wait for.
--- a/zones/tracker.go
+++ b/zones/tracker.go
@@ -33,7 +33,7 @@
 	heldUntil    time.Time // end of the hold-down
 	throttledAt  time.Time // when a start was last delayed by the limit
 	window       window
-	fetchWindows map[string]*window // limits on starts under way that fetch an image, by image
+	fetchWindows map[string]*window // limits on starts in progress that fetch an image, by image
 	losses       int                // number of losses since the tracker was created, for operators
 }
 
--- a/zones/window.go
+++ b/zones/window.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// window limits the starts that are under way at once. It grows by one with each start that succeeds,
+// window limits the starts that are in progress at once. It grows by one with each start that succeeds,
 // so it doubles with every full round of starts, and halves with each one that fails.
 type window struct {
 	size    int
@@ -71,7 +71,7 @@
 type Admission struct {
 	Limited    bool // the other fields apply; if false, all starts are admitted
 	PinnedOnly bool // only tasks that can run in no other zone are admitted
-	Starts     int  // limit on the starts under way at once
+	Starts     int  // limit on the starts in progress at once
 }
 
 // Admission returns which starts a zone admits now.
@@ -83,7 +83,7 @@
 	return Admission{Limited: true, PinnedOnly: z.state != Returning, Starts: z.window.size}
 }
 
-// FetchLimit returns the limit on the starts under way at once in a zone that fetch the given image.
+// FetchLimit returns the limit on the starts in progress at once in a zone that fetch the given image.
 func (t *Tracker) FetchLimit(name, image string) int {
 	z := t.zones[name]
 	if z == nil || z.fetchWindows[image] == nil {
--- a/zoneview/render.go
+++ b/zoneview/render.go
@@ -50,7 +50,7 @@
 // startsText returns the number of starts in progress, and the concurrency limit for starts if there is one.
 func startsText(z zones.ZoneStatus) string {
 	if z.Window == 0 {
-		return fmt.Sprint(z.UnderWay)
+		return fmt.Sprint(z.StartsInProgress)
 	}
-	return fmt.Sprintf("%d of %d", z.UnderWay, z.Window)
+	return fmt.Sprintf("%d of %d", z.StartsInProgress, z.Window)
 }
--- a/zoneview/view_test.go
+++ b/zoneview/view_test.go
@@ -41,7 +41,7 @@
 
 var leaderStatus = zones.Status{Member: "n1", Leading: true,
 	Zones: []zones.ZoneStatus{
-		{Name: "east", State: zones.HeldDown, ForS: 3, Responsive: 5, Silent: 2, Losses: 1, HeldForS: 4, Window: 8, UnderWay: 3, Displaced: 12},
+		{Name: "east", State: zones.HeldDown, ForS: 3, Responsive: 5, Silent: 2, Losses: 1, HeldForS: 4, Window: 8, StartsInProgress: 3, Displaced: 12},
 		{Name: "west", ForS: 60, Responsive: 9},
 	},
 	Waiting: []zones.ClassStatus{{Class: "batch", Tasks: 9, TeamLimit: 1, Ramp: 5, Room: 3}},
