--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// restore takes over the recorded rental requests of earlier leaders. Those without a recorded answer are sent again,
-// which is idempotent because requests are identified by their names.
+// restore takes over the recorded rental requests of earlier leaders. Those without a recorded answer are sent
+// again, which is idempotent because requests are identified by their names.
 func (s *autoscaler) restore(items []wire.Item) {
 	s.cloudLimiter = rate.NewLimiter(rate.Limit(s.c.cfg.Facts.Cloud.RPS*cloudRateShare), max(1, int(s.c.cfg.Facts.Cloud.RPS)))
 	for _, it := range items {
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// applyGrant handles a change of a job's grant. Attempts that were planned here meanwhile are stopped; they were never
-// sent, because their write fails on the header's version.
+// applyGrant handles a change of a job's grant. Attempts that were planned here meanwhile are stopped; they were
+// never sent, because their write fails on the header's version.
 func (l *leader) applyGrant(j *job, grant *grantRecord) {
 	j.grant = grant
 	l.guaranteesAssignedAt = time.Time{}
--- a/controller/cell_spillover.go
+++ b/controller/cell_spillover.go
@@ -89,8 +89,8 @@
 // ready reports whether every controller of this cell runs a version that supports spillover.
 func (s *spilloverManager) ready() bool { return s.c.allMembersRun(firstVersionWithCells) }
 
-// reconcile reconciles the grants once per interval: it reclaims jobs from cells declared gone, grants a waiting job,
-// returns jobs that wait here in vain, and calls the other cells.
+// reconcile reconciles the grants once per interval: it reclaims jobs from cells declared gone, grants a waiting
+// job, returns jobs that wait here in vain, and calls the other cells.
 func (s *spilloverManager) reconcile() {
 	if s == nil || s.c.now.Sub(s.lastReconcile) < cellReconcileInterval || !s.c.now.Before(s.authority) || !s.ready() {
 		return
--- a/controller/cell_spillover_test.go
+++ b/controller/cell_spillover_test.go
@@ -379,8 +379,8 @@
 	}
 }
 
-// A call to a cell that was declared gone carries a floor at which all its grants have ended, even while another cell
-// holds an older grant, and before the writes that take the grants back are made.
+// A call to a cell that was declared gone carries a floor at which all its grants have ended, even while another
+// cell holds an older grant, and before the writes that take the grants back are made.
 func TestFloorOfCellDeclaredGone(t *testing.T) {
 	c, l, _ := newSpilloverLeader(t)
 	open := []cells.HomeRecord{{Job: "x", State: cells.HomeOffered, Holder: "c", Epoch: 2}, {Job: "y", State: cells.HomeOffered, Holder: "b", Epoch: 5}}
--- a/controller/draining.go
+++ b/controller/draining.go
@@ -16,8 +16,8 @@
 	l.schedulePlacement()
 }
 
-// remainingS estimates for how many more seconds an attempt will run. It is at least a quarter of the time run so far: a
-// task that exceeds its owner's estimate may do so for a while.
+// remainingS estimates for how many more seconds an attempt will run. It is at least a quarter of the time run so
+// far: a task that exceeds its owner's estimate may do so for a while.
 func (l *leader) remainingS(a *attempt) float64 {
 	if a.phase < attemptRunning {
 		return a.job.spec.EstimateS
--- a/controller/headroom.go
+++ b/controller/headroom.go
@@ -109,7 +109,8 @@
 	return ts
 }
 
-// shortestBootForS is the shortest boot time of the machine types that a job may use, in seconds; infinite if there is none.
+// shortestBootForS is the shortest boot time of the machine types that a job may use, in seconds; infinite if there
+// is none.
 func (c *Core) shortestBootForS(j *wire.Job) float64 {
 	boot := math.Inf(1)
 	for _, t := range c.typesFor(j) {
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -8,8 +8,8 @@
 	"pumicefront/config"
 )
 
-// Network partitions as the failure detector recognizes them: many machines that fall silent at once indicate a fault
-// on the network path to them, not on the machines.
+// Network partitions as the failure detector recognizes them: many machines that fall silent at once indicate a
+// fault on the network path to them, not on the machines.
 
 // allZones is the key that stands for all machines in maps by zone.
 const allZones = ""
@@ -64,9 +64,9 @@
 }
 
 // zonesWithoutHeartbeats lists the zones, and allZones for all machines, from which far too few heartbeats have
-// arrived in the latest part of a heartbeat interval. Where all machines fall silent at once, those that were due first are
-// suspected before a quarter of all is overdue: without this check, a leader that has just lost its connection to the workers
-// would release those machines.
+// arrived in the latest part of a heartbeat interval. Where all machines fall silent at once, those that were due
+// first are suspected before a quarter of all is overdue: without this check, a leader that has just lost its
+// connection to the workers would release those machines.
 func (f *failureDetector) zonesWithoutHeartbeats() map[string]bool {
 	const (
 		windowsPerInterval = 4 // the window is one heartbeat interval divided by this
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// requestOrder lists the names of the rental requests in the order of sending. While zones recover it is the order in
-// which the requests were decided, so that machines for what restarts first are requested first.
+// requestOrder lists the names of the rental requests in the order of sending. While zones recover it is the order
+// in which the requests were decided, so that machines for what restarts first are requested first.
 func (s *autoscaler) requestOrder() []string {
 	names := slices.Sorted(maps.Keys(s.requests))
 	if s.zones.recovering() {
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -164,8 +164,8 @@
 	return min(used/all, 1)
 }
 
-// reserveTeamQuota adds to their teams' use the tasks that have reserved room, whose old attempt has ended, and that are not
-// placed yet: other tasks of their team must not take their place within its limit.
+// reserveTeamQuota adds to their teams' use the tasks that have reserved room, whose old attempt has ended, and
+// that are not placed yet: other tasks of their team must not take their place within its limit.
 func (s *spreading) reserveTeamQuota(used map[string]scheduler.Resources) {
 	if s == nil {
 		return
--- a/controller/spreading_record.go
+++ b/controller/spreading_record.go
@@ -32,8 +32,8 @@
 	movesRecordRenewMargin = 20 * time.Second
 )
 
-// restoreMovesRecord restores the record of earlier leaders. The tasks that they placed may have moved until the recorded
-// time, and stay for as long as tasks that have moved.
+// restoreMovesRecord restores the record of earlier leaders. The tasks that they placed may have moved until the
+// recorded time, and stay for as long as tasks that have moved.
 func (s *spreading) restoreMovesRecord(items []wire.Item) {
 	for _, it := range items {
 		if it.Key != movesKey {
