--- a/balance/move_tracker.go
+++ b/balance/move_tracker.go
@@ -192,13 +192,13 @@
 
 // Observe updates the move of a task from the observed state of the task, and reports whether the move
 // changed. It releases reserved room that is no longer needed or was reserved for too long.
-func (t *MoveTracker) Observe(now time.Time, id TaskID, seen Observation) (Change, bool) {
+func (t *MoveTracker) Observe(now time.Time, id TaskID, observed Observation) (Change, bool) {
 	e := t.moves[id]
 	if e == nil {
 		return Change{}, false
 	}
 	was := *e
-	outcome := e.advance(seen)
+	outcome := e.advance(observed)
 	c := Change{ActiveMove: *e, PreviousPhase: was.Phase, Outcome: outcome}
 	switch {
 	case outcome != "":
@@ -208,7 +208,7 @@
 	case e.Phase == Starting:
 		e.Reserved = false // the new attempt occupies its own room, on whichever machine it is
 	case !e.Reserved:
-	case seen.DestinationLost:
+	case observed.DestinationLost:
 		c.ReleaseReason = ReleasedDestinationLost
 	case now.Sub(e.StartedAt) > t.settings.Hold:
 		c.ReleaseReason = ReleasedTimeOut
@@ -224,19 +224,19 @@
 }
 
 // advance sets the phase of a move to the observed one, and returns the outcome if the move has ended.
-func (e *ActiveMove) advance(seen Observation) Outcome {
+func (e *ActiveMove) advance(observed Observation) Outcome {
 	switch {
-	case seen.Cancelled:
+	case observed.Cancelled:
 		return Cancelled
-	case seen.Completed:
+	case observed.Completed:
 		return Completed
-	case !seen.Active:
+	case !observed.Active:
 		e.Phase = Waiting
-	case seen.Attempt == e.Attempt:
+	case observed.Attempt == e.Attempt:
 		e.Phase = Stopping
-	case !seen.Running:
+	case !observed.Running:
 		e.Phase = Starting
-	case seen.Machine == e.To:
+	case observed.Machine == e.To:
 		return Moved
 	default:
 		return Diverted
--- a/balance/move_tracker_test.go
+++ b/balance/move_tracker_test.go
@@ -23,9 +23,9 @@
 	onC := Observation{Active: true, Attempt: 5, Machine: "c", Running: true}
 	lost := Observation{Active: true, Attempt: 4, Machine: "a", DestinationLost: true}
 	for name, c := range map[string]struct {
-		seen     []Observation
-		outcome  Outcome
-		releases map[ReleaseReason]int
+		observations []Observation
+		outcome      Outcome
+		releases     map[ReleaseReason]int
 	}{
 		"moved":                                   {[]Observation{atA, notPlaced, starting, onB}, Moved, nil},
 		"phases not observed":                     {[]Observation{atA, onB}, Moved, nil},
@@ -39,26 +39,26 @@
 	} {
 		settings := DefaultSettings()
 		settings.Hold = 35 * time.Second
-		l := NewMoveTracker(settings, startTime)
+		tracker := NewMoveTracker(settings, startTime)
 		m := testMove("job")
-		l.Start(startTime, m, 4)
-		if held := l.ReservedOn("b"); held.CPUs != 1 {
-			t.Errorf("%s: %v is reserved after the start", name, held)
+		tracker.Start(startTime, m, 4)
+		if reserved := tracker.ReservedOn("b"); reserved.CPUs != 1 {
+			t.Errorf("%s: %v is reserved after the start", name, reserved)
 		}
 		var last Change
-		for i, seen := range c.seen {
-			last, _ = l.Observe(startTime.Add(time.Duration(i+1)*10*time.Second), m.TaskID, seen)
-			if _, under := l.ActiveMove(m.TaskID); under == (last.Outcome != "") {
+		for i, observation := range c.observations {
+			last, _ = tracker.Observe(startTime.Add(time.Duration(i+1)*10*time.Second), m.TaskID, observation)
+			if _, under := tracker.ActiveMove(m.TaskID); under == (last.Outcome != "") {
 				t.Errorf("%s: active %v, outcome %q", name, under, last.Outcome)
 			}
 		}
-		if last.Outcome != c.outcome || l.Len() != 0 || l.ReservedOn("b") != (scheduler.Resources{}) {
-			t.Errorf("%s: outcome %q, %d active moves, %v reserved", name, last.Outcome, l.Len(), l.ReservedOn("b"))
+		if last.Outcome != c.outcome || tracker.Len() != 0 || tracker.ReservedOn("b") != (scheduler.Resources{}) {
+			t.Errorf("%s: outcome %q, %d active moves, %v reserved", name, last.Outcome, tracker.Len(), tracker.ReservedOn("b"))
 		}
-		if counts := l.Counts(); counts.Outcomes[c.outcome] != 1 || fmt.Sprint(counts.Releases) != fmt.Sprint(c.releases) {
+		if counts := tracker.Counts(); counts.Outcomes[c.outcome] != 1 || fmt.Sprint(counts.Releases) != fmt.Sprint(c.releases) {
 			t.Errorf("%s: counts %+v", name, counts)
 		}
-		if !l.MovedRecently(startTime.Add(settings.Stay-time.Second), m.TaskID) || l.MovedRecently(startTime.Add(settings.Stay), m.TaskID) {
+		if !tracker.MovedRecently(startTime.Add(settings.Stay-time.Second), m.TaskID) || tracker.MovedRecently(startTime.Add(settings.Stay), m.TaskID) {
 			t.Errorf("%s: the task does not stay for exactly %v after a move", name, settings.Stay)
 		}
 	}
@@ -66,16 +66,16 @@
 
 // Reserved room is released once, and only while it is reserved. The move itself goes on.
 func TestReleaseReservedRoom(t *testing.T) {
-	l := NewMoveTracker(DefaultSettings(), startTime)
-	l.Start(startTime, testMove("job"), 4)
+	tracker := NewMoveTracker(DefaultSettings(), startTime)
+	tracker.Start(startTime, testMove("job"), 4)
 	id := testMove("job").TaskID
-	if c, any := l.ReleaseReservation(id, ReleasedForUrgent); !any || c.ReleaseReason != ReleasedForUrgent || l.ReservedOn("b").CPUs != 0 {
+	if c, any := tracker.ReleaseReservation(id, ReleasedForUrgent); !any || c.ReleaseReason != ReleasedForUrgent || tracker.ReservedOn("b").CPUs != 0 {
 		t.Errorf("%+v", c)
 	}
-	if c, any := l.ReleaseReservation(id, ReleasedForUrgent); any {
+	if c, any := tracker.ReleaseReservation(id, ReleasedForUrgent); any {
 		t.Errorf("released twice: %+v", c)
 	}
-	if _, under := l.ActiveMove(id); !under {
+	if _, under := tracker.ActiveMove(id); !under {
 		t.Error("the move is no longer tracked")
 	}
 }
@@ -88,25 +88,25 @@
 	const machines = 60
 	perSecond := settings.movesPerSecond(machines)
 	for range 30 {
-		now, l := startTime, NewMoveTracker(settings, startTime)
-		if a := l.Allowance(now, machines, 0); a.Moves != 0 {
+		now, tracker := startTime, NewMoveTracker(settings, startTime)
+		if a := tracker.Allowance(now, machines, 0); a.Moves != 0 {
 			t.Fatalf("%d moves allowed to a new leader", a.Moves)
 		}
 		started := 0
 		for now.Sub(startTime) < 5*time.Minute {
 			now = now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
 			if rng.IntN(12) == 0 {
-				l = NewMoveTracker(settings, now)
+				tracker = NewMoveTracker(settings, now)
 			}
 			others := rng.IntN(3)
-			a := l.Allowance(now, machines, others)
-			if a.Moves+l.Len()+others > max(settings.maxMovesInFlight(machines), l.Len()+others) || a.MaxPerTeam > settings.maxMovesPerTeam(machines) {
-				t.Fatalf("allowance %+v with %d own active moves and %d others", a, l.Len(), others)
+			a := tracker.Allowance(now, machines, others)
+			if a.Moves+tracker.Len()+others > max(settings.maxMovesInFlight(machines), tracker.Len()+others) || a.MaxPerTeam > settings.maxMovesPerTeam(machines) {
+				t.Fatalf("allowance %+v with %d own active moves and %d others", a, tracker.Len(), others)
 			}
 			for range a.Moves {
 				m := testMove(fmt.Sprint(started))
-				l.Start(now, m, 4)
-				l.Observe(now, m.TaskID, Observation{Completed: true})
+				tracker.Start(now, m, 4)
+				tracker.Observe(now, m.TaskID, Observation{Completed: true})
 				started++
 			}
 		}
@@ -118,14 +118,14 @@
 
 // Sweep removes only records of moves that started at least Stay ago.
 func TestSweep(t *testing.T) {
-	l := NewMoveTracker(DefaultSettings(), startTime)
+	tracker := NewMoveTracker(DefaultSettings(), startTime)
 	for i, at := range []time.Duration{0, time.Minute} {
 		m := testMove(fmt.Sprint(i))
-		l.Start(startTime.Add(at), m, 4)
-		l.Observe(startTime.Add(at), m.TaskID, Observation{Completed: true})
+		tracker.Start(startTime.Add(at), m, 4)
+		tracker.Observe(startTime.Add(at), m.TaskID, Observation{Completed: true})
 	}
-	l.Sweep(startTime.Add(l.settings.Stay + time.Second))
-	if len(l.movedAt) != 1 {
-		t.Errorf("%d records are left, want 1", len(l.movedAt))
+	tracker.Sweep(startTime.Add(tracker.settings.Stay + time.Second))
+	if len(tracker.movedAt) != 1 {
+		t.Errorf("%d records are left, want 1", len(tracker.movedAt))
 	}
 }
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -47,12 +47,12 @@
 // recorded status: there is none while a change is being written or the record has to be read again.
 func (s *spilloverManager) receive(m CellMessage) (cells.Message, bool) {
 	h, key := s.c.watchCache.headers[m.Job], fenceKey(m.From, m.Job)
-	held := h != nil && h.Origin != nil && h.Origin.Home == m.From
-	if a, isPending := s.pendingAcceptances[m.Job]; isPending && !a.outcomeUnknown && !held && a.home == m.From && a.epoch == m.Epoch && m.Kind == cells.KindOffer {
+	isHeld := h != nil && h.Origin != nil && h.Origin.Home == m.From
+	if a, isPending := s.pendingAcceptances[m.Job]; isPending && !a.outcomeUnknown && !isHeld && a.home == m.From && a.epoch == m.Epoch && m.Kind == cells.KindOffer {
 		return cells.Message{}, false // its write is in flight
 	}
 	record := cells.HolderRecord{}
-	if fence := s.fences[key]; held {
+	if fence := s.fences[key]; isHeld {
 		record = holderRecord(m.Job, h)
 	} else if fence != nil {
 		if fence.versionUnknown {
@@ -61,7 +61,7 @@
 		record = fence.record
 	}
 	next, changed := record.Receive(m.Message, cells.OfferContext{
-		KnowsJob: h != nil && !held || s.finished(m.Job), KnowsTeam: m.Spec != nil && s.knowsTeam(m.Spec),
+		KnowsJob: h != nil && !isHeld || s.finished(m.Job), KnowsTeam: m.Spec != nil && s.knowsTeam(m.Spec),
 		HasRoom: m.Spec != nil && s.canAccept(m.Spec), Floor: s.floor(m.From).epoch,
 	})
 	if !changed {
@@ -72,7 +72,7 @@
 		s.accept(m, next)
 	case next.State == cells.HolderEnded:
 		s.writeFence(key, next)
-	case held:
+	case isHeld:
 		s.rewriteHeader(m.Job, withHolder(*h, next), nil, nil)
 	}
 	return cells.Message{}, false
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -72,14 +72,14 @@
 		return balance.Observation{Completed: true}
 	}
 	to := s.machines[e.To]
-	seen := balance.Observation{
+	observation := balance.Observation{
 		Cancelled: j.cancelled, Completed: j.state.Status(e.Index) == reduction.Completed,
 		DestinationLost: to == nil || !s.usable(to),
 	}
 	if a := j.attempts[e.Index]; a != nil {
-		seen.Active, seen.Attempt, seen.Machine, seen.Running = true, a.number, a.machine.id, a.phase >= attemptRunning
+		observation.Active, observation.Attempt, observation.Machine, observation.Running = true, a.number, a.machine.id, a.phase >= attemptRunning
 	}
-	return seen
+	return observation
 }
 
 // handleChange logs and emits a step of a move, and schedules a placement round.
--- a/internal/sim/coverage.go
+++ b/internal/sim/coverage.go
@@ -150,7 +150,7 @@
 func (w *World) noteLostTasks(h *host) {
 	for _, t := range h.tasks {
 		if t.onMachine() && (t.job.spec.Zone != "" || t.job.spec.OneZone) {
-			w.coverage["a job bound to a zone loses a machine"]++
+			w.coverage["a job pinned to a zone loses a machine"]++
 		}
 	}
 }
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -117,9 +117,9 @@
 func (h *host) setPartitioned(on bool) {
 	h.partitioned = on
 	if !on {
-		held := h.deferredMessages
+		deferred := h.deferredMessages
 		h.deferredMessages = nil
-		for _, fn := range held {
+		for _, fn := range deferred {
 			h.w.after(h.w.latency(), fn)
 		}
 	}
--- a/internal/sim/load_spreading_test.go
+++ b/internal/sim/load_spreading_test.go
@@ -218,7 +218,7 @@
 	for name, spec := range map[string]wire.Job{
 		"tasks that fill a machine":            {Kind: wire.KindArray, Tasks: 10, CPUs: 16, EstimateS: 3600, CheckpointS: 20, SaveS: 1},
 		"tasks that can't save":                {Kind: wire.KindArray, Tasks: 20, CPUs: 4, EstimateS: 3600},
-		"tasks bound to a zone":                {Kind: wire.KindArray, Tasks: 40, CPUs: 4, EstimateS: 3600, CheckpointS: 20, SaveS: 1, Zone: "a"},
+		"tasks pinned to a zone":               {Kind: wire.KindArray, Tasks: 40, CPUs: 4, EstimateS: 3600, CheckpointS: 20, SaveS: 1, Zone: "a"},
 		"services whose image is nowhere else": {Kind: wire.KindService, Tasks: 20, CPUs: 4},
 		"a gang":                               {Kind: wire.KindGang, Tasks: 20, CPUs: 4, EstimateS: 3600, CheckpointS: 20, SaveS: 1},
 	} {
--- a/internal/sim/runs_test.go
+++ b/internal/sim/runs_test.go
@@ -98,7 +98,7 @@
 	"one-task job of a burst cancelled",
 	"a transaction carried out, its answer lost",
 	"a delayed or repeated command, or one whose answer is lost, is carried out",
-	"a job bound to a zone loses a machine",
+	"a job pinned to a zone loses a machine",
 	"a cancellation reported as leaders change",
 	"a leader crashes and restarts within a second",
 	"a cancellation reported while the state service is slow",
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -46,12 +46,12 @@
 			d.Gang, d.OneZone = rapid.Bool().Draw(t, "gang"), rapid.Bool().Draw(t, "one zone")
 			d.Zone = rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
 			d.StartLimits = map[string]*StartLimit{"a": limit}
-			bound := d.pinnedTo("a")
+			pinned := d.pinnedTo("a")
 			for _, p := range Place(ms, d) {
 				if p.Machine.Zone != "a" {
 					continue
 				}
-				if limit.PinnedOnly && !bound {
+				if limit.PinnedOnly && !pinned {
 					t.Fatalf("%+v starts in a zone that admits only demands pinned to it", d)
 				}
 				started++
