--- a/balance/reason.go
+++ b/balance/reason.go
@@ -4,7 +4,7 @@
 type Reason string
 
 // The reasons. A movable task that is not moved stays because a limit on moves is reached or because all
-// moves are blocked, see Block.
+// moves are blocked, see BlockReason.
 const (
 	Movable          Reason = ""
 	NotRunning       Reason = "not seen running yet"
--- a/cells/holder.go
+++ b/cells/holder.go
@@ -13,7 +13,7 @@
 
 // HolderRecord is a holder's record of another cell's job. Its epoch is a fencing token: once an epoch
 // has ended, no grant with that epoch or a lower one is accepted. The record is kept until the home's
-// floor has reached its epoch, see Droppable.
+// floor has reached its epoch, see Removable.
 type HolderRecord struct {
 	Home   Cell        // the cell whose job it is
 	Job    string      // the job's id
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -10,7 +10,7 @@
 
 // The first status of a new session may arrive in the answer to a direct command. Attempts
 // placed in the new epoch must not count as lost when the old epoch's lease expires.
-func TestNewAgentEpochHasItsOwnLease(t *testing.T) {
+func TestNewSessionHasItsOwnLease(t *testing.T) {
 	c, l, j := newLeadingCore(t)
 	m := l.machine("i-1")
 	l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1})
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -7,7 +7,7 @@
 )
 
 // leader is a controller's state as leader. It is discarded when the controller steps down.
-// Authority may lapse and be regained within a term (see entitled).
+// Authority may lapse and be regained within a term (see hasAuthority).
 type leader struct {
 	term
 	c         *Core
