--- a/controller/demand_hints.go
+++ b/controller/demand_hints.go
@@ -43,7 +43,7 @@
 	size := 0
 	for _, id := range slices.Sorted(maps.Keys(c.rejected)) {
 		if c.lead != nil {
-			c.noteDemandHint(c.rejected[id])
+			c.recordDemandHint(c.rejected[id])
 			continue
 		}
 		raw := wire.Marshal(c.rejected[id])
@@ -58,8 +58,8 @@
 	}
 }
 
-// noteDemandHint records on the leader that a submission was rejected.
-func (c *Core) noteDemandHint(j *wire.Job) {
+// recordDemandHint records on the leader that a submission was rejected.
+func (c *Core) recordDemandHint(j *wire.Job) {
 	if c.lead != nil {
 		c.lead.autoscaler.demandHints[j.ID] = demandHint{j, c.now}
 	}
--- a/controller/fixtures_test.go
+++ b/controller/fixtures_test.go
@@ -23,7 +23,7 @@
 	f.Cloud.RPS, f.Cloud.ListLagS = 4, 5
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	c := New(&cfg, config.DefaultOperator(), rand.New(rand.NewPCG(1, 1)), now)
-	c.noteRead(now) // a controller reads the headers before it claims the leadership
+	c.recordRead(now) // a controller reads the headers before it claims the leadership
 	c.becomeLeader(now, 1, 7, 1)
 	l := c.lead
 	l.rebuild(nil, nil)
--- a/controller/spreading_tolerance.go
+++ b/controller/spreading_tolerance.go
@@ -36,7 +36,7 @@
 		return balance.OwnedByOtherCell, 0
 	case a.job.deadline.last != nil && (len(spec.Needs) > 0 || len(t.c.dependencies.Successors(a.job.id)) > 0):
 		return balance.DeadlineChain, 0
-	case t.movedLately(a):
+	case t.movedRecently(a):
 		return balance.RecentlyMoved, 0
 	case ran < t.settings().Settled:
 		return balance.RecentlyStarted, 0
@@ -46,8 +46,8 @@
 	return t.checkArray(a)
 }
 
-// movedLately reports whether a task has moved recently, or may have moved under an earlier leader.
-func (t *moveTolerances) movedLately(a *attempt) bool {
+// movedRecently reports whether a task has moved recently, or may have moved under an earlier leader.
+func (t *moveTolerances) movedRecently(a *attempt) bool {
 	return a.restored && t.c.now.Before(t.record.restoredStayUntil) || t.tracker.MovedRecently(t.c.now, a.moveID())
 }
 
--- a/controller/watch_cache.go
+++ b/controller/watch_cache.go
@@ -66,7 +66,7 @@
 		}
 		c.watchCache.revision = max(c.watchCache.revision, revision)
 		c.watchCache.loaded, c.watchCache.loading, c.watchCache.unreachable = true, false, false
-		c.noteRead(sent)
+		c.recordRead(sent)
 		c.watchRecords()
 	})
 }
@@ -106,7 +106,7 @@
 		switch r.Status {
 		case http.StatusOK:
 			c.applyWatch(r.Watch)
-			c.noteRead(sent)
+			c.recordRead(sent)
 			c.watchRecords()
 		case http.StatusGone:
 			c.load()
@@ -154,7 +154,7 @@
 		c.watchCache.unreachable = r.Status == 0 || r.Status == http.StatusServiceUnavailable
 		if ok {
 			c.applyWatch(r.Watch)
-			c.noteRead(sent)
+			c.recordRead(sent)
 		} else if r.Status == http.StatusGone && !c.watchCache.loading {
 			// The revision was compacted. The long-polling watch would detect this only when its
 			// wait ends, and until then no user request could be answered.
@@ -186,8 +186,8 @@
 	c.watchCache.revision = max(c.watchCache.revision, w.Revision)
 }
 
-// noteRead records that the copy contains everything written before a read was sent.
-func (c *Core) noteRead(sent time.Time) {
+// recordRead records that the copy contains everything written before a read was sent.
+func (c *Core) recordRead(sent time.Time) {
 	if sent.After(c.watchCache.lastRead) {
 		c.watchCache.lastRead = sent
 	}
--- a/internal/sim/coverage.go
+++ b/internal/sim/coverage.go
@@ -29,9 +29,9 @@
 // simulate overlapping faults require each combination to occur in at least one of their
 // runs, because faults that don't meet test nothing beyond the single faults.
 
-// noteRenewal counts renewals of a worker's lease during an outage of the state service,
+// recordRenewal counts renewals of a worker's lease during an outage of the state service,
 // while tasks run of a job that was reported cancelled to its user.
-func (w *World) noteRenewal(n *member) {
+func (w *World) recordRenewal(n *member) {
 	if !w.store.outage {
 		return
 	}
@@ -45,8 +45,8 @@
 	})
 }
 
-// noteLeaderChange counts the conditions under which another controller becomes leader.
-func (w *World) noteLeaderChange(n *member) {
+// recordLeaderChange counts the conditions under which another controller becomes leader.
+func (w *World) recordLeaderChange(n *member) {
 	if n == w.lastLeader || w.lastLeader == nil {
 		w.lastLeader = n
 		return
@@ -68,8 +68,8 @@
 	})
 }
 
-// noteLeaderEnd counts the conditions under which a leader crashes.
-func (w *World) noteLeaderEnd(downtime time.Duration) {
+// recordLeaderEnd counts the conditions under which a leader crashes.
+func (w *World) recordLeaderEnd(downtime time.Duration) {
 	if downtime < time.Second {
 		w.coverage["a leader crashes and restarts within a second"]++
 	}
@@ -83,8 +83,8 @@
 	})
 }
 
-// noteCancellation counts the conditions under which a cancellation is confirmed to a user.
-func (w *World) noteCancellation(j *simJob) {
+// recordCancellation counts the conditions under which a cancellation is confirmed to a user.
+func (w *World) recordCancellation(j *simJob) {
 	if w.now-w.leaderSince < 3*time.Second {
 		w.coverage["a cancellation reported as leaders change"]++
 	}
@@ -103,8 +103,8 @@
 	})
 }
 
-// noteLostAnswer counts transactions whose answer is lost.
-func (w *World) noteLostAnswer(sent time.Duration, r controller.StateReply) {
+// recordLostAnswer counts transactions whose answer is lost.
+func (w *World) recordLostAnswer(sent time.Duration, r controller.StateReply) {
 	switch late := w.now-sent > time.Second; {
 	case r.Status != http.StatusOK && late:
 		w.coverage["a late transaction refused"]++
@@ -115,9 +115,9 @@
 	}
 }
 
-// noteCommand counts direct commands that are executed without an answer to their sender,
+// recordCommand counts direct commands that are executed without an answer to their sender,
 // and those that reach a machine which can't send reports.
-func (w *World) noteCommand(h *host, answer bool, status int) {
+func (w *World) recordCommand(h *host, answer bool, status int) {
 	switch {
 	case !answer && status == http.StatusOK:
 		w.coverage["a delayed or repeated command, or one whose answer is lost, is carried out"]++
@@ -126,8 +126,8 @@
 	}
 }
 
-// noteOldReport counts copies of reports that arrive after newer ones.
-func (w *World) noteOldReport(h *host, n *member, r *wire.Report) {
+// recordOldReport counts copies of reports that arrive after newer ones.
+func (w *World) recordOldReport(h *host, n *member, r *wire.Report) {
 	if r.Session < h.session {
 		w.coverage["a report from an earlier session arrives"]++
 	}
@@ -136,9 +136,9 @@
 	}
 }
 
-// noteTaskEnd counts tasks of small jobs that end after a change of leaders, when another
+// recordTaskEndCoverage counts tasks of small jobs that end after a change of leaders, when another
 // task of the job ended before it.
-func (w *World) noteTaskEnd(j *simJob) {
+func (w *World) recordTaskEndCoverage(j *simJob) {
 	if j.firstTaskEnd == 0 {
 		j.firstTaskEnd = w.now
 	} else if j.spec.Tasks <= 3 && j.firstTaskEnd < w.leaderSince {
@@ -146,8 +146,8 @@
 	}
 }
 
-// noteLostTasks counts the tasks lost with a machine whose jobs must run in one zone.
-func (w *World) noteLostTasks(h *host) {
+// recordLostTasks counts the tasks lost with a machine whose jobs must run in one zone.
+func (w *World) recordLostTasks(h *host) {
 	for _, t := range h.tasks {
 		if t.onMachine() && (t.job.spec.Zone != "" || t.job.spec.OneZone) {
 			w.coverage["a job pinned to a zone loses a machine"]++
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -67,7 +67,7 @@
 	(*randomFault).cutMachine,
 	(*randomFault).hangMachine,
 	(*randomFault).loseMachine,
-	(*randomFault).noticeMachine,
+	(*randomFault).announceTermination,
 }
 
 // drawFault draws a fault and returns the function that injects it.
@@ -230,7 +230,7 @@
 func (f *randomFault) hangMachine() { f.oneMachine(f.hang) }
 func (f *randomFault) loseMachine() { f.oneMachine((*host).terminate) }
 
-func (f *randomFault) noticeMachine() {
+func (f *randomFault) announceTermination() {
 	f.oneMachine(func(h *host) {
 		h.terminationNotice = true
 		f.w.after(5*time.Second, h.terminate)
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -169,7 +169,7 @@
 
 // terminate ends the machine and all tasks on it.
 func (h *host) terminate() {
-	h.w.noteLostTasks(h)
+	h.w.recordLostTasks(h)
 	h.recordTaskEnds()
 	h.hasEnded, h.endedAt = true, h.w.now
 }
@@ -272,7 +272,7 @@
 		return func() {
 			if !x.down() {
 				h.tamperReport(true, &late)
-				w.noteOldReport(h, x, &late)
+				w.recordOldReport(h, x, &late)
 				x.ask(func(req uint64) controller.Input { return controller.ReportRequest{Req: req, Report: late} }, func(controller.Answer) {})
 			}
 		}
@@ -452,7 +452,7 @@
 	}
 	fetch := 10 * time.Millisecond
 	if !h.images[j.spec.Image] {
-		h.w.noteConcurrentFetches(h.zone)
+		h.w.recordConcurrentFetches(h.zone)
 		if h.w.onFetch != nil {
 			h.w.onFetch()
 		}
@@ -515,7 +515,7 @@
 func (h *host) finish(t *task, j *simJob, n int) {
 	j.done[n] = true
 	h.exit(t, wire.ExitReasonDone)
-	h.w.noteTaskEnd(j)
+	h.w.recordTaskEndCoverage(j)
 	if j.tasksLeft() == 0 && !j.lastTaskEnded {
 		j.lastTaskEnded = true
 		h.w.users.jobEnded(j)
--- a/internal/sim/member.go
+++ b/internal/sim/member.go
@@ -77,7 +77,7 @@
 	}
 	n.w.Log("%v crash %s", n.w.now, n.name)
 	if n.isLeader() {
-		n.w.noteLeaderEnd(downtime)
+		n.w.recordLeaderEnd(downtime)
 	}
 	n.core = nil
 	n.pauseAfterStep, n.paused, n.deferred = 0, false, nil
@@ -200,11 +200,11 @@
 	case controller.CellCall:
 		n.w.federation.call(n, o)
 	case controller.ZoneChanged:
-		n.w.noteZoneChange(o)
+		n.w.recordZoneChange(o)
 	case controller.TaskRestarted:
-		n.w.noteTaskRestart(o)
+		n.w.recordTaskRestart(o)
 	case controller.MoveChanged:
-		n.w.noteMove(n, o)
+		n.w.recordMove(n, o)
 	case controller.Event:
 		n.w.Log("%v %s %s %v", n.w.now, n.name, o.Text, o.Attrs)
 	}
@@ -268,7 +268,7 @@
 	w.after(late, func() {
 		w.store.handle(n, call, func(r controller.StateReply) {
 			if call.Op == controller.OpTxn && lost {
-				w.noteLostAnswer(sent, r)
+				w.recordLostAnswer(sent, r)
 			}
 			if !lost && !n.cutFromStateAndPeers {
 				w.after(w.latency(), func() { reply(r) })
@@ -294,7 +294,7 @@
 		return func() {
 			h.deliver(func() {
 				status, rep := h.handleCommands(call.Commands)
-				w.noteCommand(h, answer, status)
+				w.recordCommand(h, answer, status)
 				if answer {
 					w.after(w.latency(), func() { reply(controller.WorkerReply{Status: status, Report: rep}) })
 				}
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -78,14 +78,14 @@
 		}
 		if body, ok := o.Body.(wire.ReportAnswer); ok {
 			token = body.Token
-			w.noteRenewal(n)
+			w.recordRenewal(n)
 		}
 	}
 	if token < w.highestToken {
 		w.recordViolation("authority", "%s acts with token %d, but token %d has been used already", n.name, token, w.highestToken)
 	}
 	if token > w.highestToken {
-		w.noteLeaderChange(n)
+		w.recordLeaderChange(n)
 		for _, fn := range w.keptReports { // there is a new leader, or the leader has raised its token
 			w.after(w.latency(), fn)
 		}
@@ -286,7 +286,7 @@
 			w.coverage["a job cancelled with one that it needs"]++
 		}
 		j.reportedCancelled, j.cancelledAt = true, w.now
-		w.noteCancellation(j)
+		w.recordCancellation(j)
 		w.checkCancelled(j)
 	}
 }
--- a/internal/sim/spread_faults.go
+++ b/internal/sim/spread_faults.go
@@ -22,8 +22,8 @@
 	w.op.Spreading = &config.LoadSpreading{Settings: settings}
 }
 
-// noteMove records a step of a move.
-func (w *World) noteMove(n *member, m controller.MoveChanged) {
+// recordMove records a step of a move.
+func (w *World) recordMove(n *member, m controller.MoveChanged) {
 	w.moves = append(w.moves, m)
 	w.coverage["a move is "+m.Phase.String()]++
 	if m.Outcome != "" {
--- a/internal/sim/zone_faults.go
+++ b/internal/sim/zone_faults.go
@@ -31,13 +31,13 @@
 	}
 }
 
-func (w *World) noteZoneChange(change controller.ZoneChanged) {
+func (w *World) recordZoneChange(change controller.ZoneChanged) {
 	w.Log("%v zone %s is %s", w.now, change.Zone, change.To)
 	w.coverage["a zone is "+change.To.String()]++
 	w.zoneHistory.changes = append(w.zoneHistory.changes, change)
 }
 
-func (w *World) noteTaskRestart(r controller.TaskRestarted) {
+func (w *World) recordTaskRestart(r controller.TaskRestarted) {
 	if w.zoneHistory.restarts == nil {
 		w.zoneHistory.restarts = map[scheduler.RestartPhase][]time.Duration{}
 	}
@@ -45,8 +45,8 @@
 	w.coverage["a task that was lost with its zone runs again"]++
 }
 
-// noteConcurrentFetches updates the largest number of machines in a zone that fetch an image at once.
-func (w *World) noteConcurrentFetches(zone string) {
+// recordConcurrentFetches updates the largest number of machines in a zone that fetch an image at once.
+func (w *World) recordConcurrentFetches(zone string) {
 	if w.shape.Zones == 0 {
 		return
 	}
