--- a/internal/sim/load_spreading_test.go
+++ b/internal/sim/load_spreading_test.go
@@ -42,7 +42,7 @@
 func TestSpreadHardCases(t *testing.T) {
 	expectedCoverage := map[string]string{ // must occur in at least one run of the fault
 		"the task ends as it is stopped":    "a move ends: completed",
-		"the destination dies":              "a move ends: diverted",
+		"the destination is terminated":     "a move ends: diverted",
 		"the destination hangs":             "a move ends: diverted",
 		"the destination will be taken":     "a reservation is released: destination",
 		"prod services take all room":       "a reservation is released: urgent",
--- a/internal/sim/spread_faults.go
+++ b/internal/sim/spread_faults.go
@@ -186,7 +186,7 @@
 		{"the source receives nothing", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.From, func(h *host) { h.receivesNothing = true }, func(h *host) { h.receivesNothing = false }, 12*time.Second)
 		}},
-		{"the destination dies", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
+		{"the destination is terminated", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.To, (*host).terminate, nil, 0)
 		}},
 		{"the destination hangs", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
