--- a/client/errors_test.go
+++ b/client/errors_test.go
@@ -18,21 +18,22 @@
 // Retry-After header unless it is empty. It returns the server's address.
 func startServer(t *testing.T, status int, body []byte, retryAfter string) string {
 	t.Helper()
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if retryAfter != "" {
 			w.Header().Set("Retry-After", retryAfter)
 		}
 		w.WriteHeader(status)
 		_, _ = w.Write(body)
 	}))
-	t.Cleanup(service.Close)
-	return strings.TrimPrefix(service.URL, "http://")
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A failed call is a *CallError with its service, operation, target and status, matches its kind and no
-// other with errors.Is, and the core receives the matching status.
+// A failed call is a *CallError with its service, operation, target and status, and matches its kind and no
+// other with errors.Is. The core receives the status of the response, or 0 if the response with status 200
+// can't be decoded.
 func TestCallErrorKindAndStatus(t *testing.T) {
-	failed := wire.Marshal(wire.TxnAnswer{Revision: 431, Failed: []string{"a/b"}})
+	failedTxn := wire.Marshal(wire.TxnAnswer{Revision: 431, Failed: []string{"a/b"}})
 	for _, c := range []struct {
 		name           string
 		status         int
@@ -45,7 +46,7 @@
 		wantStatus     int
 		wantRetryAfter time.Duration
 	}{
-		{"compare-and-swap failed", http.StatusConflict, failed, "", controller.OpTxn, ErrConditionFailed, OpTransaction, wire.PathTxn, http.StatusConflict, 0},
+		{"compare-and-swap failed", http.StatusConflict, failedTxn, "", controller.OpTxn, ErrConditionFailed, OpTransaction, wire.PathTxn, http.StatusConflict, 0},
 		{"no such key", http.StatusNotFound, wire.Marshal(wire.Page{Revision: 431}), "", controller.OpGet, ErrNotFound, OpGet, wire.PathKV + "/a/b", http.StatusNotFound, 0},
 		{"lease expired", http.StatusNotFound, nil, "", controller.OpRenew, ErrNotFound, OpRenewLease, wire.PathLeases + "/7" + wire.PathRenewLease, http.StatusNotFound, 0},
 		{"watch revision compacted", http.StatusGone, nil, "", controller.OpWatch, ErrCompacted, OpWatch, wire.PathWatch, http.StatusGone, 0},
@@ -64,7 +65,7 @@
 			continue
 		}
 		if call.Service != StateService || call.Op != c.wantOp || !strings.Contains(call.Target, c.wantPath) || call.Status != c.status || call.RetryAfter != c.wantRetryAfter {
-			t.Errorf("%s: %+v", c.name, call)
+			t.Errorf("%s: unexpected fields of the error: %+v", c.name, call)
 		}
 		if errors.Is(err, ErrNoResponse) || c.wantKind != ErrRefused && errors.Is(err, ErrRefused) {
 			t.Errorf("%s: matches another kind: %v", c.name, err)
@@ -81,7 +82,7 @@
 	c := New(addr, "127.0.0.1:1", 4, func() bool { return true })
 	r := c.State(controller.StateCall{Op: controller.OpTxn, Timeout: time.Minute})
 	if r.Status != http.StatusConflict || len(r.Txn.Failed) != 1 || r.Txn.Failed[0] != "a/b" || r.Txn.Revision != 431 {
-		t.Errorf("%+v", r)
+		t.Errorf("want status 409 with the decoded body, got %+v", r)
 	}
 }
 
@@ -101,10 +102,10 @@
 	err = c.stateCall(controller.StateCall{Op: controller.OpGet, Key: "a", Timeout: time.Minute}, &reply).send(c.services)
 	var call *CallError
 	if !errors.As(err, &call) || !errors.Is(err, ErrNoResponse) || !errors.Is(err, syscall.ECONNREFUSED) || call.Status != 0 {
-		t.Errorf("%T %v", err, err)
+		t.Errorf("want ErrNoResponse and ECONNREFUSED in a *CallError with status 0, got %T %v", err, err)
 	}
 	if r := c.Cloud(controller.CloudCall{Op: controller.CloudTypes, Timeout: time.Minute}); r.Status != 0 {
-		t.Errorf("the cloud: status %d", r.Status)
+		t.Errorf("call to the cloud: the core receives status %d, want 0", r.Status)
 	}
 }
 
@@ -118,14 +119,15 @@
 	err := workerCall(cmd, &reply).send(c.workers)
 	var call *CallError
 	if !errors.As(err, &call) || !errors.Is(err, ErrFenced) || errors.Is(err, ErrConditionFailed) || call.Service != Worker || call.Op != OpCommands {
-		t.Errorf("%T %v", err, err)
+		t.Errorf("want ErrFenced in a *CallError of a worker's commands, got %T %v", err, err)
 	}
 	if r := c.Worker(cmd); r.Status != http.StatusConflict || r.Report.Token != 42 {
-		t.Errorf("%+v", r)
+		t.Errorf("want status 409 with the report of token 42, got %+v", r)
 	}
 }
 
-// The cloud's response for lack of capacity is ErrUnavailable, and the error text names the call.
+// The cloud's response for lack of capacity is ErrUnavailable, and the error text contains the service, the
+// operation, the HTTP method, the URL and the status.
 func TestCloudWithoutCapacity(t *testing.T) {
 	addr := startServer(t, http.StatusServiceUnavailable, wire.Marshal(wire.Error{Error: "no capacity"}), "")
 	c := New("127.0.0.1:1", addr, 4, func() bool { return true })
@@ -133,9 +135,9 @@
 	var reply controller.CloudReply
 	err := c.cloudCall(cc, &reply).send(c.services)
 	if !errors.Is(err, ErrUnavailable) || !strings.Contains(err.Error(), "cloud scale out POST http://"+addr+wire.PathMachines+": status 503") {
-		t.Errorf("%v", err)
+		t.Errorf("want ErrUnavailable with the call and status 503 in its text, got %v", err)
 	}
 	if r := c.Cloud(cc); r.Status != http.StatusServiceUnavailable {
-		t.Errorf("status %d", r.Status)
+		t.Errorf("the core receives status %d, want 503", r.Status)
 	}
 }
--- a/controller/api.go
+++ b/controller/api.go
@@ -11,19 +11,22 @@
 	"pumicefront/wire"
 )
 
-// Input is one of the types below that Step takes.
+// Input is one of the requests, replies and messages that Step takes, or a Tick. Features declare further inputs in their
+// own files.
 type Input any
 
-// Output is one of the types below that Step returns.
+// Output is one of the answers, calls, messages and records that Step returns. Features declare further outputs in their
+// own files.
 type Output any
 
-// Tick is an input without an event: it only advances the time.
+// Tick is the input for the passage of time, when there is no other input. It also makes the core load its watch cache and
+// record this controller's version where that is still to be done.
 type Tick struct{}
 
 // UserOp is the kind of a user request.
 type UserOp uint8
 
-// The kinds of user requests. UserReady is the load balancer's readiness probe.
+// The kinds of user requests. UserAbort cancels a job; UserReady is the load balancer's readiness probe.
 const (
 	UserSubmit UserOp = iota
 	UserPoll
@@ -31,12 +34,12 @@
 	UserReady
 )
 
-// UserRequest is a user's request. Its Answer has the same Req.
+// UserRequest is a user's request. Req is the ID that the shell gives a request, and its Answer has the same Req.
 type UserRequest struct {
 	Req  uint64
 	Op   UserOp
-	Job  string
-	Body []byte
+	Job  string // the job's ID; empty for UserSubmit, whose Body contains it, and UserReady
+	Body []byte // the encoded submission of UserSubmit
 }
 
 // ReportRequest is a worker's report, which is its heartbeat. Its Answer has the same Req.
@@ -48,9 +51,9 @@
 // Answer is the response to the request with the same Req.
 type Answer struct {
 	Req        uint64
-	Status     int
-	Body       any
-	RetryAfter time.Duration
+	Status     int           // HTTP status
+	Body       any           // encoded by the shell
+	RetryAfter time.Duration // for the Retry-After header; 0: none
 }
 
 // StateOp is a kind of call to the state service.
@@ -72,12 +75,12 @@
 	ID       uint64
 	Op       StateOp
 	Key      string // the prefix for OpRange and OpWatch
-	After    string
+	After    string // the key after which a page of OpRange starts; empty: the first page
 	Txn      wire.Txn
-	Life     time.Duration
-	Lease    uint64
-	Revision uint64
-	Wait     time.Duration
+	Life     time.Duration // time to live of the lease that OpGrant requests
+	Lease    uint64        // the lease of OpRenew and OpRevoke
+	Revision uint64        // the revision after which the changes of OpWatch start
+	Wait     time.Duration // how long OpWatch waits for a change
 	Timeout  time.Duration
 }
 
@@ -108,7 +111,7 @@
 type CloudCall struct {
 	ID         uint64
 	Op         CloudOp
-	After      string
+	After      string // the machine ID after which a page of CloudList starts; empty: the first page
 	Rent       wire.RentRequest
 	MachineIDs []string
 	Timeout    time.Duration
@@ -150,7 +153,7 @@
 	Envelope *mesh.Envelope
 }
 
-// Event is a log record.
+// Event is a log record, which the shell writes to its log. Attrs are key-value pairs as for slog.
 type Event struct {
 	Level slog.Level
 	Text  string
--- a/controller/job_dependencies.go
+++ b/controller/job_dependencies.go
@@ -9,14 +9,16 @@
 )
 
 // Dependencies between jobs. Jobs that need other jobs are the nodes of one dynamic graph, which
-// every controller maintains for the headers in its copy. A cancellation is a failure that
+// every controller maintains for the job headers in its watch cache. A cancellation is a failure that
 // propagates to all dependents. Since a job starts no task before all jobs that it needs are done, a
-// job cancelled in this way has never run, and every controller can derive the cancellation from the
-// headers or, where those are deleted, the final records (see lookupOutcomes). The leader writes the
-// final record of a cancelled job only when no unfinished job that it knows of needs it any more.
-
-// addDependencies adds a job to the graph, or marks it as cancelled there, and applies the effects on
-// its dependents to the leader's state.
+// job that is cancelled because a job that it needs is cancelled has never run. Every controller can
+// derive this cancellation from the headers of the needed jobs or, for needed jobs whose header is
+// deleted, from their final records (see lookupOutcomes). The leader writes the final record of a
+// cancelled job only when no unfinished job that it knows of needs it any more.
+
+// addDependencies adds a job to the graph with the known outcomes of the jobs that it needs, or marks it
+// as cancelled there, and updates the jobs in the leader's state that are affected. A recovered leader
+// also looks up the outcomes of needed jobs that have neither a header nor a cached final record.
 func (c *Core) addDependencies(id string, h *headerRecord) {
 	if h.Cancelled {
 		c.updateDependents(c.dependencies.Accumulate(id, reduction.Cancelled))
@@ -26,13 +28,13 @@
 		return
 	}
 	c.updateDependents(c.dependencies.Add(id, h.Job.Needs))
-	for _, p := range h.Job.Needs {
-		if ph := c.watchCache.headers[p]; ph != nil && ph.Cancelled {
-			c.updateDependents(c.dependencies.Accumulate(p, reduction.Cancelled))
-		} else if f, over := c.finals.jobs[p]; over {
-			c.accumulateOutcome(p, f)
-		} else if ph == nil && c.lead != nil && c.lead.recovered {
-			c.lead.fetchOutcome(p)
+	for _, neededID := range h.Job.Needs {
+		if neededHeader := c.watchCache.headers[neededID]; neededHeader != nil && neededHeader.Cancelled {
+			c.updateDependents(c.dependencies.Accumulate(neededID, reduction.Cancelled))
+		} else if final, ended := c.finals.jobs[neededID]; ended {
+			c.accumulateOutcome(neededID, final)
+		} else if neededHeader == nil && c.lead != nil && c.lead.recovered {
+			c.lead.fetchOutcome(neededID)
 		}
 	}
 }
@@ -44,8 +46,8 @@
 	if l == nil || !l.recovered {
 		return
 	}
-	for _, p := range h.Job.Needs { // the final record of a cancelled one may be due now
-		if j := l.jobs[p]; j != nil && j.cancelled {
+	for _, neededID := range h.Job.Needs { // the final record of a cancelled needed job may be due now: this job no longer needs it
+		if j := l.jobs[neededID]; j != nil && j.cancelled {
 			l.finalizeIfSettled(j)
 		}
 	}
@@ -60,6 +62,7 @@
 	c.accumulateOutcome(id, f)
 }
 
+// accumulateOutcome applies the outcome in a job's final record to the graph.
 func (c *Core) accumulateOutcome(id string, f finalRecord) {
 	o := reduction.Succeeded
 	if f.Cancelled {
@@ -78,7 +81,7 @@
 	for _, id := range ids {
 		j := l.jobs[id]
 		switch {
-		case j == nil:
+		case j == nil: // not an unfinished job of this leader
 		case c.effectivelyCancelled(id):
 			c.log(slog.LevelInfo, "job cancelled with what it needs", "job", id)
 			l.cancel(j)
@@ -109,14 +112,15 @@
 	return c.watchCache.headers[id] == nil && c.dependencies.Status(id) == reduction.Pending
 }
 
-// fetchOutcome looks up the outcome of a job that others need and whose header is deleted, with
-// retries. Only its final record contains the outcome.
+// fetchOutcome looks up the outcome of a job that others need and whose header is deleted. Only its
+// final record contains the outcome. The lookup is repeated every second until it succeeds, the job
+// turns out to be unfinished or this controller stops being the leader.
 func (l *leader) fetchOutcome(id string) {
 	c := l.c
-	c.lookup(id, func(k lookupResult) {
+	c.lookup(id, func(result lookupResult) {
 		switch {
-		case c.lead != l || k == jobUnfinished:
-		case k == jobFinal:
+		case c.lead != l || result == jobUnfinished: // not the leader any more, or the job has no outcome yet
+		case result == jobFinal:
 			c.accumulateOutcome(id, c.finals.jobs[id])
 		default:
 			c.after(time.Second, func() {
@@ -131,20 +135,21 @@
 // fetchUnknownOutcomes looks up the unknown outcomes of all jobs that unfinished jobs need.
 func (l *leader) fetchUnknownOutcomes() {
 	for _, j := range l.jobsByAcceptance {
-		for _, p := range j.spec.Needs {
-			if l.c.outcomeUnknown(p) {
-				l.fetchOutcome(p)
+		for _, neededID := range j.spec.Needs {
+			if l.c.outcomeUnknown(neededID) {
+				l.fetchOutcome(neededID)
 			}
 		}
 	}
 }
 
-// markReady sets the time since which a job is ready: the end of the last job that it needs, as
-// recorded, so that a later leader determines the same time.
+// markReady sets the time since which a job is ready: the time of its acceptance or the latest end of a
+// job that it needs, whichever is later. Both times are recorded, so a later leader determines the same
+// time. It also records the arrival for the headroom estimate and schedules a placement round.
 func (l *leader) markReady(j *job) {
 	j.ready = j.accepted
-	for _, p := range j.spec.Needs {
-		if at := time.UnixMilli(l.c.finals.jobs[p].EndedMS); at.After(j.ready) {
+	for _, neededID := range j.spec.Needs {
+		if at := time.UnixMilli(l.c.finals.jobs[neededID].EndedMS); at.After(j.ready) {
 			j.ready = at
 		}
 	}
@@ -152,8 +157,8 @@
 	l.schedulePlacement()
 }
 
-// soonReadyDemands lists the demands of jobs that will be ready soon: all jobs that they need are done or
-// running, and should end before a machine that is rented now is up.
+// soonReadyDemands lists the demands of blocked jobs that are expected to be ready by the time that a
+// machine rented now is up, see neededJobsEndSoon.
 func (l *leader) soonReadyDemands() []*scheduler.Demand {
 	var ds []*scheduler.Demand
 	for _, j := range l.jobsByAcceptance {
@@ -167,20 +172,21 @@
 	return ds
 }
 
-// neededJobsEndSoon reports whether all jobs that a job needs are done or should end before a machine
-// that is rented now is up.
+// neededJobsEndSoon reports whether each job that a job needs is done, or has no pending task and only
+// running attempts that are expected to end within the shortest boot time of the machine types that the
+// waiting job may use.
 func (l *leader) neededJobsEndSoon(j *job) bool {
-	boot := l.c.shortestBootForS(&j.spec)
-	for _, p := range j.spec.Needs {
-		needed := l.jobs[p]
+	bootS := l.c.shortestBootForS(&j.spec)
+	for _, neededID := range j.spec.Needs {
+		needed := l.jobs[neededID]
 		switch {
-		case needed == nil && l.c.dependencies.Status(p) == reduction.Completed:
+		case needed == nil && l.c.dependencies.Status(neededID) == reduction.Completed:
 			continue
 		case needed == nil || l.blocked(needed) || needed.state.Count(reduction.Pending) > 0:
 			return false
 		}
 		for _, a := range needed.attempts {
-			if a.phase < attemptRunning || l.remainingS(a) > boot {
+			if a.phase < attemptRunning || l.remainingS(a) > bootS {
 				return false
 			}
 		}
--- a/controller/progress.go
+++ b/controller/progress.go
@@ -9,32 +9,35 @@
 	"pumicefront/reduction"
 )
 
-// Broadcasts of the leader to the other controllers: task counts and machine hints.
+// Broadcasts of the leader to the other controllers: the task counts of jobs, and hints that help the next
+// leader: for each machine, its worker's address and the images that it has.
 
-// allHintsInterval is the interval between broadcasts of the hints of all machines. They are repeated
-// because the other controllers lose them when they restart.
+// allHintsInterval is the interval between broadcasts of the hints for all machines. The broadcasts are
+// repeated because the other controllers lose the hints when they restart.
 const allHintsInterval = 10 * time.Second
 
-// broadcastProgress sends the other controllers the task counts that have changed, for display, and
-// the hints.
+// broadcastProgress sends the other controllers the task counts that have changed and the hints. Other
+// controllers answer job status requests from the counts, and lookupOutcomes skips its reads for a job with
+// running or done tasks. While most workers can't reach the leader, a message is sent even without
+// counts and hints, so that the other controllers relay the reports of workers at once.
 func (l *leader) broadcastProgress() {
-	const every = 500 * time.Millisecond
-	if l.c.now.Sub(l.progressSentAt) < every {
+	const interval = 500 * time.Millisecond
+	if l.c.now.Sub(l.progressSentAt) < interval {
 		return
 	}
 	l.progressSentAt = l.c.now
 	var jobs []*mesh.JobProgress
 	for _, j := range l.jobsByAcceptance {
-		n := jobCount{done: j.state.Count(reduction.Completed)}
+		count := jobCount{done: j.state.Count(reduction.Completed)}
 		for _, a := range j.attempts {
 			if a.phase == attemptRunning {
-				n.running++
+				count.running++
 			}
 		}
-		if l.progressSent[j.id] != n {
-			l.progressSent[j.id] = n
-			l.c.progress[j.id] = n
-			jobs = append(jobs, &mesh.JobProgress{Job: j.id, Done: uint32(n.done), Running: uint32(n.running)})
+		if l.progressSent[j.id] != count {
+			l.progressSent[j.id] = count
+			l.c.progress[j.id] = count
+			jobs = append(jobs, &mesh.JobProgress{Job: j.id, Done: uint32(count.done), Running: uint32(count.running)})
 		}
 	}
 	hints := l.hints()
@@ -44,9 +47,10 @@
 	}
 }
 
-// hints lists the hints for the next leader about machines that have changed, and about all machines
-// every allHintsInterval: their addresses, since workers take seconds to find a new leader, and their
-// images, which reports don't contain.
+// hints returns the hints to broadcast, and caches them as this controller's own: those for machines that
+// are up and new or whose number of images has changed since their last hint, and every
+// allHintsInterval those for all machines that are up. A hint contains the address, since workers take
+// seconds to find a new leader, and the images, which reports don't contain.
 func (l *leader) hints() []*mesh.Hint {
 	all := l.c.now.Sub(l.allHintsSentAt) > allHintsInterval
 	if all {
--- a/controller/quota.go
+++ b/controller/quota.go
@@ -12,8 +12,8 @@
 
 // Team quotas: what each team is guaranteed, what limits it, and which of its jobs the guarantee covers.
 
-// quota is a team's guarantee and limit. Whether work is admitted, has room, is within its team's guarantee or may be
-// preempted for another team is always decided by it.
+// quota is a team's guarantee and limit. All decisions that depend on a team's settings use it: whether work is admitted,
+// whether it has room, whether it is within its team's guarantee and whether it may be preempted for another team.
 //
 // A zero in a team's settings means that the resource is unspecified. Every task takes cores and memory, so a team with
 // settings for GPUs alone could run nothing if zero were a limit. A resource without a limit is limited by the machines
@@ -21,6 +21,9 @@
 // settings leave unspecified. A team without any settings is guaranteed nothing.
 type quota struct{ guarantee, limit scheduler.Resources }
 
+// quotaOf returns the quota that follows from a team's settings. An unspecified limit is infinite. So is a team's
+// guarantee for a resource without a guarantee or a limit in its settings, if the team has a guarantee for another
+// resource. Memory is never restricted.
 func quotaOf(t config.Team) quota {
 	guaranteed := t.CPUs > 0 || t.GPUs > 0
 	guarantee := func(amount, maximum float64) float64 {
@@ -41,8 +44,10 @@
 	}
 }
 
-// idleExcess is the use beyond the guarantee of a team that uses nothing: the negated guarantee. Where the guarantee is
-// infinite the excess is too, so that this resource alone never protects the team's tasks from preemption.
+// idleExcess returns the excess of a team that uses nothing: the negated guarantee. For a resource with an infinite
+// guarantee the excess is positive infinity instead: negated, it would protect all the team's tasks that use the resource
+// from preemption, whatever the team uses of other resources. Memory is left at 0: it is never guaranteed, and
+// scheduler.Excess ignores it.
 func (q quota) idleExcess() scheduler.Resources {
 	negated := func(guarantee float64) float64 {
 		if math.IsInf(guarantee, 1) {
@@ -54,7 +59,8 @@
 	return scheduler.Resources{CPUs: negated(g.CPUs), GPUs: negated(g.GPUs)}
 }
 
-// teamUse sums, by team, the resources of all attempts not yet proved to have ended and of jobs granted to other cells.
+// teamUse sums, by team, the resources of all attempts whose end is not yet proved and of the unfinished tasks of jobs
+// granted to other cells.
 func (l *leader) teamUse() map[string]scheduler.Resources {
 	used := map[string]scheduler.Resources{}
 	for _, j := range l.jobsByAcceptance {
@@ -63,7 +69,8 @@
 	return used
 }
 
-// excess is each team's use beyond its guarantee, without the attempts that are being stopped.
+// excess returns each team's use minus its guarantee, negative where the team uses less than that. Attempts that are
+// being stopped do not count as use.
 func (l *leader) excess() scheduler.Excess {
 	e := scheduler.Excess{}
 	for team, q := range l.c.quotas {
@@ -79,29 +86,32 @@
 	return e
 }
 
+// roomInTeam returns how many more tasks of a demand the limit of its team allows, given the use of all teams.
 func (l *leader) roomInTeam(d *scheduler.Demand, used map[string]scheduler.Resources) int {
 	return l.c.quotas[d.Team].limit.Add(used[d.Team], -1).Fits(d.TaskResources)
 }
 
-// fitsGuarantee reports whether a job fits into its team's guarantee together with the team's jobs that come before it,
-// and adds the job to their sum.
-func (l *leader) fitsGuarantee(j *job, earlier map[string]scheduler.Resources) bool {
-	sum := earlier[j.spec.Team].Add(taskResources(&j.spec), float64(j.tasksLeft()))
-	earlier[j.spec.Team] = sum
+// fitsGuarantee adds the unfinished tasks of a job to its team's sum in teamSums, and reports whether the new sum fits
+// into the team's guarantee. It is called for the jobs in the order in which they are served.
+func (l *leader) fitsGuarantee(j *job, teamSums map[string]scheduler.Resources) bool {
+	sum := teamSums[j.spec.Team].Add(taskResources(&j.spec), float64(j.tasksLeft()))
+	teamSums[j.spec.Team] = sum
 	return l.c.quotas[j.spec.Team].guarantee.Fits(sum) > 0
 }
 
-// guaranteesInterval is how often the guarantees are reassigned while no job arrives.
+// guaranteesInterval is the minimum time between two assignments of the guarantees. It is not waited for after a job is
+// added or the grant of a job to another cell changes, which both reset guaranteesAssignedAt.
 const guaranteesInterval = 250 * time.Millisecond
 
 // assignGuarantees marks the jobs beyond their team's guarantee as borrowed. A team's guarantee goes to its jobs in the
-// order in which they are served: fewest missed objectives first, then least work left.
+// order in which they are served: fewest missed objectives first, then least work left. Cancelled and blocked jobs and
+// jobs granted by other cells are left out.
 func (l *leader) assignGuarantees() {
 	if l.c.now.Sub(l.guaranteesAssignedAt) < guaranteesInterval {
 		return
 	}
 	l.guaranteesAssignedAt = l.c.now
-	earlier := map[string]scheduler.Resources{}
+	teamSums := map[string]scheduler.Resources{}
 	type ranked struct {
 		*job
 		missed int
@@ -117,6 +127,6 @@
 		return cmp.Or(cmp.Compare(a.missed, b.missed), cmp.Compare(a.work, b.work))
 	})
 	for _, r := range order {
-		r.job.terms.Borrowed = !l.fitsGuarantee(r.job, earlier)
+		r.job.terms.Borrowed = !l.fitsGuarantee(r.job, teamSums)
 	}
 }
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -9,18 +9,19 @@
 	"pumicefront/wire"
 )
 
-// When moves may start, and the state of the fleet that they are planned from.
+// The conditions for starting moves, and the snapshot of the fleet from which they are planned.
 
 // Intervals and thresholds of planning.
 const (
 	planInterval          = time.Second
 	emptyPlanPause        = 4 * time.Second  // added to the interval after a plan without moves
-	headroomPause         = 10 * time.Second // after a plan whose moves would have taken headroom
+	headroomPause         = 10 * time.Second // no moves for this time after a plan whose moves would have taken headroom
 	lateRenewalDivisor    = 2                // a renewal is late after the time to live of the leader's lease divided by this
 	freeBackgroundDivisor = 2                // the burst of background writes divided by this must be free
 )
 
-// plan starts the moves that are worth their cost, unless moves are blocked.
+// plan starts the moves that balance.Plan chooses, unless moves are blocked. It runs at most once per planInterval, and
+// emptyPlanPause later than that after a plan without moves.
 func (s *spreading) plan() {
 	if s.c.now.Sub(s.plannedAt) < planInterval {
 		return
@@ -32,15 +33,15 @@
 	}
 	machines := s.schedulerView(false)
 	fleet := s.fleetState(machines)
-	others, listed := s.stoppedByEarlierLeaders(), len(fleet.Machines)
-	allowance := s.tracker.Allowance(s.c.now, listed, others)
+	untrackedMoves, listed := s.stoppedByEarlierLeaders(), len(fleet.Machines)
+	allowance := s.tracker.Allowance(s.c.now, listed, untrackedMoves)
 	if allowance.Moves == 0 || !s.anyHot(&fleet) {
 		return
 	}
 	s.listMovableTasks(&fleet)
 	moves := balance.Plan(fleet, *s.settings(), allowance)
 	if len(moves) == 0 {
-		s.plannedAt = s.c.now.Add(emptyPlanPause)
+		s.plannedAt = s.c.now.Add(emptyPlanPause) // in the future, which delays the next plan
 		return
 	}
 	if !s.ensureMovesRecord() {
@@ -73,8 +74,8 @@
 	return balance.NotBlocked
 }
 
-// allReported reports whether this leader has listened for as long as workers take to find it, and every machine with
-// attempts has reported to it.
+// allReported reports whether every machine with attempts has reported to this leader, and workers have had the time to do
+// so: more than reconnectTimeout since its election, and more than one heartbeat interval since it last began to listen.
 func (s *spreading) allReported() bool {
 	now := s.c.now
 	if now.Sub(s.elected) <= s.reconnectTimeout() || now.Sub(s.failureDetector.listening.startedAt) <= s.failureDetector.heartbeatDue(time.Second) {
@@ -96,7 +97,8 @@
 	})
 }
 
-// stoppedByEarlierLeaders counts the tasks that an earlier leader has stopped: it may have been moving them.
+// stoppedByEarlierLeaders counts the tasks that an earlier leader has stopped. Each may be part of a move of that leader,
+// which this leader's tracker does not contain.
 func (s *spreading) stoppedByEarlierLeaders() int {
 	count := 0
 	for _, m := range s.machinesByName {
@@ -109,17 +111,19 @@
 	return count
 }
 
-// fleetMachine is a machine as it was when the state of the fleet was taken.
+// fleetMachine is the scheduler's view of a machine and its used resources when the fleet snapshot was taken. Used of the
+// snapshot's own machines changes while moves are planned.
 type fleetMachine struct {
 	*scheduler.Machine
 	used scheduler.Resources
 }
 
-// fleetState is the machines that count, without their tasks. Tasks that are being stopped do not count as load;
-// reserved room does.
+// fleetState returns a snapshot of the machines that take part in load spreading, without their tasks. Machines that are
+// suspected faulty do not take part, and empty ones only if KeepIdle is set. Resources of tasks that are being stopped do
+// not count as used; reserved resources do.
 func (s *spreading) fleetState(machines []*scheduler.Machine) balance.FleetSnapshot {
 	byID := make(map[string]fleetMachine, len(machines))
-	p := balance.FleetSnapshot{Machines: make([]balance.Machine, 0, len(machines))}
+	fleet := balance.FleetSnapshot{Machines: make([]balance.Machine, 0, len(machines))}
 	for _, m := range machines {
 		empty := m.Free == m.Cap
 		if m.Penalty > 0 || empty && !s.settings().KeepIdle {
@@ -127,24 +131,25 @@
 		}
 		used := m.Cap.Add(m.Free, -1).Add(m.Releasing, -1)
 		byID[m.ID] = fleetMachine{m, used}
-		p.Machines = append(p.Machines, balance.Machine{ID: m.ID, Size: s.c.measure.Of(m.Cap), Cap: m.Cap, Used: used})
+		fleet.Machines = append(fleet.Machines, balance.Machine{ID: m.ID, Size: s.c.measure.Of(m.Cap), Cap: m.Cap, Used: used})
 	}
-	p.HasImage = func(m *balance.Machine, image string) bool { return byID[m.ID].Images[image] }
+	fleet.HasImage = func(m *balance.Machine, image string) bool { return byID[m.ID].Images[image] }
 	demands := map[balance.TaskID]*scheduler.Demand{}
-	p.Fits = func(t *balance.Task, to *balance.Machine) bool {
+	fleet.Fits = func(t *balance.Task, to *balance.Machine) bool {
 		d := demands[t.TaskID]
 		if d == nil {
 			d = s.demandOfMove(t.TaskID)
 			demands[t.TaskID] = d
 		}
 		m := *byID[to.ID].Machine
-		m.Free = m.Free.Add(to.Used, -1).Add(byID[to.ID].used, 1) // other moves of the plan may go there
+		m.Free = m.Free.Add(to.Used, -1).Add(byID[to.ID].used, 1) // minus what other moves of the plan have added to to.Used
 		return m.Spot == s.jobs[t.Job].attempts[t.Index].machine.spot && d.Fits(&m)
 	}
-	return p
+	return fleet
 }
 
-// demandOfMove is what a running task requires of another machine.
+// demandOfMove returns the demand for placing a running task on another machine. RoomInTeam is 1, since the task already
+// counts towards its team's limit.
 func (s *spreading) demandOfMove(id balance.TaskID) *scheduler.Demand {
 	j := s.jobs[id.Job]
 	d := s.c.demandOf(&j.spec)
@@ -158,18 +163,18 @@
 }
 
 // anyHot reports whether any machine is hot.
-func (s *spreading) anyHot(p *balance.FleetSnapshot) bool {
-	hot := s.settings().HotShare(balance.NewDistribution(p.Machines).Mean)
-	return slices.ContainsFunc(p.Machines, func(m balance.Machine) bool { return m.Share() > hot })
+func (s *spreading) anyHot(fleet *balance.FleetSnapshot) bool {
+	hotShare := s.settings().HotShare(balance.NewDistribution(fleet.Machines).Mean)
+	return slices.ContainsFunc(fleet.Machines, func(m balance.Machine) bool { return m.Share() > hotShare })
 }
 
 // listMovableTasks lists the tasks of hot machines that may be moved.
-func (s *spreading) listMovableTasks(p *balance.FleetSnapshot) {
-	hot := s.settings().HotShare(balance.NewDistribution(p.Machines).Mean)
+func (s *spreading) listMovableTasks(fleet *balance.FleetSnapshot) {
+	hotShare := s.settings().HotShare(balance.NewDistribution(fleet.Machines).Mean)
 	tolerances := newMoveTolerances(s)
-	for i := range p.Machines {
-		m := &p.Machines[i]
-		if m.Share() <= hot {
+	for i := range fleet.Machines {
+		m := &fleet.Machines[i]
+		if m.Share() <= hotShare {
 			continue
 		}
 		for _, a := range s.machines[m.ID].attemptsInOrder {
@@ -180,32 +185,33 @@
 	}
 }
 
-// movableTask describes an attempt's task, whose move costs the given seconds of its time.
-func (a *attempt) movableTask(cost float64) balance.Task {
-	t := balance.Task{TaskID: a.moveID(), Team: a.job.spec.Team, Resources: a.job.terms.TaskResources, Cost: cost}
+// movableTask returns an attempt's task for balance.Plan. costS is the time in seconds that the task loses by a move.
+func (a *attempt) movableTask(costS float64) balance.Task {
+	t := balance.Task{TaskID: a.moveID(), Team: a.job.spec.Team, Resources: a.job.terms.TaskResources, Cost: costS}
 	if a.job.spec.Kind == wire.KindService {
 		t.OnlyImage = a.job.spec.Image
 	}
 	return t
 }
 
-// moveID identifies an attempt's task.
+// moveID returns the ID by which package balance identifies an attempt's task.
 func (a *attempt) moveID() balance.TaskID { return balance.TaskID{Job: a.job.id, Index: a.task} }
 
-// preserveHeadroom returns as many of the moves as leave all headroom its room: all, the best one, or none.
+// preserveHeadroom returns all moves if as many headroom tasks can be placed with them as without, else the first and best
+// move if that is so for it alone, else none. After none, further moves are blocked for headroomPause.
 func (s *spreading) preserveHeadroom(machines []*scheduler.Machine, moves []balance.Move) []balance.Move {
 	before := s.headroomPlaced(machines, nil)
-	for _, some := range [][]balance.Move{moves, moves[:1]} {
-		if s.headroomPlaced(machines, some) >= before {
-			return some
+	for _, subset := range [][]balance.Move{moves, moves[:1]} {
+		if s.headroomPlaced(machines, subset) >= before {
+			return subset
 		}
 	}
 	s.pausedUntil = s.c.now.Add(headroomPause)
 	return nil
 }
 
-// headroomPlaced counts the headroom that has room while moves are active: room at their destinations is taken, and
-// room at their sources is not free yet.
+// headroomPlaced counts the tasks of the headroom demands that can be placed while the given moves are active: their
+// resources are already taken at the destinations and not yet free at the sources.
 func (s *spreading) headroomPlaced(machines []*scheduler.Machine, moves []balance.Move) int {
 	taken := map[string]scheduler.Resources{}
 	for _, m := range moves {
--- a/internal/sim/cell_measure.go
+++ b/internal/sim/cell_measure.go
@@ -8,15 +8,19 @@
 	"pumicefront/wire"
 )
 
-// Measurement of spillover: one cell receives more work than it has room for.
+// Measurement of spillover between cells: start delays, throughput and writes to the state services when
+// one cell receives more work than it has room for.
 
-// measureCells submits twice the work that fits to one of four cells, for two minutes. The mode is "off"
-// (no cell lends cores), "on", or "holder lost" (a cell that holds jobs fails for a minute).
+// measureCells submits twice the work that fits to one of four cells, its home, for two minutes. The mode
+// is "off" (no cell lends cores), "on" (the other three lend cores), or "holder lost" (they lend cores, and
+// the first of them, which holds jobs granted by the home, fails for a minute).
 func measureCells(machines int, seed uint64, mode string) cellMeasurement {
 	const submitting, end = 2 * time.Minute, 10 * time.Minute
+	// Half of a cell's machines have 4 cores, half have 16.
 	cores := float64(machines) / 2 * 20
-	c := NewFederation(seed, 4, map[string]float64{"off": 0}[mode])
-	for i, w := range c.Worlds {
+	// No cell lends cores in any mode at first; the loop below sets LendCores.
+	federation := NewFederation(seed, 4, map[string]float64{"off": 0}[mode])
+	for i, w := range federation.Worlds {
 		w.deterministic, w.faults.fastBoots = true, true
 		w.shape.Scale, w.shape.Machines = cores/8, machines
 		w.cfg = settings(w.shape)
@@ -28,10 +32,10 @@
 			n.boot()
 		}
 	}
-	home := c.Worlds[0]
+	home := federation.Worlds[0]
 	startDelays := map[*simJob]time.Duration{}
 	submittedAt := map[*simJob]time.Duration{}
-	for _, w := range c.Worlds {
+	for _, w := range federation.Worlds {
 		w.onStart = func(_ *host, task *task) {
 			if _, seen := startDelays[task.job]; !seen {
 				startDelays[task.job] = w.now - submittedAt[task.job]
@@ -39,6 +43,7 @@
 		}
 	}
 	const taskRun, tasks = 30 * time.Second, 20 // arrays whose tasks take one core each
+	// The interval at which each job takes as much core time as 2*cores cores provide: twice what fits.
 	interval := time.Duration(float64(taskRun) * tasks / (2 * cores))
 	for id, at := 0, 10*time.Second; at < submitting; id, at = id+1, at+interval {
 		j := &simJob{spec: wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "batch", Team: "blue", Kind: wire.KindArray, Priority: "standard", Tasks: tasks,
@@ -50,7 +55,7 @@
 		})
 	}
 	if mode == "holder lost" {
-		c.Worlds[1].after(90*time.Second, func() { c.Worlds[1].failCell(time.Minute) })
+		federation.Worlds[1].after(90*time.Second, func() { federation.Worlds[1].failCell(time.Minute) })
 	}
 	done := map[time.Duration]int{}
 	for _, at := range []time.Duration{2 * time.Minute, 4 * time.Minute} {
@@ -60,22 +65,23 @@
 			}
 		})
 	}
-	c.Run(end)
-	m := cellMeasurement{violations: c.Violations(), jobs: len(submittedAt), jobsElsewhere: len(c.startsElsewhere), doneAfter2Min: done[2*time.Minute], doneAfter4Min: done[4*time.Minute]}
+	federation.Run(end)
+	m := cellMeasurement{violations: federation.Violations(), jobs: len(submittedAt), jobsElsewhere: len(federation.startsElsewhere), doneAfter2Min: done[2*time.Minute], doneAfter4Min: done[4*time.Minute]}
 	for j := range submittedAt {
 		m.unfinishedTasks += j.tasksLeft()
 		if wait, ran := startDelays[j]; ran {
 			m.startDelays = append(m.startDelays, wait)
 		}
 	}
-	for _, w := range c.Worlds {
+	for _, w := range federation.Worlds {
 		m.stateChanges += len(w.store.history)
 	}
 	slices.Sort(m.startDelays)
 	return m
 }
 
-// cellMeasurement is the result of one run.
+// cellMeasurement is the result of one run of measureCells. Jobs count as run elsewhere if at least one of
+// their tasks started in another cell than the home.
 type cellMeasurement struct {
 	violations                   []string
 	jobs, jobsElsewhere          int
@@ -88,9 +94,9 @@
 // String formats the result in one line.
 func (m cellMeasurement) String() string {
 	if len(m.startDelays) == 0 {
-		return "nothing has run"
+		return "no job has started"
 	}
-	return fmt.Sprintf("%d jobs, %d elsewhere; begun after p50 %.0f s, p90 %.0f s, most %.0f s; tasks done after 2 min %d, 4 min %d; %.1f changes a job in all cells; %d tasks left",
+	return fmt.Sprintf("%d jobs, %d run elsewhere; start delay p50 %.0f s, p90 %.0f s, max %.0f s; tasks done after 2 min %d, 4 min %d; %.1f key changes per job in all cells; %d tasks unfinished",
 		m.jobs, m.jobsElsewhere, m.startDelays[len(m.startDelays)/2].Seconds(), m.startDelays[len(m.startDelays)*9/10].Seconds(), m.startDelays[len(m.startDelays)-1].Seconds(),
 		m.doneAfter2Min, m.doneAfter4Min, float64(m.stateChanges)/float64(m.jobs), m.unfinishedTasks)
 }
--- a/internal/sim/live_cells_test.go
+++ b/internal/sim/live_cells_test.go
@@ -27,8 +27,9 @@
 
 // TestLiveCells runs four cells with two controllers each as real processes over TCP. Users submit far more
 // work to the first cell, the home, than it has room for, so jobs spill over into the others. The
-// controllers of each of these cells are killed and restarted while they hold work of the home, then those
-// of the home. Every job must end with one final answer, and every task must have one owner across all cells.
+// controllers of each of the other cells are killed and restarted while the cell holds jobs granted by the
+// home, then those of the home, one at a time. Every job must end with one final answer, and no task may run
+// in two cells at the same time.
 func TestLiveCells(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 110*time.Second)
 	defer cancel()
@@ -63,21 +64,21 @@
 	}
 	run := func(d time.Duration) {
 		if err := federation.RunLive(d); err != nil || len(federation.Violations()) > 0 {
-			t.Fatalf("%v, rules broken: %v", err, federation.Violations())
+			t.Fatalf("run failed with error %v, violations: %v", err, federation.Violations())
 		}
 	}
 	federation.Worlds[0].after(3*time.Second, func() { submitLiveCellJobs(federation.Worlds[0], 40) })
 	run(5 * time.Second)
-	sawTransferredJobs := false // whether the home's status has listed jobs granted to other cells
+	sawGrantedJobs := false // whether the home's status has listed jobs granted to other cells
 	for range 11 {
 		run(time.Second)
 		status, err := statusclient.Fetch[cells.Status](ctx, listens[0], cells.StatusPath)
-		sawTransferredJobs = sawTransferredJobs || err == nil && status.Ready && len(status.Out) > 0
+		sawGrantedJobs = sawGrantedJobs || err == nil && status.Ready && len(status.Out) > 0
 	}
-	if !sawTransferredJobs {
+	if !sawGrantedJobs {
 		t.Error("the home's status never listed a job granted to another cell")
 	}
-	for i := 1; i <= 3; i++ { // one cell after the other, while they hold work
+	for i := 1; i <= 3; i++ { // all controllers of one cell after the other, while the cell holds granted jobs
 		for _, p := range controllers[i] {
 			p.kill()
 		}
@@ -109,15 +110,15 @@
 	}
 }
 
-// checkLiveCells checks the rules of all cells and their common history, and that jobs ran in other cells
-// and jobs were cancelled.
+// checkLiveCells checks the rules of all cells and the history of events in the whole federation. It also
+// checks that at least five jobs ran in another cell than their home and at least one was cancelled.
 func checkLiveCells(t *testing.T, federation *Federation) {
 	t.Helper()
 	if len(federation.Violations()) == 0 {
 		federation.Worlds[0].checkEnds()
 	}
-	for _, r := range federation.Violations() {
-		t.Error(r)
+	for _, violation := range federation.Violations() {
+		t.Error(violation)
 	}
 	if found := history.Check(federation.history); len(found) > 0 {
 		t.Errorf("%d violations in the history, the first: %+v", len(found), found[0])
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// An invalid submission is refused, and its job ID is still returned where it can be read: without the ID, a
-// resubmission of a known job would be answered with 400.
+// An invalid submission is refused, and its job ID is still returned where it can be read. The controller needs
+// the ID to answer an invalid resubmission of a known job with the job's state instead of status 400.
 func TestParseJobRefuses(t *testing.T) {
 	for name, v := range map[string]any{
 		"uid": "job-1", "shape": "spiral", "urgency": "urgent", "pieces": 0, "cores": -1.0, "ram_gb": "much",
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestSplitTask(t *testing.T) {
+func TestSplitTaskID(t *testing.T) {
 	if job, n, ok := SplitTaskID(TaskID("req-000412", 3)); !ok || job != "req-000412" || n != 3 {
 		t.Fatal(job, n, ok)
 	}
@@ -111,22 +111,22 @@
 	bad := maps.Clone(sampleSubmission())
 	bad["shape"], bad["pieces"] = "spiral", 0
 	_, _, err := ParseJob(Marshal(bad))
-	var wrong *FieldError
-	if !errors.As(err, &wrong) || !errors.Is(err, ErrInvalidField) {
+	var fieldErr *FieldError
+	if !errors.As(err, &fieldErr) || !errors.Is(err, ErrInvalidField) {
 		t.Fatalf("error of type %T: %v", err, err)
 	}
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
 		t.Fatalf("error of type %T is not a joined error", err)
 	}
-	var named []string
-	for _, each := range joined.Unwrap() {
-		if errors.As(each, &wrong) {
-			named = append(named, wrong.Field)
+	var fieldNames []string
+	for _, joinedErr := range joined.Unwrap() {
+		if errors.As(joinedErr, &fieldErr) {
+			fieldNames = append(fieldNames, fieldErr.Field)
 		}
 	}
-	if !slices.Equal(named, []string{"pieces", "shape"}) || err.Error() != "field pieces is missing or invalid\nfield shape is missing or invalid" {
-		t.Errorf("named fields %v, message %q", named, err.Error())
+	if !slices.Equal(fieldNames, []string{"pieces", "shape"}) || err.Error() != "field pieces is missing or invalid\nfield shape is missing or invalid" {
+		t.Errorf("named fields %v, message %q", fieldNames, err.Error())
 	}
 	if _, _, err := ParseJob([]byte("not cbor")); err == nil || errors.Is(err, ErrInvalidField) {
 		t.Errorf("error for a body that can't be decoded: %v", err)
