--- a/celllink/convert.go
+++ b/celllink/convert.go
@@ -1,6 +1,6 @@
-// Package celllink carries messages between cells as protobuf over HTTP, with one call at a time for each
-// cell and a timeout on every call. Delivery is not guaranteed: the core repeats its messages until they are
-// answered.
+// Package celllink carries messages between cells as protobuf over HTTP, with a timeout on every call. The
+// controller's core makes at most one call at a time to each cell. Delivery is not guaranteed: the core sends its
+// messages again until they are answered.
 package celllink
 
 import (
@@ -13,23 +13,23 @@
 
 // encodeMessages converts messages to their protobuf form.
 func encodeMessages(messages []controller.CellMessage) []*Message {
-	var all []*Message
+	var encoded []*Message
 	for _, m := range messages {
 		p := &Message{Kind: Kind(m.Kind), Job: m.Job, Epoch: uint64(m.Epoch), Cancel: m.Cancel, State: State(m.State), Result: Result(m.Result)}
 		if m.Spec != nil {
 			p.Spec = wire.Marshal(m.Spec)
 		}
-		all = append(all, p)
+		encoded = append(encoded, p)
 	}
-	return all
+	return encoded
 }
 
-// decodeMessages converts protobuf messages that the cell from has sent to the cell to. The team of a message is taken
-// from the job that it carries, if any.
-func decodeMessages(messages []*Message, from, to cells.Cell) ([]controller.CellMessage, error) {
-	var all []controller.CellMessage
+// decodeMessages converts protobuf messages that one cell has sent to another. The team of a message is that of the
+// job in the message, if there is one.
+func decodeMessages(messages []*Message, sender, receiver cells.Cell) ([]controller.CellMessage, error) {
+	var decoded []controller.CellMessage
 	for _, p := range messages {
-		m := controller.CellMessage{Message: cells.Message{Kind: cells.Kind(p.Kind), From: from, To: to, Job: p.Job,
+		m := controller.CellMessage{Message: cells.Message{Kind: cells.Kind(p.Kind), From: sender, To: receiver, Job: p.Job,
 			Epoch: cells.Epoch(p.Epoch), Cancel: p.Cancel, State: cells.HolderState(p.State), Result: cells.Result(p.Result)}}
 		if len(p.Spec) > 0 {
 			m.Spec = &wire.Job{}
@@ -38,7 +38,7 @@
 			}
 			m.Team = m.Spec.Team
 		}
-		all = append(all, m)
+		decoded = append(decoded, m)
 	}
-	return all, nil
+	return decoded, nil
 }
--- a/config/errors_test.go
+++ b/config/errors_test.go
@@ -7,15 +7,16 @@
 	"testing"
 )
 
-// An invalid setting in either file gives a *SettingError that names the field as spelled in the file,
-// matches the kind with errors.Is, and wraps the parser's error.
+// An invalid setting in the platform's file (TOML) or the operators' file (HCL) gives a *SettingError. It names the
+// field as spelled in the file, matches the expected one of ErrMissing, ErrMalformed, ErrOutOfRange and ErrConflict with
+// errors.Is, and wraps the parser's error, if there is one.
 func TestSettingErrorsNameFieldAndKind(t *testing.T) {
 	type want struct {
 		field    string
 		kind     error
 		hasCause bool // a parser's error is wrapped
 	}
-	platform := map[string]want{
+	platformCases := map[string]want{
 		strings.Replace(validPlatform, "lease_s = 10.0", "lease_s = 0", 1):                     {"facts.workers.lease_s", ErrOutOfRange, false},
 		strings.Replace(validPlatform, `state = "127.0.0.1:5"`, `state = "nowhere"`, 1):        {"external.state", ErrMalformed, true},
 		strings.Replace(validPlatform, `member = "n0"`, "", 1):                                 {"member", ErrMissing, false},
@@ -28,11 +29,11 @@
 		strings.Replace(validPlatform, "txn_ops = 16", "txn_ops = 2", 1):                       {"facts.state.txn_ops", ErrOutOfRange, false},
 		strings.Replace(validPlatform, `endpoint = "127.0.0.1:3"`, `endpoint = "here:3:9"`, 1): {"others.n1.endpoint", ErrMalformed, true},
 	}
-	for bad, w := range platform {
-		_, err := LoadPlatform(writeFile(t, "s.toml", bad))
+	for invalidText, w := range platformCases {
+		_, err := LoadPlatform(writeFile(t, "s.toml", invalidText))
 		checkSettingError(t, err, w.field, w.kind, w.hasCause)
 	}
-	operators := map[string]want{
+	operatorCases := map[string]want{
 		`leader_life = "soon"`: {"leader_life", ErrMalformed, true},
 		`leader_life = "0.2s"`: {"leader_life", ErrOutOfRange, false},
 		"headroom = -1":        {"headroom", ErrOutOfRange, false},
@@ -47,21 +48,21 @@
 		"load_spreading {\n status_listen = \"everywhere\"\n}\n":                                                   {"load_spreading.status_listen", ErrMalformed, true},
 		"load_spreading {\n moves_in_flight = 101\n}\n":                                                            {"load_spreading.moves_in_flight", ErrOutOfRange, false},
 	}
-	for bad, w := range operators {
-		_, err := LoadOperator(writeFile(t, "o.hcl", bad))
+	for invalidText, w := range operatorCases {
+		_, err := LoadOperator(writeFile(t, "o.hcl", invalidText))
 		checkSettingError(t, err, w.field, w.kind, w.hasCause)
 	}
 }
 
 func checkSettingError(t *testing.T, err error, field string, kind error, hasCause bool) {
 	t.Helper()
-	var setting *SettingError
-	if !errors.As(err, &setting) {
+	var settingErr *SettingError
+	if !errors.As(err, &settingErr) {
 		t.Errorf("want a *SettingError about %s, got %T %v", field, err, err)
 		return
 	}
-	if setting.Field != field || !errors.Is(err, kind) || (setting.Err != nil) != hasCause {
-		t.Errorf("want field %s, kind %v, a cause %v; got field %s, cause %v: %v", field, kind, hasCause, setting.Field, setting.Err, err)
+	if settingErr.Field != field || !errors.Is(err, kind) || (settingErr.Err != nil) != hasCause {
+		t.Errorf("want field %s, kind %v, wrapped cause: %v; got field %s, cause %v: %v", field, kind, hasCause, settingErr.Field, settingErr.Err, err)
 	}
 	for _, other := range []error{ErrMissing, ErrMalformed, ErrOutOfRange, ErrConflict} {
 		if other != kind && errors.Is(err, other) {
@@ -73,7 +74,8 @@
 	}
 }
 
-// An out-of-range duration is printed with its unit, which is not part of the field's name.
+// An out-of-range duration that the file spells with a unit, such as "0.2s", is printed in seconds with the word
+// "seconds". A field whose name ends in the unit, such as lease_s, is printed as a plain number.
 func TestSettingErrorText(t *testing.T) {
 	_, err := LoadOperator(writeFile(t, "o.hcl", `leader_life = "0.2s"`))
 	if err == nil || !strings.HasSuffix(err.Error(), "field leader_life is 0.2 seconds, must be between 0.5 and 60") {
@@ -88,12 +90,12 @@
 // A missing file is not a *SettingError; for the platform's file the error matches fs.ErrNotExist.
 func TestMissingFileIsNotSettingError(t *testing.T) {
 	_, err := LoadPlatform(writeFile(t, "s.toml", validPlatform) + ".gone")
-	var setting *SettingError
-	if !errors.Is(err, fs.ErrNotExist) || errors.As(err, &setting) {
-		t.Errorf("platform's file: %v", err)
+	var settingErr *SettingError
+	if !errors.Is(err, fs.ErrNotExist) || errors.As(err, &settingErr) {
+		t.Errorf("missing platform's file: got %v, want fs.ErrNotExist and no *SettingError", err)
 	}
 	_, err = LoadOperator(writeFile(t, "o.hcl", "") + ".gone")
-	if err == nil || errors.As(err, &setting) {
-		t.Errorf("operators' file: %v", err)
+	if err == nil || errors.As(err, &settingErr) {
+		t.Errorf("missing operators' file: got %v, want an error that is no *SettingError", err)
 	}
 }
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -11,16 +11,18 @@
 	"pumicefront/wire"
 )
 
-// The home's side of a transfer: which batch jobs spill over to another cell, how they count against their team's
-// quota meanwhile, and how they are cancelled.
+// Spillover at a job's home cell, which is the cell that accepted the job from its user: which batch jobs are granted
+// to another cell (the holder), how they count against their team's quota meanwhile, and how they are cancelled.
 
-// returnCooldown is how long a returned job stays at home, so that two full cells do not pass it back and forth.
+// returnCooldown is how long a job that a holder has returned is not granted again. Without it, two full cells would
+// transfer the job repeatedly.
 const returnCooldown = 2 * time.Minute
 
-// canSpill reports whether a job may be granted to another cell at all. It must be an own array that is neither
-// granted nor cancelled, without dependencies, dependents or a required zone. None of its tasks may have run, have
-// an active attempt, or have a placement on record or in flight, and its chunks must fit into the conditions of one
-// transaction.
+// canSpill reports whether a job may be granted to another cell at all. It must be a batch job (an array) that this
+// cell accepted from a user and that is neither granted nor cancelled, without dependencies, dependents or a required
+// zone. None of its tasks may have run, have an active attempt, or have a placement on record or in flight. The
+// transaction that grants the job has one condition for each of its chunks and one for the epoch, so the number of
+// chunks is limited too.
 func (s *spilloverManager) canSpill(j *job) bool {
 	return j.spec.Kind == wire.KindArray && j.origin == nil && j.grant == nil && !j.cancelled && !j.hasStarted &&
 		len(j.attempts) == 0 && j.write == nil && !j.dirty && j.state.Count(reduction.Pending) == j.spec.Tasks &&
@@ -28,9 +30,9 @@
 		len(j.spec.Needs) == 0 && len(s.c.dependencies.Successors(j.id)) == 0 && j.spec.Zone == ""
 }
 
-// spill grants the longest waiting job that fits into the available cores of another cell. A job is granted as a
-// whole and counts against its team's limit as if it ran here, so the limit must allow that. Only one job is
-// granted at a time, because the next epoch is known only once this one is written.
+// spill grants the longest waiting job that fits into the available cores of another cell. All tasks of a job are
+// granted together and count against the team's limit as if they ran here, so the limit must allow that. Only one
+// job is granted at a time, because the epoch of the next grant is known only once the epoch of this grant is written.
 func (s *spilloverManager) spill() {
 	for _, transfer := range cells.Plan(s.spillCandidates(), s.peerCapacity()) {
 		j, link := s.jobs[transfer.Job], s.links[transfer.To]
@@ -61,7 +63,7 @@
 	return pending
 }
 
-// peerCapacity returns the available cores of each cell that answered the last call to it, and did so recently.
+// peerCapacity returns the available cores of each cell that answered the last call to it, at most cellReplyMaxAge ago.
 func (s *spilloverManager) peerCapacity() map[cells.Cell]float64 {
 	capacity := map[cells.Cell]float64{}
 	for name, link := range s.links {
@@ -72,7 +74,8 @@
 	return capacity
 }
 
-// grant records that another cell may run a job. The job is offered to that cell once the grant is recorded.
+// grant starts the write of a record that allows another cell to run a job, and reports whether it did. The job is
+// offered to that cell once the grant is recorded.
 func (s *spilloverManager) grant(j *job, link *cellLink) bool {
 	header := s.c.watchCache.headers[j.id]
 	if header == nil || len(s.headerWriteInFlight) > 0 { // a write in flight may take the next epoch
@@ -83,8 +86,9 @@
 	if err != nil {
 		return false
 	}
-	// A grant that is applied late must fail if attempts are active by then, so it is conditional on no
-	// placement being on record. A placement written after the grant fails on the header's version.
+	// The write of a grant may be applied late, when this cell has already placed tasks of the job. It must fail
+	// then, so it is conditional on the absence of a record (version 0) for every chunk. A placement that is
+	// written after the grant fails, because it is conditional on the header's version.
 	conds := []wire.Cond{{Key: epochKey, Version: s.c.watchCache.versions[epochKey]}}
 	for n := range j.chunks {
 		conds = append(conds, wire.Cond{Key: j.chunkKey(n)})
@@ -96,8 +100,9 @@
 	return true
 }
 
-// applyGrant handles a change of a job's grant. Attempts that were planned here meanwhile are stopped; they were
-// never sent, because their write fails on the header's version.
+// applyGrant applies a job's grant, or the end of its grant (nil), and makes the next assignGuarantees run without
+// waiting for its interval. If there is a grant, it stops the attempts that this leader planned before it observed the
+// grant. Their run commands were never sent, because the write of their placements fails on the header's version.
 func (l *leader) applyGrant(j *job, grant *grantRecord) {
 	j.grant = grant
 	l.guaranteesAssignedAt = time.Time{}
@@ -110,8 +115,8 @@
 	}
 }
 
-// grantedResources returns the resources that a job granted to another cell counts for: those of all its unfinished
-// tasks, or none where it is not granted.
+// grantedResources returns what a job adds to its team's use while it is granted to another cell: the resources of all
+// its unfinished tasks. It returns none for a job that is not granted.
 func grantedResources(j *job) scheduler.Resources {
 	if j.grant == nil {
 		return scheduler.Resources{}
@@ -119,9 +124,9 @@
 	return scheduler.Resources{}.Add(taskResources(&j.spec), float64(j.tasksLeft()))
 }
 
-// abortGranted handles a user's request to cancel a job that another cell may run. It records the cancellation,
-// which is then sent to that cell, and asks the user to retry: the job is reported as cancelled only once the
-// holder has recorded the end.
+// abortGranted handles a user's request to cancel a job that another cell (the holder) may run. It records the
+// cancellation, which is then sent to the holder, and asks the user to retry: the job is reported as cancelled only
+// once the holder has recorded the end of the grant.
 func (c *Core) abortGranted(r UserRequest, h headerRecord) {
 	if h.Grant.Cancel {
 		c.retryLater(r.Req, "another cell has the job")
--- a/controller/failure_detector_test.go
+++ b/controller/failure_detector_test.go
@@ -9,14 +9,14 @@
 	"pumicefront/wire"
 )
 
-// A new leader must not release machines that have not had time to find it.
+// A new leader must not release machines whose workers have not had time to connect to it since the election.
 func TestNewLeaderWaitsForMachines(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
 	m := l.machine("i-1")
 	m.typ, m.knownSince = "small", c.now.Add(-time.Hour)
 	c.now = c.now.Add(3 * time.Second)
 	if l.failureDetector.bootTimedOut(m) {
-		t.Fatal("a machine counts as never up 3 s after the election")
+		t.Fatal("a machine's boot counts as timed out 3 s after the election")
 	}
 }
 
@@ -27,33 +27,34 @@
 	m := l.machine("i-1")
 	l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: 7})
 	for i := range 8 {
-		o := l.machine(fmt.Sprintf("i-2%d", i))
-		l.failureDetector.applyHeartbeat(o, &wire.Report{Machine: o.id, Session: 1, Seq: 1, Token: 7})
+		other := l.machine(fmt.Sprintf("i-2%d", i))
+		l.failureDetector.applyHeartbeat(other, &wire.Report{Machine: other.id, Session: 1, Seq: 1, Token: 7})
 	}
 	l.runCommand(placeAttempt(l, j, 0, m))
-	call := func(status int) {
+	probe := func(status int) { // sends a command, which is answered after 1 s; status 0: not answered
 		l.sendCommand(m, nil)
 		id := c.out[len(c.out)-1].(WorkerCall).ID
 		c.now = c.now.Add(time.Second)
 		resume(c.workerCalls, id, WorkerReply{Status: status, Report: *newReport(m, 7)})
 	}
-	call(0)
+	probe(0)
 	l.failureDetector.applyHeartbeat(m, newReport(m, 7))
 	l.partitions.observe(l.c.now, l.failureDetector.countSilent())
 	if l.usable(m) {
 		t.Fatal("a machine that answers no command is usable for new work")
 	}
-	if call(200); !l.usable(m) {
+	if probe(200); !l.usable(m) {
 		t.Fatal("machine not usable after it has answered a command")
 	}
 }
 
-// A leader whose process was paused while the clocks continued, in an outage that preserved its
-// lease, finds all machines silent and its commands unanswered. This is no evidence of failures:
-// time in which the leader did not process heartbeats must not get machines released or denied work.
+// A leader's process was paused while the clocks continued, during an outage in which its lease did not expire.
+// When the process resumes, the leader finds all machines silent and its commands unanswered. This is no evidence of
+// failures: the leader must neither release machines nor withhold work from them because of time in which it did
+// not process heartbeats.
 func TestPausedLeaderReleasesNoMachines(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
-	c.op.IdleS = 3600 // none is returned as idle
+	c.op.IdleS = 3600 // no machine is released because it is idle
 	for i := range 20 {
 		id := fmt.Sprintf("i-%02d", i)
 		l.failureDetector.applyHeartbeat(l.machine(id), &wire.Report{Machine: id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
@@ -93,17 +94,18 @@
 	}
 }
 
-// Machines that failed shortly before their leader did are known to the new leader only from
-// recorded placements. One that does not answer a probe is released as soon as any other silent
-// machine; one that could not be probed gets more time, as it may still be looking for the leader.
+// A machine that failed shortly before the previous leader did is known to the new leader only from recorded
+// placements. If a hint gives the address of its worker, the leader probes it; a machine that does not answer the
+// probe is released as soon as any other silent machine. A machine that cannot be probed gets more time, as its
+// worker may still be looking for the leader.
 func TestMachinesSilentSinceElection(t *testing.T) {
 	c, l, j := newLeadingCore(t)
 	c.types["t"] = wire.MachineType{Name: "t", CPUs: 4, BootS: 5}
-	others := l.addJob("req-000002", &headerRecord{Job: wire.Job{ID: "req-000002", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, TasksPerChunk: 20})
+	otherJob := l.addJob("req-000002", &headerRecord{Job: wire.Job{ID: "req-000002", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, TasksPerChunk: 20})
 	for i := range 20 {
 		m := l.machine(fmt.Sprintf("i-%02d", i))
 		l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
-		placeAttempt(l, others, i, m)
+		placeAttempt(l, otherJob, i, m)
 	}
 	probed, unprobed := l.machine("j-0"), l.machine("j-1")
 	placeAttempt(l, j, 0, probed)
@@ -139,13 +141,13 @@
 	}
 }
 
-// A silent machine is released early if its tasks of the highest priority have room elsewhere.
-// Resources of lower-priority work, which those tasks may preempt, count as room.
-func TestSilentMachineReleaseCountsRoomOfLowerPriorityWork(t *testing.T) {
+// A silent machine is released before its lease expires if its tasks of the highest priority fit on other
+// machines. Resources used by lower-priority tasks count as free, as tasks of the highest priority preempt them.
+func TestSilentMachineReleaseCountsPreemptibleResourcesAsFree(t *testing.T) {
 	for priority, want := range map[string]bool{"standard": true, "prod": false} {
 		c, l, _ := newLeadingCore(t)
 		c.types["t"] = wire.MachineType{Name: "t", CPUs: 4, BootS: 5}
-		var ms []*machine
+		var machines []*machine
 		for i, p := range []string{"prod", priority, priority, priority} {
 			m := l.machine(fmt.Sprintf("i-%d", i))
 			l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 1, Token: 7})
@@ -153,19 +155,19 @@
 			j := l.addJob(id, &headerRecord{TasksPerChunk: 1, Job: wire.Job{ID: id, Kind: wire.KindService, Priority: p, Tasks: 1, CPUs: 4}})
 			a := placeAttempt(l, j, 0, m)
 			a.phase = attemptRunning
-			ms = append(ms, m)
+			machines = append(machines, m)
 		}
 		l.failureDetector.listening = listeningPeriod{startedAt: c.now, lastObserved: c.now}
 		c.now = c.now.Add(l.failureDetector.suspectAfter() + time.Second)
 		l.authority, l.failureDetector.listening.lastObserved = c.now.Add(time.Second), c.now
-		for _, m := range ms[1:] {
+		for _, m := range machines[1:] {
 			l.failureDetector.applyHeartbeat(m, &wire.Report{Machine: m.id, Type: "t", Zone: "a", Session: 1, Seq: 2, Token: 7,
 				Tasks: []wire.Task{{ID: m.attemptsInOrder[0].taskID(), Attempt: 1, State: wire.TaskRunning}}})
 		}
-		ms[0].lastCommandUnanswered = true
+		machines[0].lastCommandUnanswered = true
 		l.failureDetector.releaseFailed()
-		if ms[0].releasing != want {
-			t.Errorf("beside %s work: released %v, want %v", priority, ms[0].releasing, want)
+		if machines[0].releasing != want {
+			t.Errorf("with %s tasks on the other machines: released %v, want %v", priority, machines[0].releasing, want)
 		}
 	}
 }
--- a/controller/zone_records.go
+++ b/controller/zone_records.go
@@ -11,10 +11,10 @@
 	"pumicefront/zones"
 )
 
-// Zone records in the state service, which preserve zone states across a failover.
+// Zone records in the state service, which preserve the states of zones across a failover of the leader.
 
-// zonePrefix is the key prefix of zone records. Versions without zone recovery neither read nor write
-// under it.
+// zonePrefix is the key prefix of zone records. Versions of this program without zone recovery neither
+// read nor write keys with this prefix.
 const zonePrefix = "z/"
 
 // zoneRecords are the zone records as last known to be in the state service, by zone.
@@ -28,27 +28,30 @@
 	dueSince time.Time // when the record was found to be out of date; zero: it is up to date
 }
 
-// maxRecordDelay is how long the write of a zone record waits for all other background writes. A
-// bound is needed because under load those never end.
+// maxRecordDelay is how long the write of a zone record may be deferred because other background writes
+// have used up their share of the write budget. After that it counts as urgent and is limited by the whole
+// budget only. Without this bound the record might never be written under sustained load.
 const maxRecordDelay = 5 * time.Second
 
 // restoreZones restores the zone states from the records of earlier leaders. Records that are not
-// restored, such as stale ones, are removed or replaced later by saveRecords.
+// restored, such as stale ones, are kept with their versions only; saveRecords later removes them, or
+// replaces them if their zone has a state to record.
 func (z *zoneRecovery) restoreZones(items []wire.Item) {
-	for _, it := range items {
-		name := strings.TrimPrefix(it.Key, zonePrefix)
-		stored := &storedZoneRecord{version: it.Version}
+	for _, item := range items {
+		name := strings.TrimPrefix(item.Key, zonePrefix)
+		stored := &storedZoneRecord{version: item.Version}
 		z.records[name] = stored
-		rec := decode[zones.Record](it.Value)
-		if rec != nil && z.tracker.Restore(name, *rec, z.c.now) {
-			stored.record = *rec
+		record := decode[zones.Record](item.Value)
+		if record != nil && z.tracker.Restore(name, *record, z.c.now) {
+			stored.record = *record
 			z.unfinishedRecoveries[name] = z.tracker.State(name) != zones.Healthy
 		}
 	}
 }
 
 // saveRecords writes the zone records that have changed, with at most one write in flight for each
-// zone. It is the last to use the write budget of a step.
+// zone. It does nothing if zone recovery is disabled (z is nil). The leader calls it after all other
+// writers of a step, so that it takes only what they leave of the write budget.
 func (z *zoneRecovery) saveRecords() {
 	if z == nil || z.c.now.Sub(z.recordsCheckedAt) < zoneCheckInterval || !z.c.now.Before(z.authority) || z.budget.paused(z.c.now) {
 		return
@@ -118,16 +121,16 @@
 	})
 }
 
-// rereadRecord reads a zone record again after an unconfirmed write.
+// rereadRecord reads a zone record again after a write that was rejected or got no answer.
 func (z *zoneRecovery) rereadRecord(name string) {
-	z.getWithRetry(zonePrefix+name, func(it *wire.Item) {
-		stored := storedZoneRecord{}
-		if it != nil {
-			stored.version = it.Version
-			if rec := decode[zones.Record](it.Value); rec != nil {
-				stored.record = *rec
+	z.getWithRetry(zonePrefix+name, func(item *wire.Item) {
+		reread := storedZoneRecord{}
+		if item != nil {
+			reread.version = item.Version
+			if record := decode[zones.Record](item.Value); record != nil {
+				reread.record = *record
 			}
 		}
-		*z.records[name] = stored
+		*z.records[name] = reread
 	})
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,5 +1,5 @@
-// Package history checks the recorded events of a run: at every moment every task had at most one owner,
-// and every job got one final answer.
+// Package history checks the recorded events of a run: every task ran as at most one attempt at a time (its
+// owner), and all final answers about a job agree, as do the answers to requests sent after the first of them.
 package history
 
 import (
@@ -17,9 +17,9 @@
 	Answered             // a user received an answer with a job's state
 )
 
-// Event is one thing that happened.
+// Event is the start or end of an attempt, or an answer that a user received.
 type Event struct {
-	Kind        Kind          // which of the fields below are set depends on it
+	Kind        Kind          // determines which of the fields below are set
 	At          time.Duration // time of the event, since the start of the run
 	Task        string        // Started, Ended
 	Attempt     uint64        // Started, Ended: the attempt's number
@@ -36,14 +36,14 @@
 	Text string // the events in conflict, in human-readable form
 }
 
-// The rules that Check checks.
+// The rules of a history; every Violation is of one of them.
 const (
 	RuleOneOwner  = "one owner"        // a task runs as at most one attempt at a time
 	RuleOneAnswer = "one final answer" // once a job was reported as done or cancelled, every final answer and every answer to a later request has the same state
 )
 
-// owner is the attempt, and its machine, as which a task runs.
-type owner struct {
+// runningAttempt identifies the attempt as which a task runs, and the machine on which it runs.
+type runningAttempt struct {
 	machine string
 	attempt uint64
 }
@@ -54,27 +54,27 @@
 	at    time.Duration
 }
 
-// Check returns the violations in a history. Events are in order of time.
+// Check returns the violations in a history. The events must be in order of time.
 func Check(events []Event) []Violation {
 	var found []Violation
-	owners := map[string]owner{}
+	running := map[string]runningAttempt{}
 	finalAnswers := map[string]finalAnswer{}
 	for _, e := range events {
 		switch e.Kind {
 		case Started:
-			if current, owned := owners[e.Task]; owned {
-				found = append(found, Violation{RuleOneOwner, fmt.Sprintf("at %v %s starts as attempt %d on %s, attempt %d is on %s",
+			if current, isRunning := running[e.Task]; isRunning {
+				found = append(found, Violation{RuleOneOwner, fmt.Sprintf("at %v task %s starts as attempt %d on %s while attempt %d runs on %s",
 					e.At, e.Task, e.Attempt, e.Machine, current.attempt, current.machine)})
 			}
-			owners[e.Task] = owner{e.Machine, e.Attempt}
+			running[e.Task] = runningAttempt{e.Machine, e.Attempt}
 		case Ended:
-			if owners[e.Task] == (owner{e.Machine, e.Attempt}) {
-				delete(owners, e.Task)
+			if running[e.Task] == (runningAttempt{e.Machine, e.Attempt}) {
+				delete(running, e.Task)
 			}
 		case Answered:
 			first, answered := finalAnswers[e.Job]
 			if answered && e.State != first.state && (e.Final || e.RequestedAt >= first.at) {
-				found = append(found, Violation{RuleOneAnswer, fmt.Sprintf("at %v %s is called %s, it was called %s at %v", e.At, e.Job, e.State, first.state, first.at)})
+				found = append(found, Violation{RuleOneAnswer, fmt.Sprintf("at %v job %s is reported as %s, it was reported as %s at %v", e.At, e.Job, e.State, first.state, first.at)})
 			}
 			if e.Final && !answered {
 				finalAnswers[e.Job] = finalAnswer{e.State, e.At}
--- a/internal/sim/edge_case_requests.go
+++ b/internal/sim/edge_case_requests.go
@@ -9,8 +9,9 @@
 	"pumicefront/wire"
 )
 
-// encodeWithoutField encodes a submission without one of its required fields.
-func (w *World) encodeWithoutField(s wire.Job) []byte {
+// encodeWithoutRequiredField encodes a submission without one of its required fields, chosen at random. Every field that
+// is neither null nor an empty string counts as required, so the caller must leave the optional fields empty.
+func (w *World) encodeWithoutRequiredField(s wire.Job) []byte {
 	var fields map[string]any
 	if err := wire.Unmarshal(encodeJob(s), &fields); err != nil {
 		panic(err)
@@ -26,9 +27,9 @@
 	return wire.Marshal(fields)
 }
 
-// edgeCaseRequests submits an accepted job again, cancels it if it is done, and submits a
-// job that must be refused: it is too large for every machine and for most teams' limits,
-// names an unknown team or machine type, or lacks a required field.
+// edgeCaseRequests picks a job. If it has been accepted, the job is submitted again, and also cancelled if it has
+// been reported as done. Then a job is submitted that must be rejected: it is too large for every machine and for
+// most teams' limits, names an unknown team or machine type, or lacks a required field.
 func (u *users) edgeCaseRequests() {
 	w := u.w
 	if len(u.list) == 0 {
@@ -43,27 +44,27 @@
 	}
 	invalid := j.spec
 	invalid.ID = fmt.Sprintf("req-8%08d", w.rng.IntN(1e8))
-	want := http.StatusUnprocessableEntity
-	raw := encodeJob(invalid)
+	wantStatus := http.StatusUnprocessableEntity
+	body := encodeJob(invalid)
 	switch w.rng.IntN(4) {
 	case 0:
 		invalid.CPUs = 1000
-		raw = encodeJob(invalid)
+		body = encodeJob(invalid)
 	case 1:
 		invalid.Team = "nobody"
-		raw = encodeJob(invalid)
+		body = encodeJob(invalid)
 	case 2:
 		invalid.Types = []string{"none"}
-		raw = encodeJob(invalid)
+		body = encodeJob(invalid)
 	case 3:
-		invalid.Types, invalid.Zone, invalid.DeadlineS, invalid.Needs = nil, "", nil, nil // optional fields may be missing; null ones are never the one removed
-		raw, want = w.encodeWithoutField(invalid), http.StatusBadRequest
+		invalid.Types, invalid.Zone, invalid.DeadlineS, invalid.Needs = nil, "", nil, nil // the optional fields are left empty, so that a required field is removed
+		body, wantStatus = w.encodeWithoutRequiredField(invalid), http.StatusBadRequest
 	}
-	u.request(controller.UserRequest{Op: controller.UserSubmit, Job: invalid.ID, Body: raw}, func(a controller.Answer) {
+	u.request(controller.UserRequest{Op: controller.UserSubmit, Job: invalid.ID, Body: body}, func(a controller.Answer) {
 		switch a.Status {
-		case want, 0, http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		case wantStatus, 0, http.StatusServiceUnavailable, http.StatusTooManyRequests: // 0: no answer
 		default:
-			w.recordViolation("invented", "a job that can't run or lacks a field is answered with status %d, want %d", a.Status, want)
+			w.recordViolation("invented", "a job that can't run or lacks a field is answered with status %d, want %d", a.Status, wantStatus)
 		}
 	})
 }
--- a/internal/sim/guarantee_test.go
+++ b/internal/sim/guarantee_test.go
@@ -11,14 +11,14 @@
 	"pumicefront/wire"
 )
 
-// preemptionMonitor observes which tasks the leaders stop in favour of other jobs, and checks that no
-// team is brought below its guarantee for another team's work. The leader's own accounting is not
-// visible here, so a team is taken to hold every task that is recorded as placed, is on a machine, or was
-// placed within the last 30 s, less those stopped since. That is never less than what the leader counts.
+// preemptionMonitor observes which tasks the leaders preempt. It checks that a preemption for a job of the
+// same priority never takes a team below its guarantee. The leader's own accounting is not visible to the
+// test, so the monitor counts as a team's usage every task that is recorded as placed, is on a machine, or
+// was placed within the last 30 s, less those preempted since. That is never less than what the leader counts.
 type preemptionMonitor struct {
-	w         *World
-	placedAt  map[string]time.Duration // by task: when it was placed last
-	stoppedAt map[string]time.Duration // by task: when it was stopped for another job last
+	w           *World
+	placedAt    map[string]time.Duration // by task: when it was last placed
+	preemptedAt map[string]time.Duration // by task: when it was last preempted
 }
 
 // observe is a Tamper.Output that returns every output unchanged.
@@ -36,7 +36,7 @@
 		m.placedAt[task] = m.w.now
 		return o
 	}
-	m.stoppedAt[task] = m.w.now
+	m.preemptedAt[task] = m.w.now
 	victim, beneficiary := m.w.users.jobOf(task), m.w.users.jobs[fmt.Sprint(attrs["for"])]
 	if victim.spec.Priority == beneficiary.spec.Priority {
 		m.checkGuarantee(victim, beneficiary)
@@ -44,50 +44,53 @@
 	return o
 }
 
+// checkGuarantee records a violation if a task of victim was preempted for beneficiary, a job of the same priority,
+// although both belong to one team, or if the tasks that remain to victim's team use less than its guarantee of cores
+// or GPUs. Only resources that victim requests are compared, with a tolerance of 1e-6 for rounding.
 func (m *preemptionMonitor) checkGuarantee(victim, beneficiary *simJob) {
-	heldTasks := map[string]bool{}
+	countedTasks := map[string]bool{}
 	for key, item := range m.w.store.items {
-		var record struct {
+		var chunkRecord struct {
 			Placed []struct {
 				Task int `cbor:"t"`
 			} `cbor:"p"`
 		}
-		if job, ok := strings.CutPrefix(key, "t/"); ok && wire.Unmarshal(item.Value, &record) == nil {
+		if job, ok := strings.CutPrefix(key, "t/"); ok && wire.Unmarshal(item.Value, &chunkRecord) == nil {
 			id, _, _ := strings.Cut(job, "/")
-			for _, p := range record.Placed {
-				heldTasks[wire.TaskID(id, p.Task)] = true
+			for _, p := range chunkRecord.Placed {
+				countedTasks[wire.TaskID(id, p.Task)] = true
 			}
 		}
 	}
 	for _, h := range m.w.hosts {
 		for _, t := range h.tasks {
-			heldTasks[t.id] = heldTasks[t.id] || t.state != wire.TaskExited
+			countedTasks[t.id] = countedTasks[t.id] || t.state != wire.TaskExited
 		}
 	}
 	for task, at := range m.placedAt {
-		heldTasks[task] = heldTasks[task] || m.w.now-at < 30*time.Second
+		countedTasks[task] = countedTasks[task] || m.w.now-at < 30*time.Second
 	}
 	cores, gpus := 0.0, 0.0
-	for task, held := range heldTasks {
-		at, stopped := m.stoppedAt[task]
-		if j := m.w.users.jobOf(task); held && j != nil && j.spec.Team == victim.spec.Team && !(stopped && at >= m.placedAt[task]) {
+	for task, counted := range countedTasks {
+		at, preempted := m.preemptedAt[task]
+		if j := m.w.users.jobOf(task); counted && j != nil && j.spec.Team == victim.spec.Team && !(preempted && at >= m.placedAt[task]) {
 			cores, gpus = cores+j.spec.CPUs, gpus+j.spec.GPUs
 		}
 	}
-	t := m.w.team(victim.spec.Team)
-	if t.Name == beneficiary.spec.Team || victim.spec.CPUs > 0 && cores < t.CPUs-1e-6 || victim.spec.GPUs > 0 && gpus < t.GPUs-1e-6 {
-		m.w.recordViolation("guarantee", "%s of %s stopped for %s of %s, which leaves %v of %v cores and %v of %v GPUs",
-			victim.spec.ID, t.Name, beneficiary.spec.ID, beneficiary.spec.Team, cores, t.CPUs, gpus, t.GPUs)
+	team := m.w.team(victim.spec.Team)
+	if team.Name == beneficiary.spec.Team || victim.spec.CPUs > 0 && cores < team.CPUs-1e-6 || victim.spec.GPUs > 0 && gpus < team.GPUs-1e-6 {
+		m.w.recordViolation("guarantee", "task of job %s of team %s preempted for job %s of team %s, which leaves %v of %v guaranteed cores and %v of %v guaranteed GPUs",
+			victim.spec.ID, team.Name, beneficiary.spec.ID, beneficiary.spec.Team, cores, team.CPUs, gpus, team.GPUs)
 	}
 }
 
 // TestGPUGuarantees runs deployments in which teams share GPUs and checks the preemptions made for
-// guarantees. Then it runs controllers that are configured without one team's guarantee, and the check
-// must detect that they preempt the team below it.
+// guarantees. Then it runs controllers whose settings lack the guarantee of one team. They preempt that team's
+// tasks below the guarantee, and the monitor, which knows the guarantee, must detect it in at least one run.
 func TestGPUGuarantees(t *testing.T) {
 	runSeed := func(seed uint64, settings func(*config.Platform)) *World {
 		w := New(seed, GPUs)
-		monitor := &preemptionMonitor{w: w, placedAt: map[string]time.Duration{}, stoppedAt: map[string]time.Duration{}}
+		monitor := &preemptionMonitor{w: w, placedAt: map[string]time.Duration{}, preemptedAt: map[string]time.Duration{}}
 		w.Tamper.Output, w.Tamper.Settings = monitor.observe, settings
 		for _, n := range w.controllers {
 			n.crash(time.Millisecond) // restarts the controller with these settings
@@ -96,9 +99,9 @@
 		return w
 	}
 	for seed := range uint64(20) {
-		for _, r := range runSeed(seed, nil).Violations {
-			if strings.HasPrefix(r, "guarantee") {
-				t.Errorf("seed %d: %s", seed, r)
+		for _, violation := range runSeed(seed, nil).Violations {
+			if strings.HasPrefix(violation, "guarantee") {
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 		}
 	}
@@ -108,8 +111,8 @@
 			teams[1].CPUs, teams[1].GPUs = 0, 0
 			p.Facts.Teams = teams
 		})
-		for _, r := range w.Violations {
-			if strings.HasPrefix(r, "guarantee") {
+		for _, violation := range w.Violations {
+			if strings.HasPrefix(violation, "guarantee") {
 				return
 			}
 		}
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -1,6 +1,7 @@
 // Package mesh carries protobuf messages between the controllers over TCP.
-// Delivery is not guaranteed: when a peer does not keep up, the oldest messages
-// are dropped, and the core repeats the requests that matter.
+// Delivery is not guaranteed: a message is dropped if its peer cannot be reached, and
+// the oldest messages are dropped if a peer does not keep up. The controller's core
+// sends again the requests that must be answered.
 package mesh
 
 import (
@@ -41,8 +42,8 @@
 }
 
 // Send queues a message to a peer; a message to an unknown peer is ignored. When
-// the queue is full, its oldest message is dropped, because a new peer lease message or an
-// answer that a worker waits for matters more than messages that are already late.
+// the queue is full, its oldest message is dropped: a new peer lease message, or an answer
+// that a worker waits for, is more urgent than queued messages, which are already delayed.
 func (m *Mesh) Send(to string, e *Envelope) {
 	queue, known := m.queues[to]
 	for known {
@@ -68,15 +69,15 @@
 			return
 		case e := <-queue:
 			if conn = deliver(conn, addr, e); conn == nil {
-				slog.Debug("mesh message not sent: peer not reached", "addr", addr)
+				slog.Debug("mesh message dropped: failed to connect or write to peer", "addr", addr)
 			}
 		}
 	}
 }
 
 // deliver writes e to conn, or to a new connection if conn is nil. It returns the
-// connection for the next message; after an error it closes the connection and
-// returns nil.
+// connection for the next message, or nil after a network error, on which it closes
+// the connection. A message that cannot be encoded is dropped and the connection kept.
 func deliver(conn net.Conn, addr string, e *Envelope) net.Conn {
 	if conn == nil {
 		c, err := net.DialTimeout("tcp", addr, dialTimeout)
@@ -104,24 +105,24 @@
 		conn, err := ln.Accept()
 		if err != nil {
 			slog.Error("mesh listener failed to accept a connection", "err", err)
-			time.Sleep(dialTimeout)
+			time.Sleep(dialTimeout) // pause before the next attempt, so that a persistent error does not cause a busy loop
 			continue
 		}
 		go m.readLoop(conn)
 	}
 }
 
-// readLoop receives messages from a connection until it fails, or sends a frame
-// that is too large or can't be decoded. A frame is a message behind its length
-// as four bytes, big-endian.
+// readLoop receives messages from a connection until reading fails, or until a frame
+// is larger than maxFrameBytes or cannot be decoded. A frame is the length of the
+// encoded message as four bytes, big-endian, followed by the message.
 func (m *Mesh) readLoop(conn net.Conn) {
 	defer conn.Close()
 	for {
-		var head [4]byte
-		if _, err := io.ReadFull(conn, head[:]); err != nil {
+		var lengthPrefix [4]byte
+		if _, err := io.ReadFull(conn, lengthPrefix[:]); err != nil {
 			return
 		}
-		size := binary.BigEndian.Uint32(head[:])
+		size := binary.BigEndian.Uint32(lengthPrefix[:])
 		if size > maxFrameBytes {
 			return
 		}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -22,7 +22,7 @@
 	for _, c := range []struct {
 		method, path string
 		body         []byte
-		status       int
+		status       int // 0: the request is passed on to the core
 		want         controller.UserOp
 	}{
 		{"GET", "/ready", nil, 0, controller.UserReady},
@@ -39,12 +39,12 @@
 		{"POST", "/v1/report", []byte("x"), http.StatusBadRequest, 0},
 		{"POST", "/v2/runs", bytes.Repeat([]byte("x"), wire.MaxBodyBytes+1), http.StatusBadRequest, 0},
 	} {
-		in, status := new(Server).route(1, httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
+		input, status := new(Server).route(1, httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
 		if status != c.status {
 			t.Errorf("%s %s: status %d, want %d", c.method, c.path, status, c.status)
 			continue
 		}
-		if u, ok := in.(controller.UserRequest); status == 0 && ok && (u.Op != c.want || u.Op == controller.UserPoll && u.Job != "req-1") {
+		if u, ok := input.(controller.UserRequest); status == 0 && ok && (u.Op != c.want || u.Op == controller.UserPoll && u.Job != "req-1") {
 			t.Errorf("%s %s: %+v", c.method, c.path, u)
 		}
 	}
@@ -62,11 +62,11 @@
 
 // A port that is still in use when the process starts must not make the process exit.
 func TestListenRetriesWhilePortIsInUse(t *testing.T) {
-	held, err := listen("127.0.0.1:0")
+	occupied, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := held.Addr().String()
+	addr := occupied.Addr().String()
 	done := make(chan error)
 	go func() {
 		ln, err := listen(addr)
@@ -75,14 +75,14 @@
 		}
 		done <- err
 	}()
-	if err := held.Close(); err != nil {
+	if err := occupied.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if _, err := listen("203.0.113.1:1"); err == nil {
-		t.Error("listening on an address of another machine gave no error")
+		t.Error("listening on an address that this machine does not have gave no error")
 	}
 }
 
@@ -102,13 +102,13 @@
 	}
 	report := wire.Marshal(wire.Report{Machine: "i-1"})
 	if got := connectionHeader("/v1/report", report); got != "" {
-		t.Errorf("connection header %q far from the limit of connections", got)
+		t.Errorf("connection header %q far from the connection limit", got)
 	}
 	for range s.maxConnections() {
 		s.trackConnection(nil, http.StateNew)
 	}
 	if got := connectionHeader("/v1/report", report); got != "close" {
-		t.Errorf("connection header %q for a worker near the limit of connections", got)
+		t.Errorf("connection header %q for a worker near the connection limit", got)
 	}
 	if got := connectionHeader("/v2/runs", []byte("x")); got != "" {
 		t.Errorf("connection header %q for a user", got)
@@ -119,8 +119,8 @@
 	}
 }
 
-// An answer that the core decided on before the process was paused is rejected: another controller may have
-// answered with newer state since.
+// An answer that the core made more than maxAnswerAge ago, because the process was paused before sending it, is
+// replaced by a rejection: another controller may have answered with newer state since.
 func TestStaleAnswersAreRejected(t *testing.T) {
 	for age, want := range map[time.Duration]int{0: http.StatusOK, maxAnswerAge + time.Second: http.StatusServiceUnavailable} {
 		s := &Server{cfg: &config.Platform{}, requests: make(chan request, 1)}
@@ -131,13 +131,14 @@
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest("GET", "/v2/runs/req-1", nil))
 		if w.Code != want {
-			t.Errorf("decided on %v ago: status %d, want %d", age, w.Code, want)
+			t.Errorf("answer made %v ago: status %d, want %d", age, w.Code, want)
 		}
 	}
 }
 
-// A cell that sends too many calls is rejected immediately and uses up no queue slots of users or other
-// cells. A cell that is not a peer is always rejected.
+// Calls of a peer cell beyond its rate limit are rejected immediately; they take no slots in the queue of user
+// requests and do not count against the rate limits of other cells. Calls of a cell that is not a peer are always
+// rejected.
 func TestCellFloodDoesNotAffectOtherClients(t *testing.T) {
 	op := config.DefaultOperator()
 	op.Cell = &config.Cell{Name: "a", Peers: []config.CellPeer{{Name: "b"}, {Name: "c"}}}
@@ -153,16 +154,16 @@
 		s.serveCellMessages(w, httptest.NewRequest("POST", cells.MessagesPath, bytes.NewReader(body)))
 		return w
 	}
-	answerNextCall := func() {
+	answerNextCellCall := func() {
 		r := <-s.cellRequests
 		r.reply <- timedAnswer{controller.Answer{Status: http.StatusOK, Body: controller.CellAnswer{}}, time.Now()}
 	}
 	statuses := map[int]int{}
 	for range 500 {
 		if len(s.requests) > 0 {
-			t.Fatal("a call of a cell uses the queue of users")
+			t.Fatal("a call of a cell was put into the queue of user requests")
 		}
-		go answerNextCall()
+		go answerNextCellCall()
 		w := call("b")
 		if statuses[w.Code]++; w.Code == http.StatusTooManyRequests && w.Header().Get("Retry-After") != "1" {
 			t.Error("no Retry-After header")
@@ -172,9 +173,9 @@
 		t.Errorf("statuses of 500 calls in a row: %v", statuses)
 	}
 	if w := call("c"); w.Code != http.StatusOK {
-		t.Errorf("another cell gets status %d", w.Code)
+		t.Errorf("call of another peer: status %d", w.Code)
 	}
 	if w := call("d"); w.Code != http.StatusForbidden {
-		t.Errorf("a cell that is not a peer gets status %d", w.Code)
+		t.Errorf("call of a cell that is not a peer: status %d", w.Code)
 	}
 }
