--- a/internal/sim/guarantee_test.go
+++ b/internal/sim/guarantee_test.go
@@ -21,7 +21,7 @@
 	preemptedAt map[string]time.Duration // by task: when it was last preempted
 }
 
-// observe is a Tamper.Output that returns every output unchanged.
+// observe is a Tamper.Output hook; it returns every output unchanged.
 func (m *preemptionMonitor) observe(_ *member, o controller.Output) controller.Output {
 	e, ok := o.(controller.Event)
 	if !ok || e.Text != "placed" && e.Text != "preempting" {
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -19,7 +19,7 @@
 	maxFrameBytes = 1 << 20
 	dialTimeout   = time.Second
 	sendTimeout   = time.Second
-	queueLength   = 64
+	queueLength   = 64 // messages per peer
 )
 
 // Mesh sends messages to the other controllers and receives messages from them.
