--- a/balance/status.go
+++ b/balance/status.go
@@ -9,26 +9,26 @@
 	Leader  string `json:"leader,omitempty"` // the leader, as far as this member knows
 	Leading bool   `json:"leading"`          // whether this member leads; only the leader fills in the rest
 
-	Distribution Distribution    `json:"distribution"`       // of the shares of all machines that take part in load spreading
+	Distribution Distribution    `json:"distribution"`       // of the dominant shares of all machines that take part in load spreading
 	HotShare     float64         `json:"hot_share"`          // the share above which a machine is hot
-	Block        BlockReason     `json:"block,omitempty"`    // why no moves are started at all
-	Machines     []MachineStatus `json:"machines,omitempty"` // the hottest first, up to a limit; Others counts the rest
-	Others       int             `json:"others"`             // machines that are not listed: neither hot nor among the first
+	Block        BlockReason     `json:"block,omitempty"`    // why no moves are started at all; empty: moves are not blocked
+	Machines     []MachineStatus `json:"machines,omitempty"` // those with the largest shares, in descending order, up to a limit
+	Others       int             `json:"others"`             // number of machines beyond that limit
 	Teams        []TeamStatus    `json:"teams,omitempty"`    // how each team's load is distributed over the machines
 	Images       []ImageStatus   `json:"images,omitempty"`   // images that only hot machines have
 	Moves        []MoveStatus    `json:"moves,omitempty"`    // active moves
-	Counts       Counts          `json:"counts"`             // numbers of moves since this leader took office
+	Counts       Counts          `json:"counts"`             // numbers of moves since this leader was elected
 }
 
 // MachineStatus is the load of one machine.
 type MachineStatus struct {
-	ID      string        `json:"id"`                // the machine's name
+	ID      string        `json:"id"`                // the machine's ID
 	Zone    string        `json:"zone"`              // the zone that it is in
 	Share   float64       `json:"share"`             // dominant share, 0 to 1
 	Hot     bool          `json:"hot"`               // its share exceeds the hot share
 	Tasks   int           `json:"tasks"`             // tasks on it
-	Movable int           `json:"movable"`           // tasks that tolerate a move; counted only on hot machines
-	Staying []ReasonCount `json:"staying,omitempty"` // why the other tasks stay
+	Movable int           `json:"movable"`           // tasks that may be moved; counted only on hot machines, and checked for a destination only on the hottest of them
+	Staying []ReasonCount `json:"staying,omitempty"` // why the other tasks of a hot machine are not moved
 }
 
 // ReasonCount counts the tasks that stay for the same reason.
@@ -48,7 +48,8 @@
 	ForS     float64 `json:"for_s"` // seconds since the move started
 }
 
-// Leads reports whether the controller that answered is the leader.
+// Leads reports whether the controller that answered is the leader. Leads, KnownLeader and AnsweredBy implement
+// statusclient.Status, by which a client finds the leader.
 func (s Status) Leads() bool { return s.Leading }
 
 // KnownLeader returns the leader, as far as the controller that answered knows.
--- a/controller/cell_status.go
+++ b/controller/cell_status.go
@@ -12,7 +12,9 @@
 // and a cells.Status as its body.
 type CellStatusRequest struct{ Req uint64 }
 
-// cellStatus answers an operator's status request. Only the leader fills in more than its own and the leader's name.
+// cellStatus answers an operator's status request. The answer always contains the names of this controller and of
+// the leader as it knows it. The rest is filled in only by a leader that has recovered the records, has spillover
+// enabled and may act now.
 func (c *Core) cellStatus(r CellStatusRequest) {
 	s := cells.Status{Member: c.cfg.Member, Leader: c.leaderName()}
 	if l := c.lead; l != nil && l.recovered && l.spillover != nil && c.hasAuthority() {
@@ -28,7 +30,7 @@
 	open := s.openGrants()
 	for _, name := range slices.Sorted(maps.Keys(s.links)) {
 		link := s.links[name]
-		status := cells.LinkStatus{Cell: name, Failures: link.failures, Room: link.availableCores, AnsweredS: -1}
+		status := cells.LinkStatus{Cell: name, Failures: link.failures, Room: link.availableCores, AnsweredS: -1} // -1: no answer yet
 		if !link.lastReplyAt.IsZero() {
 			status.AnsweredS = s.c.now.Sub(link.lastReplyAt).Seconds()
 		}
@@ -48,7 +50,8 @@
 	return links
 }
 
-// transferDirection says whether jobs were granted to other cells or are held for them.
+// transferDirection is the direction of job transfers: jobs of this cell that are granted to other cells (outbound),
+// or jobs of other cells that this cell has accepted (inbound).
 type transferDirection bool
 
 const (
@@ -56,7 +59,7 @@
 	inbound  transferDirection = false
 )
 
-// teamStatus counts, by team, the jobs that are granted to other cells (outbound) or held for them (inbound).
+// teamStatus counts the transferred jobs in one direction, and their tasks, by team.
 func (s *spilloverManager) teamStatus(direction transferDirection) []cells.TeamStatus {
 	byTeam := map[string]*cells.TeamStatus{}
 	for _, j := range s.jobsByAcceptance {
--- a/controller/term.go
+++ b/controller/term.go
@@ -9,27 +9,28 @@
 // term is a leadership term, which starts with a won election and lasts as long as its lease is
 // renewed. Every command sent during the term carries its fencing token.
 type term struct {
-	token                 uint64
-	electedToken          uint64 // the token allocated by this term's election
-	version               uint64 // version of the leader key: the condition of every write
-	lease                 uint64
-	elected               time.Time
-	renewed               time.Time // when the last successful renewal was sent
+	token                 uint64    // the current fencing token: electedToken, or higher after raises
+	electedToken          uint64    // the token allocated by this term's election
+	version               uint64    // version of the leader key: the condition of every write
+	lease                 uint64    // ID of the lease that the leader key is attached to
+	elected               time.Time // when this controller became leader
+	renewed               time.Time // when the grant or renewal that last extended authority was sent
 	authority             time.Time // until when the lease in the state service is certain to last
-	headersConfirmedUntil time.Time // see headersKnownUntil
-	tokenRaisedAt         time.Time
-	raisingToken          bool
+	headersConfirmedUntil time.Time // when the last peer lease round that confirmed the leader's copy of the headers was sent, see headersKnownUntil
+	tokenRaisedAt         time.Time // when the last raise of the token was requested; at first, when the term started
+	raisingToken          bool      // a raise of the token is in flight
 }
 
-// newTerm returns the term of a claim that was applied with the given version of the leader key.
+// newTerm returns the term that starts at now. version is the version of the leader key that the election's
+// transaction wrote.
 func newTerm(now time.Time, lease, token, version uint64) term {
 	return term{token: token, electedToken: token, version: version, lease: lease, elected: now, tokenRaisedAt: now}
 }
 
-// extend extends the authority after a grant or renewal of the lease. Authority counts from when
-// the request was sent, less the maximum clock drift. A late reply never shortens it.
-func (t *term) extend(sent time.Time, life time.Duration) {
-	until := sent.Add(life - time.Duration(float64(life)*clockDrift) - authorityMargin)
+// extend extends the authority after a grant or renewal of the lease. Authority ends ttl after the
+// request was sent, less the maximum clock drift and authorityMargin. A late reply never shortens it.
+func (t *term) extend(sent time.Time, ttl time.Duration) {
+	until := sent.Add(ttl - time.Duration(float64(ttl)*clockDrift) - authorityMargin)
 	if until.After(t.authority) {
 		t.authority, t.renewed = until, sent
 	}
@@ -41,7 +42,7 @@
 }
 
 // mayRaiseToken reports whether the token may be raised now. Raises are rate limited because each
-// one is a write and is reported back by every worker.
+// one is a write to the state service and is reported back by every worker.
 func (t *term) mayRaiseToken(now time.Time) bool {
 	return !t.raisingToken && now.Sub(t.tokenRaisedAt) >= tokenRaiseInterval
 }
--- a/controller/zone_displacement.go
+++ b/controller/zone_displacement.go
@@ -25,10 +25,11 @@
 }
 
 // maxRecoveryTime is how long a displaced task is tracked. A task that has not restarted by then
-// waits for other reasons.
+// is assumed to wait for reasons other than the loss of its zone.
 const maxRecoveryTime = 15 * time.Minute
 
-// trackDisplaced records a task that was lost with its zone.
+// trackDisplaced records a task that was lost with its machine, if the machine's zone is suspected or lost. Tasks of
+// cancelled jobs are not tracked, because they do not restart.
 func (z *zoneRecovery) trackDisplaced(a *attempt) {
 	state := z.tracker.State(a.machine.zone)
 	if a.job.cancelled || state != zones.Suspected && state != zones.Lost {
@@ -38,11 +39,11 @@
 	z.c.emit(TaskDisplaced{Zone: a.machine.zone, Class: a.job.spec.Class, At: z.c.now})
 }
 
-// trackRestart reports that a displaced task runs again, and ends its tracking.
+// trackRestart emits TaskRestarted for a displaced task that runs again, and stops tracking it.
 func (z *zoneRecovery) trackRestart(a *attempt) {
 	key := displacedTask{a.job.id, a.task}
-	lost, was := z.displaced[key]
-	if !was {
+	lost, tracked := z.displaced[key]
+	if !tracked {
 		return
 	}
 	delete(z.displaced, key)
@@ -55,17 +56,17 @@
 	if len(z.unfinishedRecoveries) == 0 {
 		return
 	}
-	unfinished := map[string]int{}
+	displacedByZone := map[string]int{}
 	for key, lost := range z.displaced {
 		j := z.jobs[key.job]
 		if j == nil || j.cancelled || j.state.Status(key.task) == reduction.Completed || z.c.now.Sub(lost.at) > maxRecoveryTime {
 			delete(z.displaced, key)
 			continue
 		}
-		unfinished[lost.zone]++
+		displacedByZone[lost.zone]++
 	}
 	for _, name := range z.tracker.Names() {
-		if z.unfinishedRecoveries[name] && unfinished[name] == 0 && z.tracker.State(name) == zones.Healthy {
+		if z.unfinishedRecoveries[name] && displacedByZone[name] == 0 && z.tracker.State(name) == zones.Healthy {
 			delete(z.unfinishedRecoveries, name)
 			z.c.log(slog.LevelInfo, "zone recovered", "zone", name)
 			z.c.emit(ZoneRecovered{Zone: name, At: z.c.now})
@@ -73,6 +74,8 @@
 	}
 }
 
+// The following types are outputs of the core. The server records them in the zone trace.
+
 // ZoneChanged reports a change of a zone's state.
 type ZoneChanged struct {
 	Zone     string
@@ -90,7 +93,7 @@
 type TaskRestarted struct {
 	Zone, Class string
 	Phase       scheduler.RestartPhase
-	Lost, At    time.Time
+	Lost, At    time.Time // when the task was lost, and when its restart was observed
 }
 
 // ZoneRecovered reports that a zone is healthy and that no task lost with it still waits to restart.
--- a/failureclass/failureclass.go
+++ b/failureclass/failureclass.go
@@ -2,12 +2,12 @@
 // submitted with a mistake, from a machine that is faulty.
 //
 // A single failed task does not show the cause: workers report `error` both for a faulty
-// machine and for a job that can't run anywhere. The leader keeps one Job value for each job
+// machine and for a job that can't run anywhere. The leader keeps a failure history for each job
 // and records every task failure and every success in it. A job that has failed on
 // BrokenAfterMachines different machines without a single success is classified as broken, and
 // its tasks are retried with a longer backoff. A success of any task ends that classification.
-// It shows that the job can run, so its failures elsewhere were caused by the machines
-// (HasSucceeded).
+// It shows that the job can run, so its failures elsewhere were caused by the machines.
+// HasSucceeded reports such a success.
 //
 // The package does no I/O and reads no clock; durations are passed in.
 package failureclass
@@ -32,17 +32,17 @@
 	maxRetryDoublings = 5
 	// MaxBrokenRetryDelay is the longest retry delay of a broken job's task. It stays well below
 	// 90 s, the longest time that an accepted job may wait while a suitable machine has room.
-	// So a job whose user changes nothing is still retried, and one that can run after all is
-	// recognized.
+	// So a job that its user leaves as it is continues to be retried, and one that can run
+	// after all shows it by a success, after which it is no longer classified as broken.
 	MaxBrokenRetryDelay = 30 * time.Second
 )
 
-// Job records the failures of one job's tasks. The zero value is a job without failures.
+// Job is the failure history of one job. The zero value is that of a job without failures.
 type Job struct {
-	machines  []string // IDs of the machines where its tasks failed, each once, in the order of their first failure
-	succeeded bool     // a task has succeeded
-	failures  int
-	lostTime  time.Duration
+	machines  []string      // IDs of the machines where its tasks failed, each once, in the order of their first failure
+	succeeded bool          // a task has succeeded
+	failures  int           // number of failures, also repeated ones of the same task
+	lostTime  time.Duration // total run time of the failed attempts, as far as it is known; see FailureCost
 }
 
 // Failed records that one of the job's tasks failed on machine after it had run for runTime
@@ -74,16 +74,17 @@
 func (j *Job) Machines() []string { return j.machines }
 
 // FailureCost returns how many attempts of the job failed and the machine time that they took, as far
-// as it was passed to Failed.
-func (j *Job) FailureCost() (attempts int, machineTime time.Duration) { return j.failures, j.lostTime }
+// as their run times were known.
+func (j *Job) FailureCost() (attempts int, lostTime time.Duration) { return j.failures, j.lostTime }
 
-// RetryDelay returns how long a task waits before it is retried after its failures-th
-// failure (0 for the first). A broken job's delay keeps doubling up to MaxBrokenRetryDelay.
-func (j *Job) RetryDelay(failures int) time.Duration {
-	failures = max(failures, 0)
+// RetryDelay returns how long a task waits before it is retried after a failure, where
+// earlierFailures counts its failures before that one. A broken job's delay keeps doubling up
+// to MaxBrokenRetryDelay.
+func (j *Job) RetryDelay(earlierFailures int) time.Duration {
+	earlierFailures = max(earlierFailures, 0)
 	if !j.Broken() {
-		return BaseRetryDelay << min(failures, maxRetryDoublings)
+		return BaseRetryDelay << min(earlierFailures, maxRetryDoublings)
 	}
 	// BaseRetryDelay << 6 is 32 s, beyond the limit: no more doublings are needed.
-	return min(BaseRetryDelay<<min(failures, 6), MaxBrokenRetryDelay)
+	return min(BaseRetryDelay<<min(earlierFailures, 6), MaxBrokenRetryDelay)
 }
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -20,23 +20,25 @@
 // time. One goroutine owns the world, as in virtual time; requests that arrive on other goroutines are
 // enqueued for it.
 
-// liveRuntime is what a world needs to run in real time.
+// liveRuntime connects a world that runs in real time with the real controllers: it accepts their requests and
+// sends them those of the simulated users and workers.
 type liveRuntime struct {
-	ctx    context.Context
+	ctx    context.Context // ends all listeners, requests and the run
 	w      *World
-	inputs chan func()
-	client *http.Client
-	err    error // joined errors of listeners that could not be opened; ends the run
+	inputs chan func()  // functions to call on the goroutine that owns the world
+	client *http.Client // for requests to controllers
+	err    error        // joined errors of listeners that could not be opened; ends the run
 }
 
 // liveController connects the simulated services with one real controller.
 type liveController struct {
 	*liveRuntime
-	address    string // at which it serves users and workers
-	controller *member
+	address    string  // at which the controller serves users and workers
+	controller *member // the controller as a member of the simulated deployment
 }
 
-// callTimeout bounds how long the simulated services wait for a controller.
+// callTimeout bounds each request of a simulated user or worker to a controller, and the time in which a simulated
+// service reads the header of a controller's request.
 const callTimeout = 5 * time.Second
 
 // NewLiveWorld returns a world of the given shape without controllers; AddController adds real ones. All its
@@ -49,20 +51,21 @@
 	return w
 }
 
-// AddController adds a controller that serves users and workers at the given address. It returns the
+// AddController adds a real controller that serves users and workers at the given address. It returns the
 // addresses of the state service and of the cloud for this controller alone, so that it can be cut off
 // from them while the other controllers are not.
-func (w *World) AddController(name, address string) (state, cloud string) {
+func (w *World) AddController(name, address string) (stateAddress, cloudAddress string) {
 	n := &member{w: w, index: len(w.controllers), name: name}
 	n.live = &liveController{liveRuntime: w.live, address: address, controller: n}
 	w.controllers = append(w.controllers, n)
 	return w.live.serve(n.live.serveState), w.live.serve(n.live.serveCloud)
 }
 
-// RunLive runs the world in real time for the given duration, or until the first broken rule.
+// RunLive runs the world in real time for the given duration, or until the first violation of a rule.
 func (w *World) RunLive(duration time.Duration) error { return runLive([]*World{w}, duration) }
 
-// runLive runs worlds that share a clock, and owns them all on the calling goroutine.
+// runLive runs worlds that share a clock and the first one's input queue and context. The calling goroutine owns
+// them: only it reads or changes them during the run.
 func runLive(worlds []*World, duration time.Duration) error {
 	first := worlds[0]
 	startTime := time.Now().Add(-first.now)
@@ -121,9 +124,9 @@
 	return ln.Addr().String()
 }
 
-// awaitReply passes a request to the world and waits for its reply. While there is none the connection
+// awaitReply passes a request to the world and waits for its reply. Without a reply, the connection
 // stays open until the caller times out, as in a network partition.
-func awaitReply[R any](l *liveRuntime, r *http.Request, submit func(reply func(R))) (answer R, ok bool) {
+func awaitReply[R any](l *liveRuntime, r *http.Request, submit func(reply func(R))) (received R, ok bool) {
 	replies := make(chan R, 1)
 	l.enqueue(func() {
 		submit(func(a R) {
@@ -134,12 +137,12 @@
 		})
 	})
 	select {
-	case answer = <-replies:
-		return answer, true
+	case received = <-replies:
+		return received, true
 	case <-r.Context().Done():
 	case <-l.ctx.Done():
 	}
-	return answer, false
+	return received, false
 }
 
 // writeReply writes a simulated service's reply to a controller.
@@ -181,17 +184,17 @@
 		return n
 	}
 	path := r.URL.Path
-	lease, _, _ := strings.Cut(strings.TrimPrefix(path, wire.PathLeases+"/"), "/")
-	id, _ := strconv.ParseUint(lease, 10, 64)
+	leaseText, _, _ := strings.Cut(strings.TrimPrefix(path, wire.PathLeases+"/"), "/")
+	leaseID, _ := strconv.ParseUint(leaseText, 10, 64)
 	switch {
 	case path == wire.PathTxn:
 		return controller.StateCall{Op: controller.OpTxn, Txn: decodeRequestBody[wire.Txn](r)}
 	case path == wire.PathLeases:
 		return controller.StateCall{Op: controller.OpGrant, Life: time.Duration(decodeRequestBody[wire.LeaseRequest](r).TTLMS) * time.Millisecond}
 	case r.Method == http.MethodDelete:
-		return controller.StateCall{Op: controller.OpRevoke, Lease: id}
+		return controller.StateCall{Op: controller.OpRevoke, Lease: leaseID}
 	case strings.HasPrefix(path, wire.PathLeases):
-		return controller.StateCall{Op: controller.OpRenew, Lease: id}
+		return controller.StateCall{Op: controller.OpRenew, Lease: leaseID}
 	case path == wire.PathWatch:
 		return controller.StateCall{Op: controller.OpWatch, Key: query.Get("prefix"), Revision: number("after"), Wait: time.Duration(number("wait_ms")) * time.Millisecond}
 	case path == wire.PathKV:
@@ -297,7 +300,8 @@
 	}()
 }
 
-// encodeRequest returns a request of a user or a worker as the HTTP API expects it.
+// encodeRequest returns the method, path and body of the HTTP request of a user or a worker. Any other input becomes
+// a readiness probe.
 func encodeRequest(in controller.Input) (method, path string, body []byte) {
 	switch in := in.(type) {
 	case controller.ReportRequest:
@@ -332,6 +336,6 @@
 // decodeOrZero decodes raw. What can't be decoded stays at its zero value.
 func decodeOrZero[T any](raw []byte) T {
 	var v T
-	_ = wire.Unmarshal(raw, &v) // errors are ignored
+	_ = wire.Unmarshal(raw, &v)
 	return v
 }
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -13,26 +13,27 @@
 // users simulates the users: they submit jobs, poll them and cancel some.
 type users struct {
 	w              *World
-	jobs           map[string]*simJob
-	list           []*simJob
-	submissionsEnd time.Duration // when submissions end
+	jobs           map[string]*simJob // submitted jobs by ID
+	list           []*simJob          // the same jobs in the order of their submission
+	submissionsEnd time.Duration      // when submitRegularly stops submitting jobs
 }
 
-// simJob is a job with its true state, and with what has been reported to its user.
+// simJob is a job with its actual progress on the simulated machines, and with the state that controllers have
+// reported to its user.
 type simJob struct {
 	spec              wire.Job
-	runTime           time.Duration
-	done              []bool
-	accepted          bool
-	reportedDone      bool
-	cancelRequested   bool
-	reportedCancelled bool
-	cancelledAt       time.Duration
-	hasStarted        bool          // at least one task has started
-	lastTaskEnded     bool          // its last task has ended
-	firstTaskEnd      time.Duration // when the first of its tasks ended
-	lastAnswered      time.Duration // when a query about it was last answered
-	needs             []*simJob
+	runTime           time.Duration         // how long each task runs; services run until they are stopped
+	done              []bool                // the tasks that have finished, by task number
+	accepted          bool                  // a controller has answered that the job is accepted
+	reportedDone      bool                  // a controller has answered that the job is done
+	cancelRequested   bool                  // the user has sent a cancellation
+	reportedCancelled bool                  // a controller has answered that the job is cancelled
+	cancelledAt       time.Duration         // when the first such answer arrived
+	hasStarted        bool                  // at least one task has started
+	lastTaskEnded     bool                  // its last task has ended
+	firstTaskEnd      time.Duration         // when the first of its tasks ended
+	lastAnswered      time.Duration         // when a query about it was last answered
+	needs             []*simJob             // jobs that must be done before this one starts, see wire.Job.Needs
 	saved             map[int]time.Duration // saved progress by task number; nil: its tasks can't save
 	alwaysFails       bool                  // its tasks fail on every machine, as with a faulty submission
 }
@@ -72,7 +73,8 @@
 	u.submitAndMaybeCancel(u.drawJob())
 }
 
-// submitSmallJob submits a job with one task, and in a quarter of the cases cancels it soon.
+// submitSmallJob submits a job with one task, and in a quarter of the cases cancels it within 6 s, in addition to
+// the cancellation that submitAndMaybeCancel may schedule.
 func (u *users) submitSmallJob() {
 	j := u.drawJob()
 	j.spec.Tasks, j.done, j.runTime = 1, j.done[:1], u.w.between(time.Second, 4*time.Second)
@@ -128,18 +130,19 @@
 	}
 }
 
-// submitUncancelled submits a job that is not cancelled.
+// submitUncancelled submits a job without scheduling a cancellation.
 func (u *users) submitUncancelled(j *simJob) {
 	u.jobs[j.spec.ID] = j
 	u.list = append(u.list, j)
 	u.submit(j)
 }
 
-// assignHome makes this cell a job's home, and the job's id unique among the cells.
+// assignHome registers this cell as a job's home, the cell that it is submitted to, and makes the job's ID unique
+// among the cells. It does nothing outside of a federation.
 func (u *users) assignHome(j *simJob) {
-	if c := u.w.federation; c != nil {
+	if federation := u.w.federation; federation != nil {
 		j.spec.ID += fmt.Sprint(u.w.cellIndex + 1)
-		c.homeCells[j.spec.ID] = u.w
+		federation.homeCells[j.spec.ID] = u.w
 	}
 }
 
@@ -157,7 +160,8 @@
 	}
 }
 
-// encodeJob encodes a submission as a user does, with amounts of zero spelled out.
+// encodeJob encodes a submission. Amounts of zero are encoded too, because controllers reject a submission without
+// them.
 func encodeJob(s wire.Job) []byte { return wire.Marshal(s) }
 
 // request sends a request to a random controller. fn gets the answer, with status 0 if
@@ -191,21 +195,21 @@
 	u.request(controller.UserRequest{Op: controller.UserSubmit, Body: encodeJob(j.spec)}, func(a controller.Answer) {
 		switch a.Status {
 		case http.StatusOK, http.StatusCreated:
-			first := !j.accepted
+			newlyAccepted := !j.accepted
 			j.accepted = true
 			j.lastAnswered = u.w.now
-			if first {
+			if newlyAccepted {
 				u.w.checkStartsInTime(j)
 			}
 			u.w.checkState(j, known, a.Body.(wire.JobState))
-			if first {
+			if newlyAccepted {
 				if len(j.needs) >= wideStage {
 					u.w.coverage["a job accepted with a long list of needed jobs"]++
 				}
-				for _, p := range j.needs {
-					if p.reportedCancelled {
+				for _, needed := range j.needs {
+					if needed.reportedCancelled {
 						u.w.coverage["a job accepted that needs a cancelled one"]++
-					} else if p.reportedDone {
+					} else if needed.reportedDone {
 						u.w.coverage["a job accepted that needs a finished one"]++
 					}
 				}
@@ -221,8 +225,8 @@
 	})
 }
 
-// poll queries a job's state at intervals, and less often from its end until the end of
-// the faults.
+// poll queries a job's state at intervals. While faults are still injected, a job that was reported done or
+// cancelled is queried at six times the interval.
 func (u *users) poll(j *simJob) {
 	known := u.w.knownState(j)
 	u.request(controller.UserRequest{Op: controller.UserPoll, Job: j.spec.ID}, func(a controller.Answer) {
@@ -273,7 +277,8 @@
 	u.w.after(u.w.between(3*time.Second, 9*time.Second), u.askUnknownJobs)
 }
 
-// jobEnded is called as the last task of a job ends: some users cancel the job at that moment.
+// jobEnded is called as the last task of a job ends. Depending on the active faults, the user cancels the job at
+// that moment, and queries it at all controllers.
 func (u *users) jobEnded(j *simJob) {
 	if u.w.chance(u.w.faults.cancelAtEnd) {
 		u.w.coverage["cancelled at the end of its last task"]++
@@ -283,7 +288,7 @@
 }
 
 // askAllControllers polls a job and submits it again at every controller within 20 ms, three
-// times each: no answer may be older than one already given by any controller.
+// times each, if the fault of the same name is active: no answer may be older than one already given by any controller.
 func (u *users) askAllControllers(j *simJob) {
 	if !u.w.faults.askAllControllers {
 		return
@@ -300,6 +305,8 @@
 	}
 }
 
+// askController sends a request about a job to one controller, and checks the answer against what the user knew
+// when the request was sent.
 func (u *users) askController(n *member, j *simJob, r controller.UserRequest) {
 	known, accepted := u.w.knownState(j), j.accepted
 	if known.done || known.cancelled {
--- a/internal/spreadseries/series_test.go
+++ b/internal/spreadseries/series_test.go
@@ -33,12 +33,13 @@
 	if err != nil || !reflect.DeepEqual(read, rows) {
 		t.Fatalf("read rows differ from written ones: %d read, %d written, error %v", len(read), len(rows), err)
 	}
-	all := SeriesByRun(read)
-	if len(all) != 2 || len(all[1].Samples) != 300 || all[1].Samples[7].Machines != 2 || !all[1].Spread {
-		t.Fatalf("%d series, want 2; sample 7 of the second: %+v", len(all), all[1].Samples[7])
+	series := SeriesByRun(read)
+	if len(series) != 2 || len(series[1].Samples) != 300 || series[1].Samples[7].Machines != 2 || !series[1].Spread {
+		t.Fatalf("%d series, want 2; sample 7 of the second: %+v", len(series), series[1].Samples[7])
 	}
 	var table bytes.Buffer
-	if err := WriteTable(&table, all, -1, 10.5, 299); err != nil {
+	// The columns are times before the first sample, between two samples, and of the last sample.
+	if err := WriteTable(&table, series, -1, 10.5, 299); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{"| off 0 | false | - | 1.00, 2.00 | 1.00, 2.00 |", "| on 0 | true | - | 0.20, 1.20 | 0.20, 1.20 |"} {
@@ -47,7 +48,7 @@
 		}
 	}
 	plotPath := filepath.Join(dir, "plot.png")
-	if err := Plot(plotPath, "a test", all); err != nil {
+	if err := Plot(plotPath, "a test", series); err != nil {
 		t.Fatal(err)
 	}
 	if raw, err := os.ReadFile(plotPath); err != nil || !bytes.HasPrefix(raw, []byte("\x89PNG")) {
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -8,33 +8,33 @@
 	Tasks            []int     // indexes of the pending tasks, in order
 	Total            int       // number of all tasks of the job, pending or not
 	TaskResources    Resources // resources of one task
-	Measure          Measure
-	Types            []string // permitted machine types; empty: all
-	Zone             string   // required zone; empty: any
-	OneZone, Spread  bool     // all tasks in the same zone; at most half of them, rounded up, in any zone
-	Spot             bool     // spot machines are permitted
+	Measure          Measure   // converts resources into a size in cores
+	Types            []string  // permitted machine types; empty: all
+	Zone             string    // required zone; empty: any
+	OneZone, Spread  bool      // OneZone: all tasks run in the same zone; Spread: no zone runs more than half of them, rounded up
+	Spot             bool      // spot machines are permitted
 	Image            string
 	CachedOnly       bool // only machines that have the image
-	PreferNonSpot    bool // prefer non-spot machines even over image locality: losing a task delays other jobs too
-	Rank             int  // index of the job's priority; 0 is the highest
+	PreferNonSpot    bool // prefer non-spot machines even over image locality: a lost task would delay a chain of jobs with a deadline
+	Rank             int  // index in wire.Priorities; 0 is the highest. A job that needs this one can raise it above the job's own priority
 	Service          bool
 	Gang             bool                   // all tasks are placed at once or none is
-	WaitForBooting   bool                   // its start objective is missed: leaving room to other classes outranks a fast start
+	WaitForBooting   bool                   // the start objective is missed: tasks may wait for booting machines, and prefer machines that OtherClasses can't use
 	SpreadImages     bool                   // least loaded machines first, so that many machines get the image
-	OtherClasses     []Resources            // resources of one task of each other class
+	OtherClasses     []Resources            // resources of one task of each other class with recent demand, to leave room for them; empty: not considered
 	WithinGuarantee  bool                   // the job runs within its team's guarantee
 	AgeS             float64                // seconds since the job became ready
 	Started          bool                   // a task of the job has run
 	Aged             bool                   // it has waited long enough to be ordered by age, see OrderWithAging
 	MissedObjectives int                    // objectives on its finishing time that it can no longer meet
-	WorkS            float64                // remaining work: the sum of task sizes times seconds
+	WorkS            float64                // remaining work in core-seconds: the size of the unfinished tasks times the estimated run time
 	InZone           map[string]int         // tasks with an active attempt, by zone
 	RoomInTeam       int                    // further tasks that the team's limit allows
 	Avoid            map[string]bool        // IDs of machines that must not be used
 	RestartPhase     RestartPhase           // restart priority while work of a failed zone restarts
 	OnlyZone         string                 // the only zone with machines that fit; empty if there are several or it was not determined
 	StartLimits      map[string]*StartLimit // limits on starts by zone; a zone without an entry is unlimited
-	Balance          *Balance               // nil: the most loaded machine first
+	Balance          *Balance               // nil: load is not balanced, and the most loaded machine comes first unless SpreadImages is set
 }
 
 // Allows reports whether the demand's fixed constraints permit a machine of the given type and zone.
--- a/wire/submit.go
+++ b/wire/submit.go
@@ -56,9 +56,10 @@
 }
 
 // ParseJob decodes and validates a submission. If it fails, it still returns the job ID
-// where that could be read, so that a known job can be recognised. If the body can't be
-// decoded, the error is that of Unmarshal; otherwise it joins one *FieldError for each
-// missing or invalid field.
+// if that could be read: a repeated submission of a known job is answered with the job's
+// state even if it is invalid. If the body can't be decoded, the error is that of Unmarshal;
+// otherwise it joins at least one *FieldError for each missing or invalid field. A field that
+// fails several checks has one for each.
 func ParseJob(body []byte) (job Job, id string, err error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
@@ -94,6 +95,7 @@
 	p.require("uid", ValidID(job.ID))
 	p.require("shape", job.Kind == KindArray || job.Kind == KindGang || job.Kind == KindService)
 	p.require("urgency", slices.Contains(Priorities, job.Priority))
+	// A task must use at least one resource; the error names the cores.
 	p.require("cores", job.CPUs > 0 || job.GPUs > 0 || job.MemoryGB > 0)
 	if s.DeadlineS != nil {
 		p.nonNegative("due_s", s.DeadlineS)
@@ -122,9 +124,10 @@
 // Unwrap returns ErrInvalidField.
 func (e *FieldError) Unwrap() error { return ErrInvalidField }
 
-// parser collects the errors of a submission's fields.
+// parser returns the values of a submission's fields and joins a *FieldError for each failed check.
 type parser struct{ err error }
 
+// fail records an error for the field.
 func (p *parser) fail(field string) {
 	p.err = errors.Join(p.err, &FieldError{Field: field})
 }
