--- a/balance/move_tracker.go
+++ b/balance/move_tracker.go
@@ -43,7 +43,7 @@
 const (
 	Moved     Outcome = "moved"     // the task runs at the destination
 	Diverted  Outcome = "diverted"  // the task runs on another machine than the destination
-	Completed Outcome = "completed" // the task completed before it was stopped
+	Completed Outcome = "completed" // the task completed before a new attempt of it was observed running
 	Cancelled Outcome = "cancelled" // the task's job was cancelled
 )
 
@@ -96,7 +96,7 @@
 	counts     Counts
 }
 
-// Counts are the numbers of moves since the leader took office.
+// Counts are the numbers of moves since the leader was elected.
 type Counts struct {
 	Started  int                   `json:"begun"`              // moves started
 	Outcomes map[Outcome]int       `json:"outcomes,omitempty"` // moves that have ended, by outcome
@@ -119,9 +119,9 @@
 	t.budget = math.Min(t.budget+rate*now.Sub(t.refilledAt).Seconds(), math.Max(1, rate*burstSeconds))
 	t.refilledAt = now
 	a := &Allowance{MaxPerTeam: t.settings.maxMovesPerTeam(machines), Teams: map[string]int{}, Jobs: map[string]bool{}}
-	for _, e := range t.moves {
-		a.Teams[e.Team]++
-		a.Jobs[e.Job] = true
+	for _, move := range t.moves {
+		a.Teams[move.Team]++
+		a.Jobs[move.Job] = true
 	}
 	a.Moves = max(0, min(int(t.budget), t.settings.maxMovesInFlight(machines)-len(t.moves)-others))
 	return a
@@ -143,18 +143,18 @@
 
 // ActiveMove returns the move of a task, and false if the task is not being moved.
 func (t *MoveTracker) ActiveMove(id TaskID) (ActiveMove, bool) {
-	e := t.moves[id]
-	if e == nil {
+	move := t.moves[id]
+	if move == nil {
 		return ActiveMove{}, false
 	}
-	return *e, true
+	return *move, true
 }
 
 // ActiveMoves returns the active moves, sorted by task.
 func (t *MoveTracker) ActiveMoves() []ActiveMove {
 	all := make([]ActiveMove, 0, len(t.moves))
-	for _, e := range t.moves {
-		all = append(all, *e)
+	for _, move := range t.moves {
+		all = append(all, *move)
 	}
 	slices.SortFunc(all, func(a, b ActiveMove) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index)) })
 	return all
@@ -171,72 +171,72 @@
 // ReservedOn returns the resources that are reserved on a machine.
 func (t *MoveTracker) ReservedOn(machine string) scheduler.Resources {
 	reserved := scheduler.Resources{}
-	for _, e := range t.moves {
-		if e.Reserved && e.To == machine {
-			reserved = reserved.Add(e.Resources, 1)
+	for _, move := range t.moves {
+		if move.Reserved && move.To == machine {
+			reserved = reserved.Add(move.Resources, 1)
 		}
 	}
 	return reserved
 }
 
 // ReleaseReservation releases the room that is reserved for a task. It reports false if there is none.
-func (t *MoveTracker) ReleaseReservation(id TaskID, why ReleaseReason) (Change, bool) {
-	e := t.moves[id]
-	if e == nil || !e.Reserved {
+func (t *MoveTracker) ReleaseReservation(id TaskID, reason ReleaseReason) (Change, bool) {
+	move := t.moves[id]
+	if move == nil || !move.Reserved {
 		return Change{}, false
 	}
-	e.Reserved = false
-	t.counts.Releases[why]++
-	return Change{ActiveMove: *e, PreviousPhase: e.Phase, ReleaseReason: why}, true
+	move.Reserved = false
+	t.counts.Releases[reason]++
+	return Change{ActiveMove: *move, PreviousPhase: move.Phase, ReleaseReason: reason}, true
 }
 
 // Observe updates the move of a task from the observed state of the task, and reports whether the move
 // changed. It releases reserved room that is no longer needed or was reserved for too long.
 func (t *MoveTracker) Observe(now time.Time, id TaskID, observed Observation) (Change, bool) {
-	e := t.moves[id]
-	if e == nil {
+	move := t.moves[id]
+	if move == nil {
 		return Change{}, false
 	}
-	was := *e
-	outcome := e.advance(observed)
-	c := Change{ActiveMove: *e, PreviousPhase: was.Phase, Outcome: outcome}
+	was := *move
+	outcome := move.advance(observed)
+	c := Change{ActiveMove: *move, PreviousPhase: was.Phase, Outcome: outcome}
 	switch {
 	case outcome != "":
 		t.counts.Outcomes[outcome]++
 		delete(t.moves, id)
-		e.Reserved = false
-	case e.Phase == Starting:
-		e.Reserved = false // the new attempt occupies its own room, on whichever machine it is
-	case !e.Reserved:
+		move.Reserved = false
+	case move.Phase == Starting:
+		move.Reserved = false // the new attempt occupies its own room, on whichever machine it is
+	case !move.Reserved:
 	case observed.DestinationLost:
 		c.ReleaseReason = ReleasedDestinationLost
-	case now.Sub(e.StartedAt) > t.settings.Hold:
+	case now.Sub(move.StartedAt) > t.settings.Hold:
 		c.ReleaseReason = ReleasedTimeOut
 	}
 	if c.ReleaseReason != "" {
 		t.ReleaseReservation(id, c.ReleaseReason)
 	}
-	if was.Reserved && !e.Reserved && c.ReleaseReason == "" {
+	if was.Reserved && !move.Reserved && c.ReleaseReason == "" {
 		c.ReleaseReason = ReleasedMoveEnded
 	}
-	c.Reserved = e.Reserved
-	return c, *e != was || outcome != ""
+	c.Reserved = move.Reserved
+	return c, *move != was || outcome != ""
 }
 
 // advance sets the phase of a move to the observed one, and returns the outcome if the move has ended.
-func (e *ActiveMove) advance(observed Observation) Outcome {
+func (move *ActiveMove) advance(observed Observation) Outcome {
 	switch {
 	case observed.Cancelled:
 		return Cancelled
 	case observed.Completed:
 		return Completed
 	case !observed.Active:
-		e.Phase = Waiting
-	case observed.Attempt == e.Attempt:
-		e.Phase = Stopping
+		move.Phase = Waiting
+	case observed.Attempt == move.Attempt:
+		move.Phase = Stopping
 	case !observed.Running:
-		e.Phase = Starting
-	case observed.Machine == e.To:
+		move.Phase = Starting
+	case observed.Machine == move.To:
 		return Moved
 	default:
 		return Diverted
--- a/balance/move_tracker_test.go
+++ b/balance/move_tracker_test.go
@@ -48,8 +48,8 @@
 		var last Change
 		for i, observation := range c.observations {
 			last, _ = tracker.Observe(startTime.Add(time.Duration(i+1)*10*time.Second), m.TaskID, observation)
-			if _, under := tracker.ActiveMove(m.TaskID); under == (last.Outcome != "") {
-				t.Errorf("%s: active %v, outcome %q", name, under, last.Outcome)
+			if _, active := tracker.ActiveMove(m.TaskID); active == (last.Outcome != "") {
+				t.Errorf("%s: active %v, outcome %q", name, active, last.Outcome)
 			}
 		}
 		if last.Outcome != c.outcome || tracker.Len() != 0 || tracker.ReservedOn("b") != (scheduler.Resources{}) {
@@ -69,13 +69,13 @@
 	tracker := NewMoveTracker(DefaultSettings(), startTime)
 	tracker.Start(startTime, testMove("job"), 4)
 	id := testMove("job").TaskID
-	if c, any := tracker.ReleaseReservation(id, ReleasedForUrgent); !any || c.ReleaseReason != ReleasedForUrgent || tracker.ReservedOn("b").CPUs != 0 {
+	if c, released := tracker.ReleaseReservation(id, ReleasedForUrgent); !released || c.ReleaseReason != ReleasedForUrgent || tracker.ReservedOn("b").CPUs != 0 {
 		t.Errorf("%+v", c)
 	}
-	if c, any := tracker.ReleaseReservation(id, ReleasedForUrgent); any {
+	if c, released := tracker.ReleaseReservation(id, ReleasedForUrgent); released {
 		t.Errorf("released twice: %+v", c)
 	}
-	if _, under := tracker.ActiveMove(id); !under {
+	if _, active := tracker.ActiveMove(id); !active {
 		t.Error("the move is no longer tracked")
 	}
 }
--- a/balance/plan.go
+++ b/balance/plan.go
@@ -16,9 +16,9 @@
 // Machine is the state of a machine that takes part in load spreading.
 type Machine struct {
 	ID    string              // the machine's name
-	Size  float64             // weight among machines, as scheduler.Measure has it
+	Size  float64             // size in cores, as scheduler.Measure computes it
 	Cap   scheduler.Resources // total resources
-	Used  scheduler.Resources // resources of all tasks that stay, and of those that are coming to it
+	Used  scheduler.Resources // resources of its tasks except those being stopped, and room reserved for other tasks
 	Tasks []Task              // tasks that may be moved; needed only for hot machines
 
 	share float64 // dominant share, kept up to date while a plan is made
@@ -64,8 +64,8 @@
 	FleetSnapshot
 	settings               Settings
 	allowance              *Allowance
-	hotShare               float64 // share above which a machine is hot
-	byShare                []*Machine
+	hotShare               float64               // share above which a machine is hot
+	byShare                []*Machine            // all machines, the least loaded first
 	byImage                map[string][]*Machine // machines that have an image, the least loaded first; filled in on demand
 	jobsWithoutDestination map[string]bool       // jobs with a task on a hotter machine that found no destination
 	moves                  []Move
@@ -73,12 +73,12 @@
 
 // Plan returns the moves to make now, the best first. Each is the move off a hot machine that lowers the
 // imbalance most for its cost. The imbalance is the sum over all machines of size times the square of the
-// share. Plan stays within the allowance and changes the machines of p as if the moves were made.
-func Plan(p FleetSnapshot, s Settings, allowance *Allowance) []Move {
+// share. Plan stays within the allowance and changes the machines of the snapshot as if the moves were made.
+func Plan(fleet FleetSnapshot, s Settings, allowance *Allowance) []Move {
 	if allowance.Moves <= 0 {
 		return nil
 	}
-	plan := newPlanner(p, s, allowance)
+	plan := newPlanner(fleet, s, allowance)
 	for allowance.Moves > 0 {
 		from, best := plan.bestMove()
 		if from == nil {
@@ -90,11 +90,11 @@
 }
 
 // newPlanner returns a planner without moves.
-func newPlanner(p FleetSnapshot, s Settings, allowance *Allowance) *planner {
-	plan := &planner{FleetSnapshot: p, settings: s, allowance: allowance, hotShare: s.HotShare(NewDistribution(p.Machines).Mean),
+func newPlanner(fleet FleetSnapshot, s Settings, allowance *Allowance) *planner {
+	plan := &planner{FleetSnapshot: fleet, settings: s, allowance: allowance, hotShare: s.HotShare(NewDistribution(fleet.Machines).Mean),
 		byImage: map[string][]*Machine{}, jobsWithoutDestination: map[string]bool{}}
-	for i := range p.Machines {
-		m := &p.Machines[i]
+	for i := range fleet.Machines {
+		m := &fleet.Machines[i]
 		m.share = m.Share()
 		plan.byShare = append(plan.byShare, m)
 	}
@@ -104,11 +104,11 @@
 
 // WithoutDestination counts, by hot machine, the movable tasks for which no other machine would be an
 // improvement now. It explains why a task that tolerates a move stays.
-func WithoutDestination(p FleetSnapshot, s Settings) map[string]int {
-	plan := newPlanner(p, s, nil)
+func WithoutDestination(fleet FleetSnapshot, s Settings) map[string]int {
+	plan := newPlanner(fleet, s, nil)
 	count := map[string]int{}
-	for i := range p.Machines {
-		from := &p.Machines[i]
+	for i := range fleet.Machines {
+		from := &fleet.Machines[i]
 		for k := range from.Tasks {
 			if from.share > plan.hotShare && plan.bestDestination(from, &from.Tasks[k]).task == nil {
 				count[from.ID]++
@@ -130,7 +130,8 @@
 	gain float64
 }
 
-// betterThan reports whether a move lowers the imbalance more for its cost than another one.
+// betterThan reports whether a move lowers the imbalance more for its cost than another one: it compares the
+// gain per second of cost, with one second added to every cost so that a move without cost has a finite rank.
 func (c candidateMove) betterThan(other candidateMove) bool {
 	if other.task == nil {
 		return c.task != nil
--- a/balance/plan_test.go
+++ b/balance/plan_test.go
@@ -12,7 +12,7 @@
 // randomFleet draws machines of 16 cores with tasks of the given sizes, up to the given load. Every task may
 // run on every machine where it fits.
 func randomFleet(rng *rand.Rand, machines int, load float64, sizes ...float64) FleetSnapshot {
-	p := FleetSnapshot{Fits: fitsByRoom, HasImage: func(*Machine, string) bool { return true }}
+	fleet := FleetSnapshot{Fits: fitsByRoom, HasImage: func(*Machine, string) bool { return true }}
 	capacity := scheduler.Resources{CPUs: 16, MemoryGB: 64}
 	for i := range machines {
 		m := Machine{ID: fmt.Sprintf("m%04d", i), Size: 16, Cap: capacity}
@@ -24,9 +24,9 @@
 			m.Used = m.Used.Add(each, 1)
 			m.Tasks = append(m.Tasks, Task{TaskID: TaskID{fmt.Sprintf("job-%d-%d", i, task), 0}, Team: fmt.Sprint("team", task%2), Resources: each})
 		}
-		p.Machines = append(p.Machines, m)
+		fleet.Machines = append(fleet.Machines, m)
 	}
-	return p
+	return fleet
 }
 
 func fitsByRoom(t *Task, m *Machine) bool { return m.Cap.Add(m.Used, -1).Fits(t.Resources) > 0 }
@@ -80,16 +80,16 @@
 	rng := rand.New(rand.NewPCG(11, 7))
 	greedy, optimal, worstShare, draws := 0.0, 0.0, 1.0, 0
 	for range 120 {
-		p := randomFleet(rng, 4, 0.6, 2, 4, 6)
+		fleet := randomFleet(rng, 4, 0.6, 2, 4, 6)
 		s := DefaultSettings()
-		before := imbalance(p.Machines)
-		all := planner{FleetSnapshot: p, settings: s, hotShare: s.HotShare(NewDistribution(p.Machines).Mean)}
+		before := imbalance(fleet.Machines)
+		all := planner{FleetSnapshot: fleet, settings: s, hotShare: s.HotShare(NewDistribution(fleet.Machines).Mean)}
 		least := leastImbalance(&all, 3)
 		if before-least < 1e-9 {
 			continue
 		}
-		Plan(p, s, allowanceOf(3))
-		got := before - imbalance(p.Machines)
+		Plan(fleet, s, allowanceOf(3))
+		got := before - imbalance(fleet.Machines)
 		draws++
 		greedy, optimal = greedy+got, optimal+before-least
 		worstShare = math.Min(worstShare, got/(before-least))
@@ -106,12 +106,12 @@
 	rng := rand.New(rand.NewPCG(3, 7))
 	moved := 0
 	for range 100 {
-		p := randomFleet(rng, 5+rng.IntN(30), 0.3+0.6*rng.Float64(), 1, 2, 4, 8)
+		fleet := randomFleet(rng, 5+rng.IntN(30), 0.3+0.6*rng.Float64(), 1, 2, 4, 8)
 		s := DefaultSettings()
 		rounds := 0
 		for ; rounds < 1000; rounds++ {
-			before, allowed := imbalance(p.Machines), &Allowance{Moves: 4, MaxPerTeam: 2, Teams: map[string]int{}, Jobs: map[string]bool{}}
-			moves := Plan(p, s, allowed)
+			before, allowed := imbalance(fleet.Machines), &Allowance{Moves: 4, MaxPerTeam: 2, Teams: map[string]int{}, Jobs: map[string]bool{}}
+			moves := Plan(fleet, s, allowed)
 			if len(moves) == 0 {
 				break
 			}
@@ -123,14 +123,14 @@
 				if m.Gain <= 0 || m.From == m.To || teams[m.Team] > 2 || len(moves) > 4 {
 					t.Fatalf("moves violate a limit or gain nothing: %+v", moves)
 				}
-				addToDestination(&p, m)
+				addToDestination(&fleet, m)
 			}
-			if after := imbalance(p.Machines); math.Abs(before-after-gains) > 1e-6 {
+			if after := imbalance(fleet.Machines); math.Abs(before-after-gains) > 1e-6 {
 				t.Fatalf("the imbalance goes from %v to %v with gains of %v", before, after, gains)
 			}
-			for i := range p.Machines {
-				if p.Machines[i].Share() > 1+1e-9 {
-					t.Fatalf("%s is overcommitted", p.Machines[i].ID)
+			for i := range fleet.Machines {
+				if fleet.Machines[i].Share() > 1+1e-9 {
+					t.Fatalf("%s is overcommitted", fleet.Machines[i].ID)
 				}
 			}
 		}
@@ -144,10 +144,10 @@
 }
 
 // addToDestination lists a moved task at its destination.
-func addToDestination(p *FleetSnapshot, m Move) {
-	for i := range p.Machines {
-		if p.Machines[i].ID == m.To {
-			p.Machines[i].Tasks = append(p.Machines[i].Tasks, m.Task)
+func addToDestination(fleet *FleetSnapshot, m Move) {
+	for i := range fleet.Machines {
+		if fleet.Machines[i].ID == m.To {
+			fleet.Machines[i].Tasks = append(fleet.Machines[i].Tasks, m.Task)
 		}
 	}
 }
@@ -181,11 +181,11 @@
 			t.Errorf("%s: tasks without a destination by machine: %v", name, stay)
 		}
 	}
-	mendable := FleetSnapshot{Machines: full(4, ""), Fits: fitsByRoom}
-	if stay := WithoutDestination(mendable, DefaultSettings()); len(stay) > 0 {
+	improvable := FleetSnapshot{Machines: full(4, ""), Fits: fitsByRoom}
+	if stay := WithoutDestination(improvable, DefaultSettings()); len(stay) > 0 {
 		t.Errorf("tasks that can move are counted as without a destination: %v", stay)
 	}
-	if moves := Plan(mendable, DefaultSettings(), allowanceOf(9)); len(moves) == 0 {
+	if moves := Plan(improvable, DefaultSettings(), allowanceOf(9)); len(moves) == 0 {
 		t.Error("no move is planned where moves help")
 	}
 }
--- a/balance/reason.go
+++ b/balance/reason.go
@@ -25,15 +25,15 @@
 // BlockReason is the reason why no moves are started at all.
 type BlockReason string
 
-// The blocks.
+// The reasons why no moves are started.
 const (
 	NotBlocked          BlockReason = ""
-	NoLease             BlockReason = "no lease of the state service, or late renewals"
-	MachinesNotReported BlockReason = "not all machines have reported"
-	NetworkFault        BlockReason = "a partition"
-	ZoneRecovering      BlockReason = "a zone recovers"
-	WorkPending         BlockReason = "work waits"
-	WriteBudgetShort    BlockReason = "writes are short"
-	RecordNotWritten    BlockReason = "the record of moves is being written"
-	HeadroomShort       BlockReason = "headroom would not fit any more"
+	NoLease             BlockReason = "no lease of the state service, or late renewals" // the leader's own lease
+	MachinesNotReported BlockReason = "not all machines have reported"                  // to this leader
+	NetworkFault        BlockReason = "a partition"                                     // the leader suspects a network partition
+	ZoneRecovering      BlockReason = "a zone recovers"                                 // see package zones
+	WorkPending         BlockReason = "work waits"                                      // pending tasks have precedence over moves
+	WriteBudgetShort    BlockReason = "writes are short"                                // little of the budget for writes to the state service is left
+	RecordNotWritten    BlockReason = "the record of moves is being written"            // it must be stored before any move starts
+	HeadroomShort       BlockReason = "headroom would not fit any more"                 // the last plan would have left room for fewer headroom tasks
 )
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -15,7 +15,7 @@
 
 	MovesPerMinute float64 // moves started per minute and hundred machines
 	MovesInFlight  float64 // active moves per hundred machines
-	KeepIdle       bool    // idle machines are not returned, and take part in load spreading
+	KeepIdle       bool    // idle machines are not returned to the cloud, and take part in load spreading
 }
 
 // DefaultSettings returns the settings that apply where operators set nothing.
--- a/balance/share.go
+++ b/balance/share.go
@@ -25,7 +25,7 @@
 	Machines  int     `json:"machines"`  // number of machines
 	Mean      float64 `json:"mean"`      // mean share, weighted by size
 	Variation float64 `json:"variation"` // coefficient of variation: standard deviation over mean
-	Maximum   float64 `json:"maximum"`   // the largest share over the mean
+	Maximum   float64 `json:"maximum"`   // ratio of the largest share to the mean share
 }
 
 // NewDistribution returns the distribution of the machines' shares.
--- a/balance/survey.go
+++ b/balance/survey.go
@@ -97,7 +97,7 @@
 	return all
 }
 
-// HotImages returns the images of tasks that only hot machines have, the ones with the most tasks first.
+// HotImages returns the images that tasks use and that only hot machines have, those with the most tasks first.
 func (s *Survey) HotImages() []ImageStatus {
 	var hot []ImageStatus
 	for _, name := range slices.Sorted(maps.Keys(s.images)) {
