--- a/cells/holder.go
+++ b/cells/holder.go
@@ -13,7 +13,7 @@
 
 // HolderRecord is a holder's record of another cell's job. Its epoch is a fencing token: once an epoch
 // has ended, no grant with that epoch or a lower one is accepted. The record is kept until the home's
-// floor has reached its epoch, see Removable.
+// floor (see Floor) has reached its epoch, see Removable.
 type HolderRecord struct {
 	Home   Cell        // the cell whose job it is
 	Job    string      // the job's id
@@ -24,7 +24,7 @@
 	Result Result      // result of the epoch, once it has ended
 }
 
-// OfferContext are the conditions at a cell when an offer arrives.
+// OfferContext are the conditions at a cell when a message arrives. All but Floor matter only for an offer.
 type OfferContext struct {
 	KnowsJob  bool  // the cell has a job with that id, its own or another cell's
 	KnowsTeam bool  // the team that owns the job is one of this cell's teams
--- a/cells/home.go
+++ b/cells/home.go
@@ -15,7 +15,8 @@
 )
 
 // HomeRecord is a home's record of a job that has been granted at least once. Its writes are conditional
-// (compare-and-swap) on its version, on the home's leadership and on the job's header.
+// (compare-and-swap) on its version, on the home's leadership and on the job's header, the record that the
+// job's acceptance stored.
 type HomeRecord struct {
 	Job    string    // the job's id
 	Team   string    // the team that owns the job
--- a/cells/planner_test.go
+++ b/cells/planner_test.go
@@ -13,16 +13,16 @@
 // has room for.
 func coresMoved(t *testing.T, pending []PendingJob, room map[Cell]float64) float64 {
 	sizes, used, all := map[string]float64{}, map[Cell]float64{}, 0.0
-	for _, w := range pending {
-		sizes[w.Job] = w.Size
+	for _, job := range pending {
+		sizes[job.Job] = job.Size
 	}
-	for _, m := range Plan(pending, room) {
-		size, known := sizes[m.Job]
+	for _, transfer := range Plan(pending, room) {
+		size, known := sizes[transfer.Job]
 		if !known {
-			t.Fatalf("%s is moved twice", m.Job)
+			t.Fatalf("%s is moved twice", transfer.Job)
 		}
-		delete(sizes, m.Job)
-		used[m.To] += size
+		delete(sizes, transfer.Job)
+		used[transfer.To] += size
 		all += size
 	}
 	for cell, cores := range used {
--- a/cells/transfer_test.go
+++ b/cells/transfer_test.go
@@ -11,7 +11,7 @@
 type model struct {
 	t             *testing.T
 	rng           *rand.Rand
-	last          Epoch // the last epoch that the home allocated
+	lastEpoch     Epoch // epoch that the home allocated last
 	jobs          map[string]*homeModel
 	holders       map[Cell]*holderModel
 	network       []Message // messages in flight; none expires
@@ -19,7 +19,7 @@
 	homeDown      bool
 	answers       map[string]Result // the final result that was reported to the user, by job
 	runs          map[string]int    // how often each job has run to its end
-	events        map[string]int
+	events        map[string]int    // number of occurrences by event, to show that the runs cover all of them
 }
 
 // homeModel is a job's record at home with its version.
@@ -166,7 +166,7 @@
 		for _, o := range m.jobs {
 			records = append(records, o.HomeRecord)
 		}
-		msg.Floor = Floor(records, r.Holder, m.last)
+		msg.Floor = Floor(records, r.Holder, m.lastEpoch)
 		m.send(msg)
 		return
 	}
@@ -188,8 +188,8 @@
 	case m.chance(0.3):
 		next, err = r.Recall()
 	default:
-		m.last++ // even if the write fails: an allocated epoch is never used again
-		next, err = r.Grant(m.holder().name, m.last)
+		m.lastEpoch++ // even if the write fails: an allocated epoch is never used again
+		next, err = r.Grant(m.holder().name, m.lastEpoch)
 	}
 	if err == nil && next != r.HomeRecord {
 		m.write(r, next)
@@ -354,12 +354,12 @@
 	if _, err := granted.Grant("c", 4); err != ErrNotLocal {
 		t.Errorf("grant of a granted job: %v", err)
 	}
-	back, _ := granted.Apply(Message{Kind: KindStatus, From: "b", Job: "j", Epoch: 3, State: HolderEnded, Result: ResultRefused})
-	if _, err := back.Grant("c", 3); err != ErrOldEpoch || !back.MayRun() {
-		t.Errorf("grant with a used epoch: %v, %+v", err, back)
+	returned, _ := granted.Apply(Message{Kind: KindStatus, From: "b", Job: "j", Epoch: 3, State: HolderEnded, Result: ResultRefused})
+	if _, err := returned.Grant("c", 3); err != ErrOldEpoch || !returned.MayRun() {
+		t.Errorf("grant with a used epoch: %v, %+v", err, returned)
 	}
-	over, _ := back.RequestCancel()
-	if _, err := over.Recall(); err != ErrJobEnded || !over.Cancelled() {
+	cancelled, _ := returned.RequestCancel()
+	if _, err := cancelled.Recall(); err != ErrJobEnded || !cancelled.Cancelled() {
 		t.Errorf("recall of a cancelled job: %v", err)
 	}
 	if _, changed := (HolderRecord{State: HolderEnded}).ReturnJob(); changed {
