--- a/reduction/dynamic.go
+++ b/reduction/dynamic.go
@@ -99,8 +99,9 @@
 	return Pending
 }
 
-// Classify reports whether a node can be released (Progressing), waits for its predecessors
-// (Waiting) or is settled.
+// Classify reports whether a node can be released for execution (Progressing), waits for its
+// predecessors (Waiting) or is completed or failed (Settled). A node that the graph does not hold can be released:
+// see Accumulate.
 func (g *DynamicGraph) Classify(id string) Verdict {
 	switch n := g.nodes[id]; {
 	case n == nil || n.status == Pending && n.incomplete == 0:
--- a/reduction/dynamic_test.go
+++ b/reduction/dynamic_test.go
@@ -86,9 +86,9 @@
 		if got := g.Status(name(v)) == Failed; got != failed {
 			t.Fatalf("node %d: failed %v, on the fixed graph %v", v, got, failed)
 		}
-		waits := slices.Contains(ready, v)
-		if got := g.Classify(name(v)) == Progressing; got != waits {
-			t.Fatalf("node %d: ready %v, on the fixed graph %v", v, got, waits)
+		wantReady := slices.Contains(ready, v)
+		if got := g.Classify(name(v)) == Progressing; got != wantReady {
+			t.Fatalf("node %d: ready %v, on the fixed graph %v", v, got, wantReady)
 		}
 		if _, own := outcome[v]; failed && !own && !reported[name(v)] {
 			t.Fatalf("node %d has failed, but no call returned it", v)
--- a/reduction/reduction.go
+++ b/reduction/reduction.go
@@ -175,7 +175,7 @@
 }
 
 func isReady(g *Graph, s *State, v int) bool {
-	if g.pred == nil {
+	if g.pred == nil { // a graph from Independent
 		return true
 	}
 	for _, p := range g.pred[v] {
@@ -186,12 +186,13 @@
 	return true
 }
 
-// Verdict is the classification of a closed state, in which failures have been propagated.
+// Verdict is the classification of a closed state, in which failures have been propagated. For what it
+// says of a single node, see DynamicGraph.Classify.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Progressing Verdict = iota // the frontier can be released
+	Progressing Verdict = iota // the nodes of the frontier can be released for execution
 	Settled                    // nothing is pending or running
 	Waiting                    // nodes are running and none is ready
 	Stuck                      // some nodes are pending and can never be released
--- a/reduction/reduction_test.go
+++ b/reduction/reduction_test.go
@@ -58,6 +58,7 @@
 
 func statuses(s *State) []Status { return s.Clone().status }
 
+// No node of the frontier can be reached from another one.
 func TestFrontierIsAntichain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, edges := drawGraph(t)
@@ -104,17 +105,17 @@
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		rng.Shuffle(len(rs), func(i, j int) { rs[i], rs[j] = rs[j], rs[i] })
 		single := s.Clone()
-		var v2 Verdict
-		var f2 []int
+		var singleVerdict Verdict
+		var singleFrontier []int
 		if len(rs) == 0 {
-			v2, f2 = Classify(g, single)
+			singleVerdict, singleFrontier = Classify(g, single)
 		}
 		for _, r := range rs { // sequential: closed and classified after each
 			single.Accumulate(r.node, r.outcome)
-			v2, f2 = Classify(g, single)
+			singleVerdict, singleFrontier = Classify(g, single)
 		}
-		if verdict != v2 || !reflect.DeepEqual(frontier, f2) || !reflect.DeepEqual(statuses(batch), statuses(single)) {
-			t.Fatalf("in a batch: verdict %v, frontier %v, statuses %v; one by one: %v, %v, %v", verdict, frontier, batch.status, v2, f2, single.status)
+		if verdict != singleVerdict || !reflect.DeepEqual(frontier, singleFrontier) || !reflect.DeepEqual(statuses(batch), statuses(single)) {
+			t.Fatalf("in a batch: verdict %v, frontier %v, statuses %v; one by one: %v, %v, %v", verdict, frontier, batch.status, singleVerdict, singleFrontier, single.status)
 		}
 	})
 }
@@ -152,6 +153,8 @@
 	})
 }
 
+// After a recovery no node is running, completed nodes stay completed, and the state is either progressing or
+// settled.
 func TestRecoveryIsValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, _ := drawGraph(t)
