--- a/scheduler/balance.go
+++ b/scheduler/balance.go
@@ -45,8 +45,8 @@
 }
 
 // compare orders machines by the criteria that take precedence over image locality.
-func (e balanceRank) compare(o balanceRank) int {
-	return cmp.Or(cmp.Compare(e.empty, o.empty), cmp.Compare(e.hot, o.hot))
+func (r balanceRank) compare(o balanceRank) int {
+	return cmp.Or(cmp.Compare(r.empty, o.empty), cmp.Compare(r.hot, o.hot))
 }
 
 // roomBelowHot returns how many tasks of the demand fit on a machine before it becomes hot, or how many fit
@@ -70,7 +70,7 @@
 func (d *Demand) hasImage(m *Machine) bool { return m.Images[d.Image] || m.Fetching[d.Image] }
 
 // markFetching records that a machine is fetching the demand's image. Later placements of the round count the
-// image as present there; otherwise each further task could send the image to one more machine.
+// image as present there; otherwise each further task could make one more machine fetch it.
 func (d *Demand) markFetching(m *Machine) {
 	if d.Balance == nil || d.hasImage(m) {
 		return
@@ -80,7 +80,8 @@
 	m.Fetching = fetching
 }
 
-// Fits reports whether a machine has room for one more task of the demand and meets all its constraints.
+// Fits reports whether a machine has room for one more task of the demand and meets its constraints on machines and
+// zones, the limit on starts included. It does not check the limit on fetches, RoomInTeam and Gang.
 func (d *Demand) Fits(m *Machine) bool {
 	return d.accepts(m) && d.zoneRoom(m.Zone) > 0 && m.Free.Fits(d.TaskResources) > 0
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -6,8 +6,10 @@
 )
 
 // Order sorts demands in place. Services and demands of the highest priority come first.
-// Next are aged demands, the oldest first, then work within its team's guarantee, then
-// higher priority. Under overload, oldest first would make every job late; so within a
+// Next are aged demands, the oldest first, then work within its team's guarantee, then, while
+// work of a failed zone restarts, the earlier restart phase and demands that can run only in a
+// zone whose starts are limited, then higher priority. Services are ordered by restart phase
+// before guarantees. Under overload, oldest first would make every job late; so within a
 // priority the demands that can still meet their objectives come first, and among those
 // the ones with the least remaining work.
 func Order(ds []*Demand) {
@@ -28,7 +30,7 @@
 
 // OrderWithAging orders demands so that no job starves: ordering by least work alone would
 // delay the largest jobs for as long as smaller ones arrive. Aged demands come first, but
-// together take no more than the reserve, a size as Measure has it. A job of which no task
+// together take no more than the reserve, a size in cores (see Measure). A job of which no task
 // has run gets one task even beyond the reserve. Tasks beyond that are split off into a
 // demand that is not aged and keeps its usual place. Gangs are never split.
 func OrderWithAging(ds []*Demand, reserve float64) []*Demand {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -12,7 +12,7 @@
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool
-	Shard          string
+	Shard          string // the controller whose shard the machine is in, see ShardOf
 	Cap, Free      Resources
 	Releasing      Resources // resources that become free once stopping tasks have ended
 	Images         map[string]bool
@@ -103,14 +103,14 @@
 	}
 	c = cmp.Or(c, a.balance.compare(b.balance), cmp.Compare(a.uncached, b.uncached), cmp.Compare(a.unwanted, b.unwanted),
 		cmp.Compare(a.costToOthers, b.costToOthers))
-	fuller := cmp.Compare(d.Measure.Of(a.Free), d.Measure.Of(b.Free))
+	byLoad := cmp.Compare(d.Measure.Of(a.Free), d.Measure.Of(b.Free))
 	if d.SpreadImages {
-		fuller = -fuller
+		byLoad = -byLoad
 	}
 	if d.Balance != nil {
-		fuller = cmp.Compare(a.balance.share, b.balance.share)
+		byLoad = cmp.Compare(a.balance.share, b.balance.share)
 	}
-	return cmp.Or(c, fuller, cmp.Compare(a.ID, b.ID))
+	return cmp.Or(c, byLoad, cmp.Compare(a.ID, b.ID))
 }
 
 // costToOthers counts the tasks of other classes that no longer fit on a machine once
@@ -142,74 +142,75 @@
 	items  []candidate
 }
 
-func (r *candidateHeap) Len() int { return len(r.items) }
+func (h *candidateHeap) Len() int { return len(h.items) }
 
-func (r *candidateHeap) Less(i, j int) bool { return r.demand.compare(r.items[i], r.items[j]) < 0 }
+func (h *candidateHeap) Less(i, j int) bool { return h.demand.compare(h.items[i], h.items[j]) < 0 }
 
-func (r *candidateHeap) Swap(i, j int) { r.items[i], r.items[j] = r.items[j], r.items[i] }
+func (h *candidateHeap) Swap(i, j int) { h.items[i], h.items[j] = h.items[j], h.items[i] }
 
-func (r *candidateHeap) Push(x any) { r.items = append(r.items, x.(candidate)) }
+func (h *candidateHeap) Push(x any) { h.items = append(h.items, x.(candidate)) }
 
-func (r *candidateHeap) Pop() any {
-	last := len(r.items) - 1
-	c := r.items[last]
-	r.items = r.items[:last]
+func (h *candidateHeap) Pop() any {
+	last := len(h.items) - 1
+	c := h.items[last]
+	h.items = h.items[:last]
 	return c
 }
 
 // assignTasks assigns tasks one by one, each to the machine preferred at that point. An
 // assignment changes only the position of its own machine in the heap.
 func assignTasks(eligible []*Machine, d *Demand, want int) []Assignment {
-	r := &candidateHeap{demand: d, items: make([]candidate, 0, len(eligible))}
+	candidates := &candidateHeap{demand: d, items: make([]candidate, 0, len(eligible))}
 	for _, m := range eligible {
-		r.items = append(r.items, d.candidate(m))
+		candidates.items = append(candidates.items, d.candidate(m))
 	}
-	heap.Init(r)
+	heap.Init(candidates)
 	var out []Assignment
-	for len(out) < want && len(r.items) > 0 {
-		m := r.items[0].Machine
+	for len(out) < want && len(candidates.items) > 0 {
+		m := candidates.items[0].Machine
 		if d.spreadRoom(m.Zone) <= 0 || m.Free.Fits(d.TaskResources) == 0 || !d.mayStart(m) {
-			heap.Pop(r)
+			heap.Pop(candidates)
 			continue
 		}
 		m.Free = m.Free.Add(d.TaskResources, -1)
 		d.countStarts(m, 1)
 		d.markFetching(m)
 		out = append(out, Assignment{d.Tasks[len(out)], m})
-		r.items[0] = d.candidate(m)
-		heap.Fix(r, 0)
+		candidates.items[0] = d.candidate(m)
+		heap.Fix(candidates, 0)
 	}
 	return out
 }
 
 // capacity counts the tasks of a demand that fit on a set of machines.
 type capacity struct {
-	exclusive int // on machines that no other class can use and that have the image, or need not have it
+	exclusive int // on machines that no other class can use and that have the image; with WaitForBooting, also without it
 	cached    int // on machines that have the image or fetch it, as long as they are not hot
 	all       int // on all machines
 }
 
 func (d *Demand) capacity(machines []*Machine, want int) capacity {
-	var r capacity
+	var c capacity
 	for _, m := range machines {
 		n := m.Free.Fits(d.TaskResources)
-		r.all += n
+		c.all += n
 		if m.Penalty > 0 {
 			continue
 		}
 		if d.hasImage(m) {
-			r.cached += d.roomBelowHot(m)
+			c.cached += d.roomBelowHot(m)
 		}
 		if len(d.OtherClasses) > 0 && (d.WaitForBooting || m.Images[d.Image]) && !d.suitsOthers(m.Cap) {
-			r.exclusive += n
+			c.exclusive += n
 		}
 	}
-	r.exclusive, r.cached = min(r.exclusive, want), min(r.cached, want)
-	return r
+	c.exclusive, c.cached = min(c.exclusive, want), min(c.cached, want)
+	return c
 }
 
-// bestShard returns the machines of the shard with the most room, or nil if the job
-// fits into no single shard.
+// bestShard returns the machines of the shard with the most room, or nil if the job fits into
+// no single shard. Room on exclusive machines counts before room on machines with the image, and
+// that before room on all machines.
 func bestShard(eligible []*Machine, d *Demand, want int) []*Machine {
 	shards := map[string][]*Machine{}
 	for _, m := range eligible {
@@ -218,13 +219,13 @@
 	var best []*Machine
 	bestName, largest := "", capacity{-1, -1, -1}
 	for name, ms := range shards {
-		r := d.capacity(ms, want)
-		if r.all < want {
+		c := d.capacity(ms, want)
+		if c.all < want {
 			continue
 		}
-		if cmp.Or(cmp.Compare(r.exclusive, largest.exclusive), cmp.Compare(r.cached, largest.cached), cmp.Compare(r.all, largest.all),
+		if cmp.Or(cmp.Compare(c.exclusive, largest.exclusive), cmp.Compare(c.cached, largest.cached), cmp.Compare(c.all, largest.all),
 			cmp.Compare(bestName, name)) > 0 {
-			best, bestName, largest = ms, name, r
+			best, bestName, largest = ms, name, c
 		}
 	}
 	return best
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -102,7 +102,7 @@
 		}
 		cheapest := costs[best]
 		costs = slices.Delete(costs, best, best+1)
-		// Victims chosen on other machines since then may have used up a team's excess.
+		// Victims chosen on other machines since this cost was computed may have used up a team's excess.
 		vs, loss := chooseVictims(cheapest.machine, d, cheapest.machine.Free.Add(cheapest.machine.Releasing, 1), excess, now)
 		if loss > cheapest.loss {
 			costs = append(costs, preemptionCost{cheapest.machine, loss})
@@ -123,8 +123,10 @@
 }
 
 // chooseVictims returns the tasks to stop on a machine so that one task of d fits, and the loss: the
-// seconds of work lost plus one for each victim. It returns nil if that can't be done. Of the tasks that
-// d may stop, those of the lowest priority come first, then those that lose the least work.
+// seconds of work lost plus one for each victim. It returns nil if that can't be done. d may
+// stop tasks of lower priority and, if it is within its team's guarantee, borrowed tasks of other teams
+// that were not placed by age. Of these, the tasks of the lowest priority come first, then those that
+// lose the least work.
 func chooseVictims(m *Machine, d *Demand, free Resources, excess Excess, now time.Time) ([]Victim, float64) {
 	var vs []Victim
 	for _, v := range m.Tasks {
@@ -150,7 +152,8 @@
 	return nil, 0
 }
 
-// recordEvictions adds the victims' resources to those that are being released, less one task of d.
+// recordEvictions removes the victims from the machine's tasks and adds their resources to those that are being
+// released, less one task of d.
 func recordEvictions(m *Machine, victims []Victim, d *Demand) {
 	remaining := make([]Victim, 0, len(m.Tasks))
 	for _, t := range m.Tasks {
--- a/scheduler/restart.go
+++ b/scheduler/restart.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// Restarts after the loss of a zone: the order in which work starts again, and the limit on tasks that
-// start in a zone at once.
+// This file has what placement does after the loss of a zone: the order in which work starts again, and the
+// limit on tasks that start in a zone at once.
 
 // RestartPhase orders demands while work of a failed zone restarts. At all other times every demand is
 // in the first phase.
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -112,21 +112,21 @@
 // A job that other jobs wait for uses a non-spot machine, even if a spot machine has its image. Other
 // jobs that tolerate spot machines use those and leave the non-spot machine free.
 func TestPlaceKeepsChainsOffSpotMachines(t *testing.T) {
-	for _, keepOff := range []bool{false, true} {
+	for _, preferNonSpot := range []bool{false, true} {
 		machines := []*Machine{
 			{ID: "i-1", Type: "small", Spot: true, Cap: Resources{CPUs: 4}, Free: Resources{CPUs: 4}, Images: map[string]bool{"img": true}},
 			{ID: "i-2", Type: "small", Cap: Resources{CPUs: 4}, Free: Resources{CPUs: 4}},
 		}
 		d := &Demand{Job: "j", Tasks: []int{0}, Total: 1, RoomInTeam: 1, TaskResources: Resources{CPUs: 1}, Image: "img", Spot: true,
-			PreferNonSpot: keepOff, InZone: map[string]int{}}
+			PreferNonSpot: preferNonSpot, InZone: map[string]int{}}
 		placed := Place(machines, d)
-		if len(placed) != 1 || placed[0].Machine.Spot == keepOff {
-			t.Errorf("keep off spot %v: placed %+v", keepOff, placed)
+		if len(placed) != 1 || placed[0].Machine.Spot == preferNonSpot {
+			t.Errorf("keep off spot %v: placed %+v", preferNonSpot, placed)
 		}
 		d = &Demand{Job: "k", Tasks: []int{0, 1, 2, 3, 4, 5}, Total: 6, RoomInTeam: 6, TaskResources: Resources{CPUs: 1}, Image: "img", Spot: true,
-			PreferNonSpot: keepOff, InZone: map[string]int{}}
+			PreferNonSpot: preferNonSpot, InZone: map[string]int{}}
 		if placed := Place(machines, d); len(placed) != 6 {
-			t.Errorf("keep off spot %v: %d of 6 tasks placed", keepOff, len(placed))
+			t.Errorf("keep off spot %v: %d of 6 tasks placed", preferNonSpot, len(placed))
 		}
 	}
 }
@@ -210,16 +210,16 @@
 		{Type: "small", Cap: Resources{CPUs: 4, MemoryGB: 32}, Price: 0.36},
 	}
 	d := demand(1, 2)
-	if w := PlanRentals(nil, []*Demand{d}, offers, 5); len(w) != 1 || w[0].Offer.Type != "small" || w[0].Count != 1 {
-		t.Errorf("one small task: %+v", w)
+	if requests := PlanRentals(nil, []*Demand{d}, offers, 5); len(requests) != 1 || requests[0].Offer.Type != "small" || requests[0].Count != 1 {
+		t.Errorf("one small task: %+v", requests)
 	}
 	d = demand(5, 8)
 	d.Spot = true
-	if w := PlanRentals(nil, []*Demand{d}, offers, 5); len(w) != 1 || !w[0].Offer.Spot || w[0].Count != 2 {
-		t.Errorf("five large tasks on spot: %+v", w)
+	if requests := PlanRentals(nil, []*Demand{d}, offers, 5); len(requests) != 1 || !requests[0].Offer.Spot || requests[0].Count != 2 {
+		t.Errorf("five large tasks on spot: %+v", requests)
 	}
-	if w := PlanRentals(machines(1, "x", 16), []*Demand{demand(4, 2)}, offers, 5); w != nil {
-		t.Errorf("rented %+v though there is room", w)
+	if requests := PlanRentals(machines(1, "x", 16), []*Demand{demand(4, 2)}, offers, 5); requests != nil {
+		t.Errorf("rented %+v though there is room", requests)
 	}
 }
 
