--- a/zones/record.go
+++ b/zones/record.go
@@ -13,7 +13,7 @@
 	State     string  `cbor:"s"`           // name of the zone's state
 	SinceMS   int64   `cbor:"t"`           // when the zone entered that state
 	Penalty   float64 `cbor:"p,omitempty"` // number of losses, decaying by half every flap window; it lengthens the hold-down
-	HeldMS    int64   `cbor:"h,omitempty"` // end of the hold-down; set only in that state
+	HeldMS    int64   `cbor:"h,omitempty"` // end of the hold-down; set only while the zone is held down
 	Window    int     `cbor:"w,omitempty"` // limit on the starts in progress at once; 0 if they are not limited
 	WrittenMS int64   `cbor:"m"`           // when the record was made
 }
--- a/zones/status.go
+++ b/zones/status.go
@@ -21,7 +21,7 @@
 	ForS             float64 `json:"for_s"`                // seconds since it entered that state
 	Responsive       int     `json:"responsive"`           // machines that report in time
 	Silent           int     `json:"silent"`               // machines whose reports are overdue
-	Losses           int     `json:"losses"`               // number of losses since this leader took office
+	Losses           int     `json:"losses"`               // number of losses since this leader was elected
 	Penalty          float64 `json:"penalty"`              // number of losses, decaying by half every flap window; it lengthens the hold-down
 	HeldForS         float64 `json:"held_for_s,omitempty"` // remaining hold-down in seconds
 	Window           int     `json:"window,omitempty"`     // limit on the starts in progress at once; 0 if they are not limited
--- a/zones/tracker.go
+++ b/zones/tracker.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// rampQuietPeriod is the time without a delayed start after which a returning zone is healthy.
-const rampQuietPeriod = 10 * time.Second
+// throttleQuietPeriod is the time without a throttled start after which a returning zone is healthy.
+const throttleQuietPeriod = 10 * time.Second
 
-// minPenalty is the penalty below which a loss no longer lengthens hold-downs noticeably.
+// minPenalty is the penalty below which a loss no longer lengthens hold-downs noticeably; a lower one is set to 0.
 const minPenalty = 1.0 / 8
 
 // maxPenalty limits a restored penalty; it is beyond any penalty that still lengthens a hold-down.
@@ -31,7 +31,7 @@
 	penaltyAt    time.Time // when the penalty was last updated
 	silentSince  time.Time // since when most of its machines have been silent; zero if they are not
 	heldUntil    time.Time // end of the hold-down
-	throttledAt  time.Time // when a start was last delayed by the limit
+	throttledAt  time.Time // when a start was last throttled, that is, delayed by the limit
 	window       window
 	fetchWindows map[string]*window // limits on starts in progress that fetch an image, by image
 	losses       int                // number of losses since the tracker was created, for operators
@@ -123,7 +123,7 @@
 			z.throttledAt = now
 			z.enter(Returning, now)
 		}
-	case now.Sub(z.throttledAt) >= rampQuietPeriod:
+	case now.Sub(z.throttledAt) >= throttleQuietPeriod: // the zone is returning
 		z.enter(Healthy, now)
 		z.resetWindows(t.settings)
 	}
--- a/zones/window.go
+++ b/zones/window.go
@@ -60,7 +60,7 @@
 	return w
 }
 
-// RecordThrottledStart records that a start in a zone with room for it was delayed by the limit.
+// RecordThrottledStart records that the limit on starts delayed a start in a zone that had room for it.
 func (t *Tracker) RecordThrottledStart(now time.Time, name string) {
 	if z := t.zones[name]; z != nil && z.state == Returning {
 		z.throttledAt = now
