--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -15,8 +15,8 @@
 	attemptPlanned  attemptPhase = iota // its record may not be written yet
 	attemptRecorded                     // its record is written; its run command may be sent
 	attemptSent                         // its run command has been sent and may arrive at any time
-	attemptReported                     // a report has listed it on its machine
-	attemptRunning                      // a report has listed it as running
+	attemptReported                     // a heartbeat or an answer of its worker has listed it on its machine
+	attemptRunning                      // a heartbeat or an answer of its worker has listed it as running
 )
 
 // attempt is one execution of a task on a machine. It is active until it is proved to have ended.
@@ -32,15 +32,15 @@
 	placedByAge      bool // placed ahead of others because of its waiting time
 	needsFetch       bool // its machine did not have its image when it was placed
 	placed           time.Time
-	runningSince     time.Time // running since
-	stopping         bool
-	stoppedAt        time.Time
-	grace            float64
-	savingCheckpoint bool // a report has listed it as saving a checkpoint
+	runningSince     time.Time // when it was first listed as running
+	stopping         bool      // it is to be stopped, and its run command is not sent any more
+	stoppedAt        time.Time // when stopping was set
+	graceS           float64   // seconds that it may take to save a checkpoint once it is stopped
+	savingCheckpoint bool      // the last heartbeat or answer that listed it says that it is saving a checkpoint
 }
 
 // advance moves an attempt to a phase unless it has already passed it: a run command may be sent
-// again, and a late report may show an earlier phase than a previous one.
+// again, and a heartbeat that arrives late may show an earlier phase than a previous one.
 func (a *attempt) advance(to attemptPhase) { a.phase = max(a.phase, to) }
 
 func (a *attempt) taskID() string { return wire.TaskID(a.job.id, a.task) }
--- a/controller/attempt_test.go
+++ b/controller/attempt_test.go
@@ -6,8 +6,9 @@
 	"pumicefront/wire"
 )
 
-// A running attempt stays in its phase when its run command is sent again, or when a late report
-// shows it fetching. Otherwise it would be treated as never started, and its task placed again.
+// A running attempt stays in its phase when its run command is sent again, or when a
+// heartbeat that arrives late shows it fetching. Otherwise it would be treated as never started,
+// and its task placed again.
 func TestAttemptsOnlyAdvance(t *testing.T) {
 	_, l, j := newLeadingCore(t)
 	m := l.machine("i-1")
--- a/controller/authority.go
+++ b/controller/authority.go
@@ -16,8 +16,8 @@
 const (
 	authorityMargin          = 50 * time.Millisecond // by which authority ends before the lease
 	tokenRaiseInterval       = 8 * time.Second       // minimum time between two raises of the fencing token
-	endedAttemptRaiseDelay   = 30 * time.Second      // how long an ended attempt is remembered before a raise lets it be dropped
-	stoppedAttemptRaiseDelay = 4 * time.Second       // how long a stopped attempt that was never reported may stay unresolved
+	endedAttemptRaiseDelay   = 30 * time.Second      // time after which the token is raised so that the worker may forget an ended attempt
+	stoppedAttemptRaiseDelay = 4 * time.Second       // time after which the token is raised for a stopped attempt that no heartbeat has listed
 )
 
 // hasAuthority reports whether this controller may act as leader now. It is checked before every
@@ -27,7 +27,7 @@
 }
 
 // Authority returns the time until which this controller may act as leader, as known now. The
-// shell checks it again before it sends an output that was delayed.
+// shell (package server) checks it again before it sends an output that was delayed.
 func (c *Core) Authority() time.Time {
 	if c.lead == nil {
 		return time.Time{}
@@ -50,13 +50,13 @@
 // scheduleRenewal schedules the next lease renewal, with a read of the headers if the last one is too
 // old and a peer lease request if the state service is unreachable.
 func (l *leader) scheduleRenewal() {
-	every := min(l.c.op.LeaderLeaseTTL(), l.c.cancellationWindow()) / 4
-	l.c.after(every, func() {
+	interval := min(l.c.op.LeaderLeaseTTL(), l.c.cancellationWindow()) / 4
+	l.c.after(interval, func() {
 		if l.c.lead != l {
 			return
 		}
 		l.renewLease()
-		if l.c.now.Sub(l.c.watchCache.lastRead) >= every {
+		if l.c.now.Sub(l.c.watchCache.lastRead) >= interval {
 			l.c.forceSync(func(bool) {}) // see renewalDeadline
 		}
 		l.requestPeerLease()
@@ -128,8 +128,8 @@
 // a more recent copy of the headers. A user's cancellation may have been confirmed right after
 // headersKnownUntil. A machine lease that is renewed before this deadline expires at most cancel_s
 // after that, which stops the task. Settings that leave hardly any time between lease_s and
-// cancel_s can't be met by leases alone; the service then relies on reading the headers several
-// times a second.
+// cancel_s can't be met by leases alone; the leader then also relies on reading the headers
+// several times a second.
 func (l *leader) renewalDeadline() time.Time {
 	return l.headersKnownUntil().Add(l.c.cancellationWindow())
 }
--- a/controller/authority_test.go
+++ b/controller/authority_test.go
@@ -7,15 +7,16 @@
 	"pumicefront/wire"
 )
 
-// Authority counts from before the renewal was sent, so it ends before the lease can expire.
+// Authority counts from the time at which the grant or renewal was sent, so it ends before the
+// lease can expire.
 // Without authority, the leader redirects a heartbeat (421) instead of answering it.
 func TestAuthorityLapses(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
-	life := c.op.LeaderLeaseTTL()
-	if c.now = l.elected.Add(life - 200*time.Millisecond); !c.hasAuthority() {
+	ttl := c.op.LeaderLeaseTTL()
+	if c.now = l.elected.Add(ttl - 200*time.Millisecond); !c.hasAuthority() {
 		t.Fatal("no authority during the lease")
 	}
-	c.now = l.elected.Add(life)
+	c.now = l.elected.Add(ttl)
 	c.out = nil
 	c.answerHeartbeat(ReportRequest{Req: 1, Report: wire.Report{Machine: "i-1"}})
 	if a, ok := c.out[0].(Answer); !ok || a.Status != 421 {
--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -16,10 +16,10 @@
 	typesInterval         = time.Minute
 	releasedRetention     = 10 * time.Minute // how long a released machine is remembered
 	refusalRetention      = 15 * time.Second // how long a refused offer is not requested again
-	peakHalfLife          = 90.0             // seconds after which a class's past peak counts half
-	minCharge             = 50 * time.Second // a minute is charged at least, and a release call takes its time
-	scaleInMax            = 4                // unneeded machines released in one round,
-	scaleInDivisor        = 16               // or one in so many of all machines if that is more
+	peakHalfLife          = 90.0             // seconds after which the weight of a job class's past peak demand has halved
+	minCharge             = 50 * time.Second // minimum rental time: at least a minute is charged, and the release call takes some of it
+	scaleInMax            = 4                // unneeded machines released in one round: at most this number,
+	scaleInDivisor        = 16               // or the number of all machines divided by this, if that is more
 	maxMachinesPerRequest = 50               // machines in one request, the cloud's limit
 	maxRequestsPerRound   = 8                // rental requests made in one round
 	maxMachinesPerRelease = 100              // machines in one release call, the cloud's limit
@@ -101,7 +101,7 @@
 func (s *autoscaler) scaleOut() {
 	for _, req := range s.requests {
 		if !req.answered {
-			return // its machines are not counted before it is answered
+			return // the machines of this request are not in the scheduler's view before it is answered
 		}
 	}
 	machines := s.schedulerView(true)
@@ -135,8 +135,8 @@
 	return append(ds, s.failureDetector.replacementDemands()...)
 }
 
-// expectedArrivalSize estimates the size of the batch work that arrives before a machine requested now would be up: it
-// needs the freed room as much as the pending work does.
+// expectedArrivalSize estimates the size of the batch work that arrives before a machine requested now would be up. The
+// room that running tasks free is needed for this work as well as for the pending work.
 func (s *autoscaler) expectedArrivalSize() float64 {
 	size := 0.0
 	for _, a := range s.arrivals {
--- a/controller/cell_declared_gone.go
+++ b/controller/cell_declared_gone.go
@@ -10,7 +10,7 @@
 )
 
 // Cells that operators declare gone. Such a cell can't report the end of the jobs that it holds, so an operator
-// asserts that nothing of them runs any more, and the jobs are taken back.
+// asserts that none of their tasks runs any more, and this cell, their home, takes the jobs back.
 
 // declaredGone reports whether a grant is covered by an operator's declaration that its holder is gone.
 func (s *spilloverManager) declaredGone(r cells.HomeRecord) bool {
@@ -18,8 +18,8 @@
 	return declared && r.Epoch <= declaration.Epoch
 }
 
-// excludeDeclaredGone returns the open grants without those covered by a declaration. Their cell may be back before
-// the writes that end them are made, and must not learn from this cell that they are open.
+// excludeDeclaredGone returns the open grants without those covered by a declaration. The declared cell may be reachable
+// again before the writes that end these grants are made, and no call may then confirm to it that they are open.
 func (s *spilloverManager) excludeDeclaredGone(open []cells.HomeRecord) []cells.HomeRecord {
 	return slices.DeleteFunc(slices.Clone(open), s.declaredGone)
 }
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -141,7 +141,7 @@
 }
 
 // dropAcceptances releases the cores reserved for a home's pending acceptances up to an epoch, of one job or,
-// where job is empty, of all. These acceptances can no longer be written, or are ended as soon as they are.
+// where job is empty, of all. These acceptances can no longer be written, or are ended as soon as they are written.
 func (s *spilloverManager) dropAcceptances(home cells.Cell, job string, epoch cells.Epoch) {
 	for id, a := range s.pendingAcceptances {
 		if a.home == home && a.epoch <= epoch && (job == "" || job == id) {
@@ -285,8 +285,8 @@
 	return f
 }
 
-// raiseFloor applies a floor received from a home. Jobs here whose grant has ended at the home, as after this cell
-// was declared gone, are stopped. The fences at or below the floor are replaced by the recorded floor in one
+// raiseFloor applies a floor received from a home. Jobs in this cell whose grant has ended at the home, for example because
+// this cell was declared gone, are stopped. The fences at or below the floor are replaced by the recorded floor in one
 // transaction.
 func (s *spilloverManager) raiseFloor(home cells.Cell, epoch cells.Epoch) {
 	s.dropAcceptances(home, "", epoch)
@@ -380,7 +380,7 @@
 	}
 }
 
-// composeFence composes the write that ends another cell's job: it replaces the job's header by a fence.
+// composeFence composes the write that ends another cell's job in this cell: it replaces the job's header by a fence.
 func (l *leader) composeFence(j *job, w *write) {
 	key := fenceKey(j.origin.Home, j.id)
 	h := l.c.watchCache.headers[j.id]
--- a/controller/cell_records.go
+++ b/controller/cell_records.go
@@ -40,7 +40,7 @@
 func floorKey(home cells.Cell) string { return floorPrefix + string(home) }
 
 // goneRecord records an operator's assertion that a cell has ended every job granted to it up to an epoch, so that
-// nothing of these jobs runs there any more.
+// no task of these jobs runs there any more.
 type goneRecord struct {
 	Epoch cells.Epoch `cbor:"e"`
 	By    string      `cbor:"b"`
@@ -99,7 +99,7 @@
 	Spec *wire.Job
 }
 
-// CellCall asks the process around the core to send messages to another cell.
+// CellCall makes the shell send messages to another cell.
 type CellCall struct {
 	ID       uint64
 	To       cells.Cell
@@ -114,7 +114,7 @@
 	ID             uint64
 	OK             bool
 	Messages       []CellMessage
-	AvailableCores float64 // available cores that the other cell lends now
+	AvailableCores float64 // cores that the other cell still has available to lend
 
 	Challenge cells.Challenge // of the leader that answered
 }
--- a/controller/cell_spillover.go
+++ b/controller/cell_spillover.go
@@ -17,7 +17,7 @@
 // holder, in a new epoch, and sends offers and recalls; as a holder, it answers with what it has recorded. A
 // holder records the end of an epoch as a fence: no grant at or below it is accepted any more. A home's floor is the
 // epoch up to which all its grants to a holder have ended; once recorded, it replaces the fences below it. Every
-// step follows from the records in the state service; package cells decides which step may follow.
+// step is derived from the records in the state service alone; package cells defines which steps are permitted.
 
 // Intervals and limits of the calls between cells.
 const (
@@ -90,7 +90,7 @@
 func (s *spilloverManager) ready() bool { return s.c.allMembersRun(firstVersionWithCells) }
 
 // reconcile reconciles the grants once per interval: it reclaims jobs from cells declared gone, grants a waiting
-// job, returns jobs that wait here in vain, and calls the other cells.
+// job, returns other cells' jobs that have waited too long in this cell, and calls the other cells.
 func (s *spilloverManager) reconcile() {
 	if s == nil || s.c.now.Sub(s.lastReconcile) < cellReconcileInterval || !s.c.now.Before(s.authority) || !s.ready() {
 		return
@@ -151,7 +151,7 @@
 		return
 	}
 	link.failures, link.lastReplyAt, link.nextCallAt, link.availableCores = 0, s.c.now, s.c.now.Add(cellCallInterval), r.AvailableCores
-	if r.Challenge != link.lastChallenge { // a new leader: it starts and lends nothing until it gets its challenge back
+	if r.Challenge != link.lastChallenge { // a new leader, which neither starts foreign jobs nor lends cores until a call carries its challenge
 		link.lastChallenge, link.nextCallAt = r.Challenge, s.c.now
 	}
 	for _, m := range r.Messages {
@@ -181,8 +181,9 @@
 }
 
 // rewriteHeader replaces a job's header, on the condition that its version is the one last observed. A confirmed
-// write is applied at once; otherwise the watch shows whether it was applied, and a step that was not written
-// is decided again. It reports whether the write was sent.
+// write is applied at once; otherwise the watch shows whether it was applied, and a step that was
+// not written is derived again by a later reconciliation or message. rewriteHeader reports whether the write
+// was sent.
 func (s *spilloverManager) rewriteHeader(id string, h headerRecord, extraConds []wire.Cond, extraChanges []wire.Change) bool {
 	if s.headerWriteInFlight[id] {
 		return false
@@ -205,7 +206,7 @@
 		delete(s.headerWriteInFlight, id)
 		s.handleAcceptanceReply(id, r.Status)
 		if r.Status == http.StatusOK {
-			s.lastReconcile = time.Time{} // the next job does not wait for the interval
+			s.lastReconcile = time.Time{} // the next reconciliation, for the next job, does not wait for the interval
 			for _, change := range txn.Then {
 				if change.Put != "" {
 					s.c.applyOwnChange(wire.Event{Put: change.Put, Value: change.Value, Version: r.Txn.Revision})
@@ -216,7 +217,7 @@
 	return true
 }
 
-// dropJob drops the in-memory state of a job that has ended.
+// dropJob drops the spillover state of a job that has ended.
 func (s *spilloverManager) dropJob(id string) {
 	if s != nil {
 		delete(s.returnedAt, id)
--- a/controller/cloud_listing.go
+++ b/controller/cloud_listing.go
@@ -64,8 +64,9 @@
 
 // handleUnlisted handles the machines that a page of the list leaves out. The list is late by up to twice its lag, and a
 // machine stays listed until it has ended: one that was listed or requested longer ago than that, and is not listed, has
-// ended. Its silence would show that only after a report interval; and a new leader that finds it in the record of an
-// old rental request would take it for a booting machine. The list is no proof, so the machine is released.
+// ended. Missed heartbeats would show this only after a report interval, and a new leader that finds the machine in the
+// record of an old rental request would treat it as booting. The list does not prove that the machine has ended, so it is
+// released.
 func (s *autoscaler) handleUnlisted(after string, page wire.MachinePage, requestedAt time.Time) {
 	present := map[string]bool{}
 	last := after
@@ -80,9 +81,12 @@
 	}
 }
 
+// handleListed updates or adds a machine that the cloud lists: it probes the machine if it may be up without having sent a
+// heartbeat, and releases it if the cloud lists it as failed and no heartbeats contradict that.
 func (s *autoscaler) handleListed(it wire.Machine) {
 	if at, ok := s.released[it.ID]; ok {
-		// Still listed long after its release: it came up late, or the release was lost.
+		// Still listed long after its release: the machine came up after it, or the release was lost. The next
+		// listing adds the machine again.
 		if s.c.now.Sub(at) > 4*config.Seconds(s.c.cfg.Facts.Cloud.ListLagS)+30*time.Second {
 			delete(s.released, it.ID)
 		}
@@ -98,7 +102,7 @@
 		m.expectedInListSince = s.c.now
 	}
 	if !m.up && it.State == wire.MachineRunning && it.Addr != "" && m.addr != it.Addr {
-		s.probe(it.ID, it.Addr) // once; a machine that has failed does not answer
+		s.probe(it.ID, it.Addr) // once for each address, as a machine that has failed does not answer
 	}
 	if !m.up {
 		m.typ, m.zone, m.spot, m.addr = it.Type, it.Zone, it.Spot, it.Addr
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -18,7 +18,7 @@
 	var commands []wire.Command
 	for _, a := range m.attemptsInOrder {
 		if a.stopping {
-			commands = append(commands, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: a.grace})
+			commands = append(commands, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: a.graceS})
 		} else if a.phase < attemptReported && l.mayRun(a) {
 			commands = append(commands, l.runCommand(a))
 		}
@@ -73,21 +73,21 @@
 // stop stops an attempt, which stays active until it is proved to have ended. An attempt whose run
 // command has not been sent ends at once, as nothing else would ever prove its end. If its record is
 // being written, the completion of that write ends it.
-func (l *leader) stop(a *attempt, grace float64) {
+func (l *leader) stop(a *attempt, graceS float64) {
 	if w := a.job.write; a.phase < attemptSent && (w == nil || !slices.Contains(w.attempts, a)) {
 		l.removeAttempt(a, reduction.Reset, proofNeverSent)
 		return
 	}
-	if a.stopping && a.grace <= grace {
+	if a.stopping && a.graceS <= graceS {
 		return
 	}
 	if !a.stopping {
 		a.stoppedAt = l.c.now
 	}
-	a.stopping, a.grace = true, grace
+	a.stopping, a.graceS = true, graceS
 	a.machine.snapshot = nil
 	if a.phase >= attemptSent {
-		a.machine.pendingStops = append(a.machine.pendingStops, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: grace})
+		a.machine.pendingStops = append(a.machine.pendingStops, wire.Command{Op: wire.OpStop, Task: a.taskID(), Attempt: a.number, GraceS: graceS})
 		l.enqueueForSending(a.machine)
 	}
 }
@@ -155,7 +155,7 @@
 		}
 		l.failureDetector.applyHeartbeat(m, &r.Report)
 		if r.Status == http.StatusConflict && r.Report.Token <= l.token {
-			// Refused because of an older token or session: what is still wanted is sent again.
+			// Refused because of an older token or session: the run commands that are still valid are sent again.
 			m.pendingRuns = append(m.pendingRuns, m.attemptsInOrder...)
 			l.enqueueForSending(m)
 		}
@@ -163,7 +163,7 @@
 }
 
 // commandUnanswered records that a command to a machine got no answer. The machine's heartbeats may
-// continue to arrive while commands do not reach it; they prove only that it can send.
+// continue to arrive while commands do not reach it; heartbeats prove only that it can send.
 func (l *leader) commandUnanswered(m *machine, sent time.Time) {
 	if m.unansweredSince.IsZero() {
 		m.unansweredSince = sent
--- a/controller/consolidation.go
+++ b/controller/consolidation.go
@@ -14,8 +14,8 @@
 // consolidationInterval is the interval between checks for a machine whose replicas have room elsewhere.
 const consolidationInterval = 2 * time.Second
 
-// minReplicaRuntime is how long a replica must have run before it may be moved: a start that is stopped sooner does not
-// count as one.
+// minReplicaRuntime is how long a replica must have run before it may be moved: a replica that is stopped sooner does not
+// count as started.
 const minReplicaRuntime = 60 * time.Second
 
 // consolidate empties the machine with the highest cost per replica, if all its replicas have room on machines that are
@@ -47,8 +47,8 @@
 	s.schedulePlacement()
 }
 
-// costliestConsolidatable is the consolidatable machine with the highest cost per replica, the first by name of equal
-// ones; nil if there is none.
+// costliestConsolidatable returns the consolidatable machine with the highest cost per replica, or nil if there is none.
+// Among equal ones it returns the first by ID.
 func (s *autoscaler) costliestConsolidatable() *machine {
 	var best *machine
 	costPerReplica := func(m *machine) float64 { return s.price(m) / float64(len(m.attemptsInOrder)) }
@@ -61,9 +61,8 @@
 }
 
 // consolidatable reports whether a machine runs nothing but replicas that have run for minReplicaRuntime, that take no
-// more than half of it, and that a cheaper type would suffice for. Where no cheaper type exists, the free room beside a
-// replica is room for the next one, and moving the replica only costs that room, unless a machine boots in time for
-// the next replica.
+// more than half of it, and that a cheaper type would suffice for. Where no cheaper type exists, the free room on the
+// machine serves as headroom for further replicas, so the machine is kept, unless a new machine boots in time for them.
 func (s *autoscaler) consolidatable(m *machine) bool {
 	if !s.usable(m) || len(m.attemptsInOrder) == 0 || len(m.unknownAttempts) > 0 || s.c.now.Sub(m.consolidationFailedAt) < minReplicaRuntime {
 		return false
--- a/controller/consolidation_test.go
+++ b/controller/consolidation_test.go
@@ -9,17 +9,17 @@
 	"pumicefront/wire"
 )
 
-// Few replicas left over on each of several expensive machines are moved together, one machine at a time, once they
-// have run long enough and have room where their image is; never otherwise.
+// The replicas on an expensive machine that is mostly free are moved together, one machine at a time, once they have
+// run long enough and have room on machines that have their image; otherwise no replica is moved.
 func TestConsolidationEmptiesOneMachine(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		ran     time.Duration
-		cached  bool
-		batch   bool
-		cheaper float64 // price of the other machine type
-		within  float64 // the start objective, where a machine boots in 10 s
-		emptied int
+		name            string
+		ran             time.Duration
+		cached          bool
+		batch           bool
+		cheaper         float64 // price of the other machine type
+		startObjectiveS float64 // the start objective, where a machine boots in 10 s
+		wantStopped     int
 	}{
 		{"room elsewhere", 2 * time.Minute, true, false, 0.5, 2, 1},
 		{"started recently", time.Second, true, false, 0.5, 2, 0},
@@ -31,7 +31,7 @@
 		core, l, _ := newLeadingCore(t)
 		core.types["t"] = wire.MachineType{Name: "t", CPUs: 8, Price: 1, BootS: 10}
 		core.types["s"] = wire.MachineType{Name: "s", CPUs: 2, Price: c.cheaper, BootS: 10}
-		core.cfg.Facts.Objectives = []config.Objective{{Kind: "guarantee", WithinS: c.within}}
+		core.cfg.Facts.Objectives = []config.Objective{{Kind: "guarantee", WithinS: c.startObjectiveS}}
 		core.cfg.Facts.Teams = []config.Team{{Name: "red", CPUs: 100, CPUsMax: 100}}
 		l.jobsByAcceptance, l.jobs = nil, map[string]*job{}
 		run := func(id, kind string, m *machine) *attempt {
@@ -61,8 +61,8 @@
 				}
 			}
 		}
-		if got := l.machines["i-1"].consolidating; got != (c.emptied > 0) || stopping != c.emptied || l.machines["i-0"].consolidating {
-			t.Errorf("%s: emptying %v, %d tasks stopped, want %d", c.name, got, stopping, c.emptied)
+		if got := l.machines["i-1"].consolidating; got != (c.wantStopped > 0) || stopping != c.wantStopped || l.machines["i-0"].consolidating {
+			t.Errorf("%s: emptying %v, %d tasks stopped, want %d", c.name, got, stopping, c.wantStopped)
 		}
 	}
 }
--- a/controller/core.go
+++ b/controller/core.go
@@ -20,10 +20,10 @@
 	userCallTimeout    = 600 * time.Millisecond
 	leadCallTimeout    = 2 * time.Second
 	cloudCallTimeout   = 5 * time.Second
-	probeTimeout       = 700 * time.Millisecond
-	probeReportTimeout = time.Second
-	probePause         = 4 * time.Second
-	watchWait          = 4 * time.Second
+	probeTimeout       = 700 * time.Millisecond // of a probe of a machine that is up
+	probeReportTimeout = time.Second            // of a probe of a machine that this leader has received no status from
+	probePause         = 4 * time.Second        // between probes of a machine that this leader has received no status from
+	watchWait          = 4 * time.Second        // for which the state service holds a watch call open without events
 	retryPause         = 200 * time.Millisecond
 	tickEvery          = 250 * time.Millisecond
 )
@@ -31,14 +31,14 @@
 // clockDrift is the maximum relative drift between the monotonic clocks of two machines.
 const clockDrift = 0.001
 
-// Core is the state machine of one controller.
+// Core is the state machine of one controller: Step processes an input and returns the outputs.
 type Core struct {
 	cfg    *config.Platform
 	op     config.Operator
 	rng    *rand.Rand
 	now    time.Time
 	out    []Output
-	nextID uint64
+	lastID uint64
 
 	stateCalls  map[uint64]func(StateReply)
 	cloudCalls  map[uint64]func(CloudReply)
@@ -67,11 +67,11 @@
 	lead              *leader
 	peerLease         peerLeaseState
 	relays            relays
-	hints             map[string]*mesh.Hint // by machine, as last broadcast by a leader
+	hints             map[string]*mesh.Hint // by machine: address and images, as last broadcast by a leader
 	rejected          map[string]*wire.Job  // submissions refused for now, to be reported to the leader
 }
 
-// timer is a function that runs at a given time.
+// timer is a function to be run by the first step at or after a time.
 type timer struct {
 	at time.Time
 	fn func()
@@ -102,7 +102,7 @@
 		// IDs start at a random number: an answer to a request that an earlier process of this
 		// controller relayed over the mesh must not match a request of this process, or a worker would
 		// get the commands of another worker.
-		nextID: rng.Uint64() >> 2,
+		lastID: rng.Uint64() >> 2,
 	}
 	for _, t := range cfg.Facts.Teams {
 		c.quotas[t.Name] = quotaOf(t)
@@ -200,8 +200,8 @@
 }
 
 func (c *Core) id() uint64 {
-	c.nextID++
-	return c.nextID
+	c.lastID++
+	return c.lastID
 }
 
 func (c *Core) emit(o Output) { c.out = append(c.out, o) }
--- a/controller/deadline_inheritance.go
+++ b/controller/deadline_inheritance.go
@@ -7,21 +7,21 @@
 	"pumicefront/wire"
 )
 
-// Inheritance of priorities and deadlines: a job passes its own on to all jobs that it needs.
+// Inheritance of priorities and deadlines: a job passes its priority and deadline on to all jobs that it needs.
 
 // deadline is the time by which a job should end: its own deadline, or that of a job that depends on
 // it, less the estimated durations of the dependents.
 type deadline struct {
-	last   *wire.Job // the job that specifies the deadline; nil if there is none
-	from   time.Time // when that job was accepted
-	before float64   // estimated duration of the dependents, in seconds
+	last        *wire.Job // the job that specifies the deadline; nil if there is none
+	acceptedAt  time.Time // when that job was accepted
+	dependentsS float64   // estimated duration of the dependents, in seconds
 }
 
-// within returns how many seconds after d.from a job should end if the deadline of d.last is
+// within returns how many seconds after d.acceptedAt a job should end if the deadline of d.last is
 // multiplied by the given factor.
-func (d deadline) within(times float64) float64 { return *d.last.DeadlineS*times - d.before }
+func (d deadline) within(times float64) float64 { return *d.last.DeadlineS*times - d.dependentsS }
 
-func (d deadline) at() time.Time { return d.from.Add(config.Seconds(d.within(1))) }
+func (d deadline) at() time.Time { return d.acceptedAt.Add(config.Seconds(d.within(1))) }
 
 // earlier reports whether d is an earlier deadline than o.
 func (d deadline) earlier(o deadline) bool {
@@ -32,7 +32,7 @@
 // where they are higher or earlier than those jobs' own. It stops where nothing changes.
 func (l *leader) inheritUrgency(j *job) {
 	d := j.deadline
-	d.before += j.spec.EstimateS + l.slowestFetchS(&j.spec)
+	d.dependentsS += j.spec.EstimateS + l.slowestFetchS(&j.spec)
 	for _, p := range j.spec.Needs {
 		needed := l.jobs[p]
 		if needed == nil {
--- a/controller/demand_hints.go
+++ b/controller/demand_hints.go
@@ -11,9 +11,9 @@
 )
 
 // Demand hints. While the state service can take no more changes, submissions are rejected, and each is retried after
-// a second or two. When many arrive at once this goes on for long, and a machine takes longer to boot than one retry
-// takes. So rejected jobs are reported to the leader, which scales out for them, and keeps room for services among
-// them, before they are accepted. A hint has no other effect.
+// a second or two. When many arrive at once, a submission may be rejected many times, and a machine takes longer
+// to boot than the interval between two retries. So rejected jobs are reported to the leader, which scales out for them,
+// and keeps room for services among them, before they are accepted. A hint has no other effect.
 
 const (
 	demandHintInterval = 200 * time.Millisecond
@@ -81,7 +81,7 @@
 	return ds
 }
 
-// reserveForHintedServices takes the room that rejected services will need off the view of the machines: lower-priority
+// reserveForHintedServices subtracts the room that rejected services will need from the view of the machines: lower-priority
 // work placed there would be preempted for them at once.
 func (s *autoscaler) reserveForHintedServices(machines []*scheduler.Machine) {
 	for _, d := range s.hintedDemands() {
--- a/controller/demands.go
+++ b/controller/demands.go
@@ -49,8 +49,8 @@
 	return ds
 }
 
-// delaysChain reports whether a lost task of a job delays other jobs of a chain with a deadline, or uses up the time that
-// earlier jobs of the chain have left before the deadline.
+// delaysChain reports whether a job belongs to a chain of dependent jobs with a deadline. The loss of one of its tasks then
+// delays the later jobs of the chain, or wastes the time that the earlier jobs left before the deadline.
 func (j *job) delaysChain(dependencies *reduction.DynamicGraph) bool {
 	return j.deadline.last != nil && (len(j.spec.Needs) > 0 || len(dependencies.Successors(j.id)) > 0)
 }
@@ -71,7 +71,8 @@
 	return !j.hasStarted && age > unstartedAgingAfter || age > unfinishedAgingAfter
 }
 
-// agingReserve is the size of the agingReserveShare that is not taken yet by running tasks of old batch jobs.
+// agingReserve returns the size of the agingReserveShare that the attempts of batch jobs older than unfinishedAgingAfter do
+// not use yet.
 func (l *leader) agingReserve(machines []*scheduler.Machine) float64 {
 	left := 0.0
 	for _, m := range machines {
@@ -86,7 +87,8 @@
 }
 
 // missedObjectives counts the objectives on finishing that a job can't meet any more. It is 0 for a job that has lost
-// work to a failure, or whose age exceeds each of these objectives more than fourfold, so that it is not passed over.
+// work to a failure, or whose age exceeds each of these objectives more than fourfold, so that other jobs are not placed
+// ahead of it forever.
 func (j *job) missedObjectives(objectives []config.Objective, now time.Time) int {
 	n, overrun := 0, 0.0 // smallest ratio of the age to an objective
 	for _, o := range objectives {
@@ -107,12 +109,12 @@
 	return n
 }
 
-// finishObjective returns within how many seconds an objective wants a job finished, how many of them have passed by
-// now, and whether the objective is about the job's finishing at all.
+// finishObjective returns within how many seconds a job should finish according to an objective, how many of these have
+// passed by now, and whether the objective applies to the end of the job at all.
 func (j *job) finishObjective(o config.Objective, now time.Time) (within, age float64, applies bool) {
 	switch {
 	case o.Kind == "deadline" && j.deadline.last != nil && o.Class == j.deadline.last.Class:
-		return j.deadline.within(o.Times), now.Sub(j.deadline.from).Seconds(), true
+		return j.deadline.within(o.Times), now.Sub(j.deadline.acceptedAt).Seconds(), true
 	case o.Kind == "finished" && o.Class == j.spec.Class:
 		return o.WithinS, now.Sub(j.ready).Seconds(), true
 	}
--- a/controller/dependency_admission.go
+++ b/controller/dependency_admission.go
@@ -9,13 +9,14 @@
 // Admission of jobs that need other jobs, and the reads that must precede an answer about such a job.
 
 // checkNeededJobs checks that all jobs needed by a submission were accepted, and whether one of them is
-// cancelled. If this can't be determined now, the request is answered with 503. fn gets the
-// transaction conditions for writing the job's header.
+// cancelled. If this can't be determined now, the request is answered with 503. Otherwise fn is called with
+// the transaction conditions for writing the job's header.
 //
 // An accepted job stays accepted, and a cancellation that happens meanwhile is detected before any
 // answer about the job is given, see lookupOutcomes. So no condition is needed, and the list may be as
-// long as fits into a value. Version 2 determines a job's state from headers alone: while it may
-// run, the headers of all unfinished needed jobs must be unchanged when the job is accepted.
+// long as fits into a value. A controller of version 2 determines a job's state from headers alone:
+// while one may run, the headers of all unfinished needed jobs must be unchanged when the job is
+// accepted.
 func (c *Core) checkNeededJobs(r UserRequest, job *wire.Job, fn func(cancelled bool, conds []wire.Cond)) {
 	remaining, undetermined, refused := len(job.Needs), false, false
 	done := func() {
@@ -58,9 +59,9 @@
 }
 
 // lookupOutcomes looks up the outcomes of the jobs that an unfinished job needs, directly or
-// transitively, and whose headers are deleted: if one of them was cancelled, this job is cancelled
-// too. The copy of the headers must be up to date. For a job with running or done tasks nothing has
-// to be read, since all jobs that it needs were done.
+// transitively, and whose headers are deleted: if one of them was cancelled, the unfinished job is
+// cancelled too. The caller must have brought the watch cache up to date. For a job with running or
+// done tasks nothing has to be read, since all jobs that it needs were done.
 func (c *Core) lookupOutcomes(job string, fn func(lookupResult)) {
 	if n := c.progress[job]; n.done+n.running > 0 {
 		fn(jobUnfinished)
--- a/controller/divided_records.go
+++ b/controller/divided_records.go
@@ -2,7 +2,7 @@
 
 // Division of task records that an earlier version wrote larger than the state service accepts now.
 
-// tasksPerRecord returns how many tasks fit into a record under the minimum limits.
+// tasksPerRecord returns how many tasks fit into a record under the lower of the present and the upcoming limits.
 func (l *leader) tasksPerRecord() int { return tasksPerRecord(l.c.cfg.Facts.State.MinLimits().ValueKB) }
 
 func (j *job) chunkKey(n int) string {
--- a/controller/draining.go
+++ b/controller/draining.go
@@ -2,10 +2,10 @@
 
 import "pumicefront/wire"
 
-// Draining: machines that the cloud will take away.
+// Draining: stopping tasks on machines that the cloud will reclaim.
 
-// drain stops those tasks on a machine that will be taken that lose nothing by it (services), can save a checkpoint, or
-// can't be expected to end within the seconds left: they start again elsewhere that much sooner.
+// drain stops the tasks on a machine that the cloud reclaims in leftS seconds which are service replicas and so lose no work,
+// can save a checkpoint, or are not expected to end in time. They restart elsewhere before the machine is reclaimed.
 func (l *leader) drain(m *machine, leftS float64) {
 	for _, a := range m.attemptsInOrder {
 		j := &a.job.spec
@@ -26,7 +26,7 @@
 	return max(a.job.spec.EstimateS-ran, ran/4)
 }
 
-// saveGraceS is the time in seconds that a stopped task gets to save.
+// saveGraceS returns the time in seconds that a stopped task gets to save a checkpoint.
 func saveGraceS(j *wire.Job) float64 {
 	if j.CheckpointS == 0 {
 		return 0
--- a/controller/election.go
+++ b/controller/election.go
@@ -58,7 +58,7 @@
 	c.claimAfter = c.now.Add(retryPause + time.Duration(c.rng.Int64N(int64(retryPause))))
 }
 
-// claim tries to become leader with a lease whose request was sent at sent, and allocates the next
+// claim tries to become leader with a lease that was requested at the time sent, and allocates the next
 // fencing token in the same transaction.
 func (c *Core) claim(sent time.Time, lease uint64) {
 	token := c.watchCache.token + 1
--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -8,7 +8,7 @@
 )
 
 // The failure detector: which machines are suspected, and whether the fault is on the machine, in
-// the network of its zone or on the leader's side.
+// the network of its zone or in the leader itself, as after a pause of its process.
 
 // failureDetector is the leader's component that determines from missed heartbeats which machines
 // have failed and which leases have expired. It owns the listening period, the time for which the
@@ -26,7 +26,7 @@
 type failureScan struct {
 	*failureDetector
 	silentZones   map[string]bool      // see zonesWithoutHeartbeats
-	reconnected   bool                 // most machines of an earlier leader have sent heartbeats to this one
+	reconnected   bool                 // see mostMachinesReconnected
 	roomElsewhere []*scheduler.Machine // free capacity for tasks of released machines; nil: not computed yet
 }
 
@@ -68,11 +68,11 @@
 	case s.failed(m):
 		s.release(m, releaseSilent)
 	case (s.heartbeatOverdue(m) || !m.unansweredSince.IsZero()) && !m.callInFlight && !s.c.now.Before(m.nextProbeAt):
-		s.sendCommand(m, nil) // possibly only its heartbeats, or only the answers, are lost
+		s.sendCommand(m, nil) // a probe: possibly only its heartbeats, or only the answers to commands, are lost
 	}
 }
 
-// failed reports whether a machine counts as failed: it has been silent for several leases, or it is
+// failed reports whether a machine counts as failed: it has been silent for leasesUntilFailed lease durations, or it is
 // suspected, the network to it is not at fault, and its tasks of the highest priority have room
 // elsewhere.
 func (s *failureScan) failed(m *machine) bool {
--- a/controller/final_records.go
+++ b/controller/final_records.go
@@ -13,7 +13,7 @@
 // one can be used without a read.
 type finals struct {
 	jobs     map[string]finalRecord
-	order    []string
+	order    []string                  // the jobs in jobs, the longest cached first
 	pending  map[string][]*finalLookup // lookups by job whose read has not been sent yet
 	queue    []string                  // the jobs in pending, in order of arrival
 	timerSet bool                      // a timer is set that continues with the queue
@@ -57,7 +57,7 @@
 	f.order = append(f.order, job)
 }
 
-// lookupResult is the state of a job according to the records in the state service.
+// lookupResult is the result of a lookup of a job in the records in the state service.
 type lookupResult uint8
 
 const (
@@ -67,7 +67,7 @@
 	jobFinal
 )
 
-// lookup determines the current state of a job from the records in the state service.
+// lookup determines from up-to-date records in the state service whether a job was accepted and has ended.
 func (c *Core) lookup(job string, fn func(lookupResult)) {
 	if _, ok := c.finals.jobs[job]; ok {
 		fn(jobFinal)
--- a/controller/fixtures_test.go
+++ b/controller/fixtures_test.go
@@ -11,7 +11,8 @@
 	"pumicefront/wire"
 )
 
-// newLeadingCore returns the core of a leader that has recovered and has one job of two tasks.
+// newLeadingCore returns the core of a leader that has read the records of earlier leaders, of which there are none, and
+// has one job of two tasks.
 func newLeadingCore(t testing.TB) (*Core, *leader, *job) {
 	t.Helper()
 	var cfg config.Platform
@@ -31,7 +32,7 @@
 	return c, l, l.addJob(spec.ID, &headerRecord{Job: spec, TasksPerChunk: 10})
 }
 
-// placeAttempt adds an active attempt like a placement round, in the phase after its record was written.
+// placeAttempt adds an active attempt as a placement round does, with its record written.
 func placeAttempt(l *leader, j *job, task int, m *machine) *attempt {
 	j.chunks[0].lastAttempt++
 	a := &attempt{job: j, task: task, number: j.chunks[0].lastAttempt, machine: m, session: m.session, phase: attemptRecorded}
@@ -102,11 +103,11 @@
 	if call.Op == OpGet {
 		s.reads++
 	}
-	f, over := s.finals[strings.TrimPrefix(call.Key, finalPrefix)]
+	f, hasFinal := s.finals[strings.TrimPrefix(call.Key, finalPrefix)]
 	switch {
 	case call.Op == OpWatch:
 		return StateReply{Status: http.StatusOK, Watch: wire.WatchAnswer{Revision: c.watchCache.revision}}
-	case call.Op == OpGet && over:
+	case call.Op == OpGet && hasFinal:
 		return StateReply{Status: http.StatusOK, Item: wire.Item{Key: call.Key, Value: wire.Marshal(f), Version: 1}}
 	}
 	return StateReply{Status: http.StatusNotFound}
--- a/controller/headroom.go
+++ b/controller/headroom.go
@@ -13,14 +13,14 @@
 
 // Headroom: machines kept ready beyond the current use, sized by recent demand.
 
-// peak is the recent peak demand of a class, in tasks; it decays with peakHalfLife.
+// peak is the recent peak demand of a job class, in tasks; it decays with peakHalfLife. spec is that of a job of the class.
 type peak struct {
 	spec  wire.Job
 	tasks float64
 	at    time.Time
 }
 
-// headroom lists demands for room beyond the current use, one for each class. The longer a machine takes to boot
+// headroom lists demands for room beyond the current use, one for each job class. The longer a machine takes to boot
 // compared to the class's service-level objectives, the more headroom; but no more than may be missing before a machine
 // requested now would be up.
 func (s *autoscaler) headroom() []*scheduler.Demand {
@@ -65,7 +65,7 @@
 // arrivalWindow is the period over which arrivals are counted.
 const arrivalWindow = 90 * time.Second
 
-// arrival is a recently arrived job.
+// arrival is a job that has recently become ready.
 type arrival struct {
 	class string
 	tasks int
@@ -77,9 +77,9 @@
 	s.arrivals = append(s.arrivals, arrival{j.spec.Class, j.spec.Tasks, j.ready})
 }
 
-// surge estimates by how many tasks the arrivals of a class may exceed their mean while a machine boots. Jobs arrive
-// one by one, each with all its tasks, so the variance is that of the sum of their sizes: many small jobs need far less
-// room in proportion than a few large ones.
+// surge estimates by how many tasks the arrivals of a class may exceed their mean while a machine boots: a configured
+// number of standard deviations. Jobs arrive one by one, each with all its tasks, so the variance is that of the sum of
+// their sizes: many small jobs need far less room in proportion than a few large ones.
 func (s *autoscaler) surge(j *wire.Job) float64 {
 	s.arrivals = slices.DeleteFunc(s.arrivals, func(a arrival) bool { return s.c.now.Sub(a.at) > arrivalWindow })
 	boot, sumOfSquares := 0.0, 0.0
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -9,7 +9,7 @@
 )
 
 // The first status of a new session may arrive in the answer to a direct command. Attempts
-// placed in the new epoch must not count as lost when the old epoch's lease expires.
+// placed in the new session must not count as lost when the old session's lease expires.
 func TestNewSessionHasItsOwnLease(t *testing.T) {
 	c, l, j := newLeadingCore(t)
 	m := l.machine("i-1")
--- a/controller/job.go
+++ b/controller/job.go
@@ -25,25 +25,25 @@
 	// the headers didn't contain it before.
 	cancelledAt     time.Time
 	accepted        time.Time
-	ready           time.Time // when all jobs that it needs were done; its times count from then
+	ready           time.Time // when all jobs that it needs were done; its waiting time and its start and finish objectives count from then
 	deadline        deadline
 	graph           *reduction.Graph
 	state           *reduction.State
-	attempts        map[int]*attempt
+	attempts        map[int]*attempt // the active ones, by task
 	tasksPerRecord  int
 	chunks          []chunk
-	divided         bool     // chunks are smaller than the header specifies, see divide
-	undividedKeys   []string // keys of the undivided records, which stay until the job is finished
-	retryAt         map[int]time.Time
-	failureCounts   map[int]int
-	avoidedMachines map[string]bool
-	failureClass    failureclass.Job // classifies whether the job fails on every machine
-	dirty           bool             // chunks differ from their records, or the final record is due
+	divided         bool              // chunks are smaller than the header specifies, see divide
+	undividedKeys   []string          // keys of the undivided records, which stay until the job is finished
+	retryAt         map[int]time.Time // by task: earliest time of the next attempt after a failure
+	failureCounts   map[int]int       // by task
+	avoidedMachines map[string]bool   // by machine ID, see taskFailed
+	failureClass    failureclass.Job  // classifies whether the job fails on every machine
+	dirty           bool              // chunks differ from their records, or the final record is due
 	dirtyAt         time.Time
-	urgent          bool // its write starts tasks or is the final one; one that only records completed tasks can wait
-	write           *write
-	holdUntil       time.Time
-	ended           bool // the final record is written
+	urgent          bool      // its write starts tasks or is the final one; one that only records completed tasks can wait
+	write           *write    // the write whose result is not known yet; nil: none
+	holdUntil       time.Time // no write before this time, after one that was not executed
+	ended           bool      // the final record is written
 	terms           *scheduler.PreemptionTerms
 	hasStarted      bool          // a task has run at some time
 	disrupted       bool          // lost a reported attempt to a failure or a preemption; has precedence in placement
@@ -93,13 +93,13 @@
 		j.terms.Rank, j.terms.Borrowed = len(wire.Priorities)-1, true
 	}
 	if j.spec.DeadlineS != nil {
-		j.deadline = deadline{last: &j.spec, from: j.accepted}
+		j.deadline = deadline{last: &j.spec, acceptedAt: j.accepted}
 	}
 	l.guaranteesAssignedAt = time.Time{}
 	l.jobs[id] = j
-	for _, s := range l.c.dependencies.Successors(id) { // their headers may have arrived first
-		if later := l.jobs[s]; later != nil {
-			l.inheritUrgency(later)
+	for _, s := range l.c.dependencies.Successors(id) { // headers of dependents may have arrived first
+		if dependent := l.jobs[s]; dependent != nil {
+			l.inheritUrgency(dependent)
 		}
 	}
 	l.inheritUrgency(j)
@@ -121,7 +121,7 @@
 	j := l.jobs[id]
 	switch {
 	case h == nil:
-		// Only the leader deletes headers; confirm handles the write that did it.
+		// Only the leader deletes headers; writeQueue.confirm handles the write that deleted this one.
 		return
 	case j == nil: // it may be cancelled already: a full reload skips intermediate versions
 		j = l.addJob(id, h)
--- a/controller/job_dependencies_test.go
+++ b/controller/job_dependencies_test.go
@@ -13,7 +13,7 @@
 )
 
 // A needed job inherits the dependent's priority and its deadline less the dependent's estimated
-// duration. The dependent's own times count from the end of the job that it needs.
+// duration. The dependent's waiting time counts from the end of the job that it needs.
 func TestPriorityAndDeadlineAreInherited(t *testing.T) {
 	c, l, first, second := newDependentJobs(t)
 	if first.terms.Rank != second.terms.Rank || first.deadline.within(1) != 80 || !l.blocked(second) {
@@ -40,7 +40,7 @@
 	for _, j := range []*job{first, second} {
 		j.spec.Team, j.terms.Team = "red", "red"
 	}
-	second.spec.CPUs = 0.25 // less work: it would come first
+	second.spec.CPUs = 0.25 // less work, so it would take the guarantee first
 	l.assignGuarantees()
 	if first.terms.Borrowed {
 		t.Error("a blocked job uses the guarantee")
@@ -182,11 +182,11 @@
 func TestOutcomesOfNeededJobsAreReadBeforeAnswers(t *testing.T) {
 	cancelled := map[string]finalRecord{"req-000010": {Cancelled: true, Tasks: 1}}
 	for name, request := range map[string]UserRequest{
-		"poll":              {Req: 6, Op: UserPoll, Job: "req-000011"},
-		"repeat":            {Req: 6, Op: UserSubmit, Body: jobBody("req-000011")},
-		"cancel":            {Req: 6, Op: UserAbort, Job: "req-000011"},
-		"poll of a later":   {Req: 6, Op: UserPoll, Job: "req-000012"},
-		"repeat of a later": {Req: 6, Op: UserSubmit, Body: jobBody("req-000012")},
+		"poll":                          {Req: 6, Op: UserPoll, Job: "req-000011"},
+		"repeated submission":           {Req: 6, Op: UserSubmit, Body: jobBody("req-000011")},
+		"cancel":                        {Req: 6, Op: UserAbort, Job: "req-000011"},
+		"poll of an indirect dependent": {Req: 6, Op: UserPoll, Job: "req-000012"},
+		"repeated submission of an indirect dependent": {Req: 6, Op: UserSubmit, Body: jobBody("req-000012")},
 	} {
 		c, _, first, second := newDependentJobs(t)
 		acceptSubmissions(c)
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -16,17 +16,17 @@
 	jobs                 map[string]*job
 	jobsByAcceptance     []*job // by acceptance time
 	machines             map[string]*machine
-	machinesByName       []*machine // machines sorted by name
+	machinesByName       []*machine // machines sorted by ID
 	toSend               []*machine // machines that may have commands to be sent
 	failureDetector      *failureDetector
 	writes               *writeQueue
-	scratch              []scheduler.Machine // buffer reused by every view
-	guaranteesAssignedAt time.Time           // see assignGuarantees
-	released             map[string]time.Time
-	obsoleteKeys         []string // records to delete, such as task records of finished jobs
+	scratch              []scheduler.Machine  // buffer reused by every view
+	guaranteesAssignedAt time.Time            // see assignGuarantees
+	released             map[string]time.Time // when the release of each released machine was confirmed
+	obsoleteKeys         []string             // records to delete, such as task records of finished jobs
 	budget               writeBudget
 	placementDueAt       time.Time            // when the next placement round is due; zero if none is
-	probedAt             map[string]time.Time // when each machine was last asked for a report
+	probedAt             map[string]time.Time // when probe last probed each machine
 	partitions           partitions
 
 	progressSentAt time.Time
--- a/controller/lease_expiry.go
+++ b/controller/lease_expiry.go
@@ -12,10 +12,10 @@
 // tasks when its lease expires. A proof is the evidence that an attempt has ended and cannot start
 // again.
 
-// A proof is the reason for which an attempt is known to have ended, as written to the log.
+// terminationProof is the reason why an attempt is known to have ended, as written to the log.
 type terminationProof string
 
-// The proofs other than an exit reason that a worker's heartbeat reports.
+// The proofs other than exit reasons, which workers report in heartbeats.
 const (
 	proofNeverSent       terminationProof = "never sent"         // the run command was not sent and will not be
 	proofMachineReleased terminationProof = "machine released"   // the cloud has confirmed it
@@ -42,7 +42,7 @@
 func (f *failureDetector) checkLeaseExpiry() {
 	now := f.c.now
 	if now.Sub(f.leasesCheckedAt) < leaseCheckInterval {
-		return // the scan visits all machines, and no finding is more urgent than this interval
+		return // the scan visits all machines, and none of its results is needed sooner
 	}
 	f.leasesCheckedAt = now
 	f.partitions.observe(f.c.now, f.countSilent())
--- a/controller/listening_period.go
+++ b/controller/listening_period.go
@@ -11,7 +11,7 @@
 // finds all machines silent at once. This is no evidence that the machines have failed.
 type listeningPeriod struct {
 	startedAt    time.Time
-	lastObserved time.Time // the last observation
+	lastObserved time.Time // when observe was last called
 }
 
 // observe records that the leader is processing heartbeats now. After a pause longer than maxListenGap
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -21,11 +21,11 @@
 // the cloud's list, or known only from an earlier leader's placements.
 type machine struct {
 	id, addr, typ, zone   string
-	shard                 string // the controller that the machine is assigned to by hash
+	shard                 string // the controller whose shard the scheduler counts it to, see scheduler.ShardOf
 	spot                  bool
-	up                    bool // has sent a heartbeat or an answer to this leader
-	session, seq, token   uint64
-	knownSince            time.Time // when the machine became known; earlier by its listed age where the cloud's list showed it first
+	up                    bool      // has sent a heartbeat or an answer to this leader
+	session, seq, token   uint64    // of the newest status that this leader has received from it
+	knownSince            time.Time // when the machine became known, less its listed age if it became known from the cloud's list
 	rentedAt              time.Time // when this leader rented it; zero: rented by an earlier leader
 	lastHeartbeat         time.Time // when its last heartbeat or answer arrived
 	leaseRenewedAt        time.Time // when this leader last answered 200, which may have renewed its lease
@@ -38,7 +38,7 @@
 	leaseExpired          bool
 	lastCommandUnanswered bool      // the last command or probe got no answer, and no heartbeat has arrived since
 	unansweredSince       time.Time // when the first command of the current series of unanswered ones was sent; zero: the last one was answered
-	unreachableSince      time.Time // the same, but without commands sent during a network partition
+	unreachableSince      time.Time // as unansweredSince, but without commands sent before or during a suspected network partition
 	nextProbeAt           time.Time // when to probe again after an unanswered command
 
 	attempts        map[taskKey]*attempt
