--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -30,21 +30,21 @@
 // requests machines for pending work and for headroom, and releases idle machines.
 type autoscaler struct {
 	*leader
-	cloudLimiter      *rate.Limiter // keeps calls to the cloud within its rate limit
-	ranAt             time.Time     // last round of scale-out and scale-in, see run
-	releasesCheckedAt time.Time     // last check for machines to release
-	listedAt          time.Time     // last read of the cloud's list
-	listInFlight      bool          // a page of the cloud's list is requested
-	typesAt           time.Time     // last successful read of the machine types
-	typesInFlight     bool          // the machine types are requested
-	requests          map[string]*rentalRequest
-	requestSeq        int // number in the last request name of this leader
-	refusedAt         map[offerKey]time.Time
-	peaks             map[string]*peak
-	releaseInFlight   bool      // a release call is in flight
-	consolidatedAt    time.Time // last check for a machine to empty, see consolidate
-	demandHints       map[string]demandHint
-	arrivals          []arrival
+	cloudLimiter      *rate.Limiter             // keeps calls to the cloud within its rate limit
+	ranAt             time.Time                 // last round of scale-out and scale-in, see run
+	releasesCheckedAt time.Time                 // last check for machines to release
+	listedAt          time.Time                 // last read of the cloud's list
+	listInFlight      bool                      // a page of the cloud's list is requested
+	typesAt           time.Time                 // last successful read of the machine types
+	typesInFlight     bool                      // the machine types are requested
+	requests          map[string]*rentalRequest // by request name
+	requestSeq        int                       // number in the last request name of this leader
+	refusedAt         map[offerKey]time.Time    // when the cloud last refused each offer
+	peaks             map[string]*peak          // by job class
+	releaseInFlight   bool                      // a release call is in flight
+	consolidatedAt    time.Time                 // last check for a machine to empty, see consolidate
+	demandHints       map[string]demandHint     // by job ID
+	arrivals          []arrival                 // within the last arrivalWindow
 }
 
 func newAutoscaler(l *leader) *autoscaler {
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -261,7 +261,7 @@
 	if j.origin == nil {
 		return true
 	}
-	if s == nil {
+	if s == nil { // spillover is not configured any more
 		return false
 	}
 	floor, confirmed := s.confirmedFloors[j.origin.Home]
--- a/controller/cell_spillover.go
+++ b/controller/cell_spillover.go
@@ -50,7 +50,7 @@
 	callInFlight   bool
 	nextCallAt     time.Time // earliest time of the next call
 	lastReplyAt    time.Time
-	failures       int
+	failures       int             // failed calls in a row
 	availableCores float64         // in its last answer, less the jobs granted to it since
 	lastChallenge  cells.Challenge // last challenge received from the cell
 }
--- a/controller/cell_spillover_test.go
+++ b/controller/cell_spillover_test.go
@@ -414,8 +414,8 @@
 	t.Error("no fence was written")
 }
 
-// After any sequence of header changes the index contains the same jobs as a scan of all headers.
-func TestCellIndex(t *testing.T) {
+// After any sequence of header changes the transfer index contains the same jobs as a scan of all headers.
+func TestTransferIndex(t *testing.T) {
 	c, _, _ := newSpilloverLeader(t)
 	rng := rand.New(rand.NewPCG(2, 7))
 	homes := []cells.Cell{"b", "c"}
@@ -454,8 +454,8 @@
 	}
 }
 
-// BenchmarkCellStep measures the parts of a reconciliation and of a call from another cell that go over jobs, with
-// 5,000 jobs of which 50 are granted to that cell and 50 are held for it.
+// BenchmarkCellStep measures the parts of a reconciliation, and of the handling of a call from another cell,
+// that iterate over jobs. Of 5,000 jobs 50 are granted to that cell, and 50 are accepted from it.
 func BenchmarkCellStep(b *testing.B) {
 	c, l, _ := newSpilloverLeader(b)
 	for i := range 5000 {
--- a/controller/core.go
+++ b/controller/core.go
@@ -54,7 +54,7 @@
 	quotas       map[string]quota // by team
 	measure      scheduler.Measure
 	finals       finals
-	progress     map[string]jobCount
+	progress     map[string]jobCount     // by job ID, as last broadcast by a leader
 	dependencies *reduction.DynamicGraph // unfinished jobs that need other jobs, and the jobs that they need
 
 	recordingVersion  bool // see recordVersion
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -29,11 +29,11 @@
 	probedAt             map[string]time.Time // when probe last probed each machine
 	partitions           partitions
 
-	progressSentAt time.Time
-	allHintsSentAt time.Time
-	progressSent   map[string]jobCount
-	zones          *zoneRecovery     // nil if zone recovery is off
-	spillover      *spilloverManager // nil if there are no links to other cells
+	progressSentAt time.Time           // when broadcastProgress last ran
+	allHintsSentAt time.Time           // when the hints of all machines were last broadcast
+	progressSent   map[string]jobCount // by job ID, as last broadcast
+	zones          *zoneRecovery       // nil if zone recovery is off
+	spillover      *spilloverManager   // nil if there are no links to other cells
 	autoscaler     *autoscaler
 	spreading      *spreading // nil if load spreading is off
 }
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -32,7 +32,7 @@
 	idleSince             time.Time // the last time it was known to have tasks or to be booting
 	reclaimNotice         bool      // the cloud has announced that it will reclaim the machine
 	expectedInListSince   time.Time // from when on the cloud's list must show it; zero: not known
-	releasing             bool
+	releasing             bool      // it is to be released, and the cloud has not confirmed this yet
 	consolidating         bool      // its replicas are being moved to other machines, and it gets no new work
 	consolidationFailedAt time.Time // when its replicas last had no room elsewhere
 	leaseExpired          bool
@@ -47,10 +47,10 @@
 	runToken        map[taskKey]uint64    // highest fencing token that each attempt's run command was sent with
 	endedAttempts   map[taskKey]time.Time // when a heartbeat first reported the attempt as exited
 	unknownAttempts map[taskKey]bool      // running attempts that are not on record
-	images          map[string]bool
-	imagesAnnounced int             // how many of the images the other controllers were last notified of; -1: not notified yet
-	failedJobs      map[string]bool // jobs with a task that failed on this machine
-	pendingRuns     []*attempt      // attempts whose run commands are to be sent directly
+	images          map[string]bool       // images that the machine is known to have cached
+	imagesAnnounced int                   // how many of the images the other controllers were last notified of; -1: not notified yet
+	failedJobs      map[string]bool       // jobs with a task that failed on this machine
+	pendingRuns     []*attempt            // attempts whose run commands are to be sent directly
 	pendingStops    []wire.Command
 	queuedToSend    bool // in leader.toSend
 	callInFlight    bool // a direct command waits for its answer
