--- a/controller/leader.go
+++ b/controller/leader.go
@@ -16,24 +16,24 @@
 	jobs                 map[string]*job
 	jobsByAcceptance     []*job // by acceptance time
 	machines             map[string]*machine
-	machinesByName       []*machine // machines sorted by name
+	machinesByName       []*machine // machines sorted by ID
 	toSend               []*machine // machines that may have commands to be sent
 	failureDetector      *failureDetector
 	writes               *writeQueue
-	scratch              []scheduler.Machine // buffer reused by every view
-	guaranteesAssignedAt time.Time           // see assignGuarantees
-	released             map[string]time.Time
-	obsoleteKeys         []string // records to delete, such as task records of finished jobs
+	scratch              []scheduler.Machine  // buffer reused by every view
+	guaranteesAssignedAt time.Time            // see assignGuarantees
+	released             map[string]time.Time // when the release of each released machine was confirmed
+	obsoleteKeys         []string             // records to delete, such as task records of finished jobs
 	budget               writeBudget
 	placementDueAt       time.Time            // when the next placement round is due; zero if none is
-	probedAt             map[string]time.Time // when each machine was last asked for a report
+	probedAt             map[string]time.Time // when probe last probed each machine
 	partitions           partitions
 
-	progressSentAt time.Time
-	allHintsSentAt time.Time
-	progressSent   map[string]jobCount
-	zones          *zoneRecovery     // nil if zone recovery is off
-	spillover      *spilloverManager // nil if there are no links to other cells
+	progressSentAt time.Time           // when broadcastProgress last ran
+	allHintsSentAt time.Time           // when the hints of all machines were last broadcast
+	progressSent   map[string]jobCount // by job ID, as last broadcast
+	zones          *zoneRecovery       // nil if zone recovery is off
+	spillover      *spilloverManager   // nil if there are no links to other cells
 	autoscaler     *autoscaler
 	spreading      *spreading // nil if load spreading is off
 }
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -21,24 +21,24 @@
 // the cloud's list, or known only from an earlier leader's placements.
 type machine struct {
 	id, addr, typ, zone   string
-	shard                 string // the controller that the machine is assigned to by hash
+	shard                 string // the controller whose shard the scheduler counts it to, see scheduler.ShardOf
 	spot                  bool
-	up                    bool // has sent a heartbeat or an answer to this leader
-	session, seq, token   uint64
-	knownSince            time.Time // when the machine became known; earlier by its listed age where the cloud's list showed it first
+	up                    bool      // has sent a heartbeat or an answer to this leader
+	session, seq, token   uint64    // of the newest status that this leader has received from it
+	knownSince            time.Time // when the machine became known, less its listed age if it became known from the cloud's list
 	rentedAt              time.Time // when this leader rented it; zero: rented by an earlier leader
 	lastHeartbeat         time.Time // when its last heartbeat or answer arrived
 	leaseRenewedAt        time.Time // when this leader last answered 200, which may have renewed its lease
 	idleSince             time.Time // the last time it was known to have tasks or to be booting
 	reclaimNotice         bool      // the cloud has announced that it will reclaim the machine
 	expectedInListSince   time.Time // from when on the cloud's list must show it; zero: not known
-	releasing             bool
+	releasing             bool      // it is to be released, and the cloud has not confirmed this yet
 	consolidating         bool      // its replicas are being moved to other machines, and it gets no new work
 	consolidationFailedAt time.Time // when its replicas last had no room elsewhere
 	leaseExpired          bool
 	lastCommandUnanswered bool      // the last command or probe got no answer, and no heartbeat has arrived since
 	unansweredSince       time.Time // when the first command of the current series of unanswered ones was sent; zero: the last one was answered
-	unreachableSince      time.Time // the same, but without commands sent during a network partition
+	unreachableSince      time.Time // as unansweredSince, but without commands sent before or during a suspected network partition
 	nextProbeAt           time.Time // when to probe again after an unanswered command
 
 	attempts        map[taskKey]*attempt
@@ -47,10 +47,10 @@
 	runToken        map[taskKey]uint64    // highest fencing token that each attempt's run command was sent with
 	endedAttempts   map[taskKey]time.Time // when a heartbeat first reported the attempt as exited
 	unknownAttempts map[taskKey]bool      // running attempts that are not on record
-	images          map[string]bool
-	imagesAnnounced int             // how many of the images the other controllers were last notified of; -1: not notified yet
-	failedJobs      map[string]bool // jobs with a task that failed on this machine
-	pendingRuns     []*attempt      // attempts whose run commands are to be sent directly
+	images          map[string]bool       // images that the machine is known to have cached
+	imagesAnnounced int                   // how many of the images the other controllers were last notified of; -1: not notified yet
+	failedJobs      map[string]bool       // jobs with a task that failed on this machine
+	pendingRuns     []*attempt            // attempts whose run commands are to be sent directly
 	pendingStops    []wire.Command
 	queuedToSend    bool // in leader.toSend
 	callInFlight    bool // a direct command waits for its answer
