--- a/controller/mesh_messages.go
+++ b/controller/mesh_messages.go
@@ -17,7 +17,8 @@
 	return all
 }
 
-// maxHints is the number of machine hints above which all are discarded.
+// maxHints is the number of machine hints (see broadcastProgress) above which all are discarded: hints of released
+// machines are not removed otherwise.
 const maxHints = 4096
 
 // sendMesh sends a message to another controller.
--- a/controller/objectives.go
+++ b/controller/objectives.go
@@ -28,7 +28,8 @@
 	return longest
 }
 
-// guaranteeObjectiveS is within how many seconds work within a guarantee should start; 0 without such an objective.
+// guaranteeObjectiveS returns the objective for the start of work within its team's guarantee, in seconds; 0 if there is
+// none.
 func (l *leader) guaranteeObjectiveS() float64 {
 	for _, o := range l.c.cfg.Facts.Objectives {
 		if o.Kind == "guarantee" {
@@ -49,7 +50,7 @@
 	return within
 }
 
-// otherClasses lists the resources that a task takes of each other class with recent demand.
+// otherClasses lists, for each other class with recent demand, the resources that one of its tasks takes.
 func (l *leader) otherClasses(class string) []scheduler.Resources {
 	var rs []scheduler.Resources
 	for _, name := range slices.Sorted(maps.Keys(l.autoscaler.peaks)) {
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -26,7 +26,7 @@
 // silentMachines counts all machines and the silent ones by zone, and in total under allZones.
 type silentMachines struct{ all, silent map[string]int }
 
-// countSilent counts the machines whose heartbeat is overdue or that don't answer.
+// countSilent counts the machines whose heartbeat is overdue or whose last command is unanswered.
 func (f *failureDetector) countSilent() silentMachines {
 	count := silentMachines{map[string]int{}, map[string]int{}}
 	for _, m := range f.machines {
@@ -50,13 +50,14 @@
 	all, silent := count.all, count.silent
 	p.active = map[string]bool{allZones: silent[allZones] > max(1, all[allZones]/4)}
 	for zone, n := range silent {
-		if zone != allZones && len(all) > 2 {
+		if zone != allZones && len(all) > 2 { // with a single zone, allZones covers it
 			p.active[zone] = n > 1 && 2*n > all[zone]
 		}
 	}
 	for zone, active := range p.active {
-		// A quarter of all machines may well have failed or hang: they are waited for only where
-		// their zone is cut off, or where most of all machines are silent.
+		// lastSuspected makes the failure detector wait longer for silent machines. A quarter of all machines
+		// may well have failed or hang, so it is set only for a suspected zone, or for allZones if most
+		// machines are silent.
 		if active && (zone != allZones || 2*silent[allZones] > all[allZones]) {
 			p.lastSuspected[zone] = now
 		}
--- a/controller/peer_lease.go
+++ b/controller/peer_lease.go
@@ -28,11 +28,11 @@
 // has granted, and those that it was granted as leader.
 type peerLeaseState struct {
 	processStarted time.Time
-	noClaimBefore  time.Time // this controller makes no claim before
-	lastRound      uint64
-	rounds         map[uint64]*peerLeaseRound
-	until          time.Time // when the leader's authority by peer lease ends
-	active         bool      // the leader has had a peer lease since it last reached the state service
+	noClaimBefore  time.Time                  // until then this controller must not claim the leadership
+	lastRound      uint64                     // number of the last round that this controller started
+	rounds         map[uint64]*peerLeaseRound // the last two, by number
+	until          time.Time                  // when the leader's authority by peer lease ends
+	active         bool                       // the leader has had a peer lease since it last reached the state service
 }
 
 // peerLeaseRound is one request for a peer lease to all other controllers.
@@ -54,8 +54,8 @@
 	return c.now.Before(p.noClaimBefore) || c.watchCache.token > 0 && c.now.Before(p.processStarted.Add(peerLeaseHoldOff))
 }
 
-// peerLeaseHoldOff is how long a controller makes no claim after it granted a peer lease: the lease's
-// duration by a clock that may run fast.
+// peerLeaseHoldOff is for how long a controller doesn't claim the leadership after it granted a peer lease: the
+// lease's duration, and 1/500 of it, twice clockDrift, since this controller's clock may run fast.
 const peerLeaseHoldOff = peerLeaseDuration + peerLeaseDuration/500
 
 // requestPeerLease requests a peer lease when the last successful renewal is older than a third of the
@@ -149,7 +149,8 @@
 	if len(r.granted) < len(c.cfg.Others) || !c.now.Before(previousUntil) && r.latestPeerStart.After(previousUntil) {
 		return
 	}
-	// If a peer process started after that time, its predecessor may have confirmed a cancellation.
+	// If a peer process started after headersKnownUntil, the process before it may have confirmed a cancellation that
+	// no response contains.
 	if !r.unknownCancellation && !r.latestPeerStart.After(l.headersKnownUntil()) && r.sent.After(l.headersConfirmedUntil) {
 		l.headersConfirmedUntil = r.sent
 	}
--- a/controller/placement.go
+++ b/controller/placement.go
@@ -73,7 +73,8 @@
 		}
 		used[d.Team] = used[d.Team].Add(d.TaskResources, float64(placed))
 		if placed < want {
-			// No machine has room for one more of these tasks, so demands with the same key need not be tried.
+			// No machine has room for one more of these tasks, so demands with the same key need not be tried. This
+			// doesn't follow if the demand has constraints that are not part of the key.
 			unplaceable[key] = len(d.Avoid) == 0 && !d.OneZone && !d.Spread
 			l.preempt(machines, d, want-placed, excess)
 			if d.Aged && placed == 0 {
@@ -122,7 +123,7 @@
 	each                     scheduler.Resources
 	spot                     bool
 	rank                     int
-	within                   bool
+	withinGuarantee          bool
 }
 
 func demandKeyOf(d *scheduler.Demand) demandKey {
@@ -189,8 +190,8 @@
 
 // preemptionDelayS returns for how many seconds a demand waits for running tasks to end by themselves before any is
 // stopped for it. Below the highest rank it is half of the guarantee objective. At the highest rank it is a quarter of
-// what the fetch of the image leaves of the start objective; work that has run before does not wait, since its users
-// miss it already.
+// what the fetch of the image leaves of the start objective; work that has run before does not wait, since its
+// users are without it already.
 func (l *leader) preemptionDelayS(d *scheduler.Demand) float64 {
 	switch {
 	case d.Rank > 0:
--- a/controller/records.go
+++ b/controller/records.go
@@ -11,7 +11,8 @@
 // versions, see versions_test.go.
 
 // Keys in the state service. Every controller watches everything under watchedPrefix. Task and
-// rental records are read only by a new leader.
+// rental records are read by a new leader; later, a leader reads the task records of a job only to
+// determine the result of a write.
 const (
 	watchedPrefix = "c/"
 	leaderKey     = "c/leader"
@@ -22,7 +23,7 @@
 	taskPrefix    = "t/"
 	rentalPrefix  = "h/"
 	versionPrefix = "c/v/"
-	epochKey      = "c/epoch"
+	epochKey      = "c/epoch" // for grants to other cells, like the keys below; see cell_records.go
 	fencePrefix   = "y/"
 	floorPrefix   = "w/"
 	gonePrefix    = "c/gone/"
@@ -55,13 +56,13 @@
 type finalRecord struct {
 	Cancelled bool  `cbor:"x,omitempty"`
 	Tasks     int   `cbor:"n"`
-	EndedMS   int64 `cbor:"e,omitempty"` // from which the jobs that need it count their times
+	EndedMS   int64 `cbor:"e,omitempty"` // when it ended: jobs that need this job are ready from then on at the earliest
 }
 
 // taskRecord holds the state of one chunk of a job's tasks: the completed tasks, as ranges, and the
 // active attempts.
 type taskRecord struct {
-	Write  uint64         `cbor:"w"` // identifies the write
+	Write  uint64         `cbor:"w"` // ID of the write that stored this record, see resolve
 	Next   uint64         `cbor:"n"` // the last attempt number allocated
 	Done   [][2]int       `cbor:"d,omitempty"`
 	Placed []placedRecord `cbor:"p,omitempty"`
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -167,6 +167,7 @@
 			continue
 		}
 		m := l.machine(p.Machine)
+		// The run command, if it was sent, has the token of an earlier leader, so l.token - 1 at most.
 		a := &attempt{job: j, task: p.Task, number: p.Attempt, machine: m, session: p.Session,
 			token: l.token - 1, phase: attemptSent, restored: true, placed: l.elected}
 		m.zone = p.Zone
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -20,7 +20,7 @@
 const (
 	relayTimeout       = time.Second      // the leader may have failed
 	maxRelayPeriod     = 30 * time.Second // afterwards the worker is redirected to the leader again
-	relayModePeriod    = 5 * time.Second  // how long one message of the leader that it is cut off counts
+	relayModePeriod    = 5 * time.Second  // how long heartbeats are relayed after the leader reported that most workers can't reach it
 	maxRelays          = 4096
 	relayedRequestFlag = 1 << 63 // set in the IDs of requests that came over the mesh
 )
@@ -30,7 +30,7 @@
 	redirects         map[string]*redirectedWorker
 	awaitingLeader    map[uint64]ReportRequest // by relay ID
 	relayedRequests   map[uint64]relayOrigin   // by request ID, to be answered over the mesh
-	leaderCutOffUntil time.Time                // until when the leader counts as receiving heartbeats from few workers
+	leaderCutOffUntil time.Time                // until then the leader is assumed to be cut off from most workers
 }
 
 // redirectedWorker is a worker that was redirected to the leader.
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -19,8 +19,8 @@
 // rentalRequest is a request for machines that are not all known to be up or released.
 type rentalRequest struct {
 	spec     wire.RentRequest
-	since    time.Time
-	version  uint64 // of its record; 0: not written yet
+	since    time.Time // when it was decided; zero for one restored from its record
+	version  uint64    // of its record; 0: not written yet
 	inFlight bool
 	sent     bool // by this or an earlier leader: it may have started instances
 	answered bool
@@ -98,7 +98,7 @@
 		s.c.log(slog.LevelInfo, "rented", "request", req.spec.Request, "type", k.typ, "zone", k.zone, "spot", k.spot, "machines", len(req.machines))
 	case http.StatusServiceUnavailable, http.StatusBadRequest:
 		s.refusedAt[k] = s.c.now
-		s.ranAt = time.Time{} // run again at once: another offer may succeed
+		s.ranAt = time.Time{} // run the autoscaler again at once: another offer may succeed
 		s.c.log(slog.LevelInfo, "rental refused", "request", req.spec.Request, "type", k.typ, "zone", k.zone, "spot", k.spot, "status", r.Status)
 		s.dropRequest(req)
 	}
--- a/controller/scale_out_test.go
+++ b/controller/scale_out_test.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// A machine that was listed and is missing from a list was taken by the cloud, provided that the list can't be from
-// before the machine was listed. The machine is released, which is the proof; its silence would be noticed only after a
-// report interval.
+// A machine that was listed and is missing from a later list was taken by the cloud, provided that this list can't
+// reflect a time before the machine was listed. The machine is released, since a confirmed release proves that its
+// attempts have ended; its silence would be noticed only after a report interval.
 func TestUnlistedMachineIsReleased(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
 	lag := config.Seconds(c.cfg.Facts.Cloud.ListLagS)
@@ -121,7 +121,7 @@
 }
 
 // Batch work waits for running tasks that end before a machine boots, but must not count on room that newly arriving
-// work will take. When it did, nothing was requested as long as as much work arrived as ended, and the last tasks of
+// work will take. When it did, no machine was requested while work arrived as fast as it ended, and the last tasks of
 // arrays waited for a minute.
 func TestFreedRoomIsNotCountedTwice(t *testing.T) {
 	c, l, running := newLeadingCore(t)
--- a/controller/spreading.go
+++ b/controller/spreading.go
@@ -21,8 +21,8 @@
 	record      movesRecordState
 	plannedAt   time.Time
 	sweptAt     time.Time
-	pausedUntil time.Time // no plan before then: the last one would have taken headroom
-	block       balance.BlockReason
+	pausedUntil time.Time           // no plan before then: the last one would have taken headroom
+	block       balance.BlockReason // what prevented the last plan, if anything
 }
 
 // MoveChanged reports a step of a move.
@@ -273,8 +273,8 @@
 	}
 }
 
-// stoppedByEarlierLeader reports whether an attempt was reported as saving that this leader has not stopped: an earlier
-// leader has.
+// stoppedByEarlierLeader reports whether an attempt saves its checkpoint although this leader has not stopped it: then
+// an earlier leader has.
 func (a *attempt) stoppedByEarlierLeader() bool { return a.savingCheckpoint && !a.stopping }
 
 // allReplicasRunning reports whether all tasks of a service run, and none of them is being stopped.
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -157,8 +157,8 @@
 		"has moved":                         {spec: service, change: hasMoved, want: balance.RecentlyMoved},
 		"may have moved":                    {spec: service, change: mayHaveMoved, want: balance.RecentlyMoved},
 		"placed since the last moves":       {spec: service, change: func(l *leader, _ *job) { l.spreading.record.restoredStayUntil = l.c.now.Add(time.Minute) }},
-		"lost work before, time is up":      {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: readyLongAgo, want: balance.TooCostly},
-		"an earlier leader's, time is up":   {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: restoredLongAgo, want: balance.TooCostly},
+		"disrupted, estimate is used up":    {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: readyLongAgo, want: balance.TooCostly},
+		"restored, estimate is used up":     {spec: with(func(s *wire.Job) { s.EstimateS = 600 }), change: restoredLongAgo, want: balance.TooCostly},
 	} {
 		core, l := spreadingLeader(t, 4)
 		core.cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "timely", WithinS: 4000}}
--- a/controller/spreading_tolerance.go
+++ b/controller/spreading_tolerance.go
@@ -11,10 +11,10 @@
 
 // Which running tasks tolerate a move, and what the move costs them.
 
-// moveTolerances answers that for one plan; what holds for a whole service is determined once.
+// moveTolerances determines the tolerances of tasks for one plan.
 type moveTolerances struct {
 	*spreading
-	allRunning map[*job]bool
+	allRunning map[*job]bool // allReplicasRunning of the services checked so far
 }
 
 func newMoveTolerances(s *spreading) *moveTolerances { return &moveTolerances{s, map[*job]bool{}} }
@@ -84,8 +84,8 @@
 	return balance.Movable, cost
 }
 
-// maxRunTime is for how long a task may have run at most. For an attempt placed by an earlier leader, and for a job that
-// was disrupted, it is only known since when the task could run.
+// maxRunTime returns the longest time for which a task may have run. For an attempt placed by an earlier leader, and for
+// a job that was disrupted, that is the time since the job was ready to run: no more is known.
 func (t *moveTolerances) maxRunTime(a *attempt) time.Duration {
 	if a.restored || a.job.disrupted {
 		return t.c.now.Sub(a.job.ready)
@@ -93,8 +93,8 @@
 	return t.c.now.Sub(a.runningSince)
 }
 
-// wouldBeLate reports whether a task that loses the given seconds may miss its deadline or an objective on its job's
-// finishing.
+// wouldBeLate reports whether a task that is delayed by cost, in seconds, may miss its deadline or an objective for
+// the finish time of its job.
 func (t *moveTolerances) wouldBeLate(a *attempt, cost float64) bool {
 	left := t.remainingS(a) + cost
 	if due := a.job.deadline; due.last != nil && t.c.now.Add(config.Seconds(left)).After(due.at()) {
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -35,7 +35,7 @@
 	p.observe(start)
 	p.observe(start.Add(maxListenGap))
 	if got := p.elapsed(start.Add(maxListenGap), start.Add(-time.Hour)); got != maxListenGap {
-		t.Errorf("listened for %v, want listenGap", got)
+		t.Errorf("listened for %v, want maxListenGap", got)
 	}
 	resumed := start.Add(10 * time.Second)
 	p.observe(resumed)
--- a/controller/user_requests_test.go
+++ b/controller/user_requests_test.go
@@ -22,7 +22,7 @@
 	c.now = c.now.Add(finalReadTimeout + time.Millisecond)
 	c.runTimers()
 	if len(results) != 1 || results[0] != jobUndetermined {
-		t.Fatalf("results of the lookup that timed out: %v, want only knownUnsure", results)
+		t.Fatalf("results of the lookup that timed out: %v, want only jobUndetermined", results)
 	}
 	read := c.out[len(c.out)-1].(StateCall)
 	resume(c.stateCalls, read.ID, StateReply{Status: 200, Item: wire.Item{Value: wire.Marshal(finalRecord{Tasks: 1})}})
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -27,7 +27,7 @@
 type fixture struct{ Records, Messages map[string][]byte }
 
 // The earlier versions whose data must stay readable. Each testdata/NAME.json was made by
-// testdata/NAME.go.txt, run as a test in package controller of the commit.
+// testdata/NAME.go.txt, run as a test in package controller of the commit named here.
 const (
 	version1Fixture = "before-chains" // commit 4401b8b, version 1
 	version2Fixture = "chains"        // commit 982ebb7, version 2
--- a/controller/watch_cache.go
+++ b/controller/watch_cache.go
@@ -17,14 +17,14 @@
 type watchCache struct {
 	loaded, loading bool
 	revision        uint64
-	versions        map[string]uint64
+	versions        map[string]uint64 // by key
 	leader          *leaderRecord
 	token           uint64
 	headers         map[string]*headerRecord
 	transfers       transferIndex
-	epoch           cells.Epoch // the last one allocated for a grant to another cell
-	declaredGone    map[cells.Cell]goneRecord
-	memberVersions  map[string]int // the software version that each member has recorded
+	epoch           cells.Epoch               // the last one allocated for a grant to another cell
+	declaredGone    map[cells.Cell]goneRecord // cells that an operator declared to have ended the jobs granted to them
+	memberVersions  map[string]int            // the software version that each member has recorded
 
 	syncing     bool
 	unreachable bool      // the last sync failed; syncs are retried until one succeeds
@@ -273,6 +273,8 @@
 	}
 }
 
+// setTypes replaces the machine types and derives measure from them: one GPU counts as much as its share of the cores
+// of all machine types with GPUs.
 func (c *Core) setTypes(types []wire.MachineType) {
 	clear(c.types)
 	var all scheduler.Resources
--- a/controller/write_queue.go
+++ b/controller/write_queue.go
@@ -26,10 +26,10 @@
 type write struct {
 	id       uint64
 	txn      wire.Txn
-	chunks   []int
-	attempts []*attempt
-	final    *finalRecord
-	inDoubt  bool
+	chunks   []int        // numbers of the chunks whose records it writes
+	attempts []*attempt   // those that it records for the first time
+	final    *finalRecord // nil unless it ends the job
+	inDoubt  bool         // an earlier copy of it got no reply, and may have been applied
 }
 
 // progressWriteDelay is how long a write that only records completed tasks is delayed, so that tasks
@@ -132,9 +132,9 @@
 		j.dirty = false // of a cancelled job only the final record is written
 		return nil
 	}
-	budget, size := q.c.cfg.Facts.State.MinLimits().TxnOps, 0
+	maxChanges, size := q.c.cfg.Facts.State.MinLimits().TxnOps, 0
 	for n := range j.chunks {
-		if !j.chunks[n].dirty || len(w.chunks) >= budget || size > 40<<10 {
+		if !j.chunks[n].dirty || len(w.chunks) >= maxChanges || size > 40<<10 {
 			continue
 		}
 		rec, unrecorded := q.chunkRecord(j, n, w.id)
--- a/controller/write_queue_test.go
+++ b/controller/write_queue_test.go
@@ -32,8 +32,8 @@
 }
 
 // A transaction may hold more changes than the budget's burst. Obsolete records must be deleted
-// nonetheless: otherwise every new leader reads them, and takes long finished rentals for machines
-// that are booting.
+// nonetheless: otherwise every new leader reads them, and counts the machines of rental requests
+// that were completed long ago as booting.
 func TestDeletionFitsTheBudget(t *testing.T) {
 	c, l, _ := newLeadingCore(t)
 	c.cfg.Facts.State.TxnOps = 32
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -342,8 +342,8 @@
 	return scheduler.RestartRest
 }
 
-// hasFinishObjective reports whether an objective for the finish time applies to a job, whether the
-// job is overdue, will be late or can still finish in time.
+// hasFinishObjective reports whether an objective for the finish time applies to a job, no matter if
+// the job is overdue, will be late or can still finish in time.
 func (l *leader) hasFinishObjective(j *job) bool {
 	return slices.ContainsFunc(l.c.cfg.Facts.Objectives, func(o config.Objective) bool {
 		_, _, applies := j.finishObjective(o, l.c.now)
--- a/controller/zone_recovery_test.go
+++ b/controller/zone_recovery_test.go
@@ -161,7 +161,7 @@
 	}
 	c.now = c.now.Add(maxThrottleTime - time.Second)
 	if !limited() {
-		t.Error("no longer limited before maxHoldBack has passed")
+		t.Error("no longer limited before maxThrottleTime has passed")
 	}
 	c.now = c.now.Add(time.Second)
 	if limited() {
@@ -198,14 +198,14 @@
 	c, l := recoveringLeader(t)
 	c.setTypes([]wire.MachineType{{Name: "small", Zones: []string{"a", "b"}}, {Name: "rare", Zones: []string{"a"}}})
 	j := l.jobs["req-000001"]
-	ahead := c.demandOf(&j.spec)
-	ahead.Job = "headroom/x"
+	headroom := c.demandOf(&j.spec)
+	headroom.Job = "headroom/x"
 	for types, want := range map[string]string{"small": "", "rare": "a"} {
 		j.spec.Types = []string{types}
 		d := c.demandOf(&j.spec)
-		l.zones.excludeClosedZones([]*scheduler.Demand{d, ahead})
-		if d.OnlyZone != want || ahead.RestartPhase != scheduler.RestartRest || d.StartLimits["a"] == nil {
-			t.Errorf("job of type %s: %+v, headroom in phase %d", types, d, ahead.RestartPhase)
+		l.zones.excludeClosedZones([]*scheduler.Demand{d, headroom})
+		if d.OnlyZone != want || headroom.RestartPhase != scheduler.RestartRest || d.StartLimits["a"] == nil {
+			t.Errorf("job of type %s: %+v, headroom in phase %d", types, d, headroom.RestartPhase)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	l.failureDetector.listening.startedAt = c.now
 	c.now = c.now.Add(l.zones.reconnectTimeout() + time.Second)
 	if counts := l.zones.health(); len(counts) != 1 || counts[0].Silent != 2 || counts[0].Responsive != 0 {
-		t.Errorf("%+v with work on record", counts)
+		t.Errorf("%+v with attempts on record", counts)
 	}
 	for _, a := range j.sortedAttempts() {
 		l.removeAttempt(a, reduction.Reset, proofLeaseExpired)
--- a/controller/zone_status.go
+++ b/controller/zone_status.go
@@ -65,14 +65,14 @@
 		d.RoomInTeam = z.roomInTeam(d, used)
 		allowed := min(len(d.Tasks), d.RoomInTeam)
 		used[d.Team] = used[d.Team].Add(d.TaskResources, float64(allowed))
-		ramp := 0
+		throttled := 0
 		if z.recovering() {
-			ramp = len(scheduler.Place(machines, d)) // a task that has room and is not placed is throttled
+			throttled = len(scheduler.Place(machines, d)) // tasks that have room and are not placed: their starts are throttled
 		}
 		s.Tasks += len(d.Tasks)
 		s.TeamLimit += len(d.Tasks) - allowed
-		s.Ramp += ramp
-		s.Room += allowed - ramp
+		s.Ramp += throttled
+		s.Room += allowed - throttled
 	}
 	var all []zones.ClassStatus
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
