--- a/controller/rate_limits_test.go
+++ b/controller/rate_limits_test.go
@@ -12,7 +12,7 @@
 )
 
 // The state service may lower its rate limits at an unannounced time. Reads for users observe the
-// upcoming limit from the start, and changes once refusals show that it is in effect.
+// upcoming limit from the start; writes observe it once refusals show that it is in effect.
 func TestUpcomingRateLimits(t *testing.T) {
 	template, _, _ := newLeadingCore(t)
 	cfg := *template.cfg
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Authority counts from before a renewal was sent, ends before the lease does, and is never moved
-// back by a late reply.
-func TestTermCountsFromBeforeTheRenewal(t *testing.T) {
+// The end of authority is computed from the time at which a renewal was sent, is before the end of the lease, and is
+// never moved back by a late reply.
+func TestAuthorityEndsBeforeLease(t *testing.T) {
 	now, life := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC), 2*time.Second
 	leadership := newTerm(now, 1, 7, 3)
 	leadership.extend(now, life)
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -229,7 +229,7 @@
 
 // limitRentals returns how many of the wanted machines may be rented in a zone. In a returning zone no
 // more machines may boot at once than starts may be in progress, because successful starts have yet
-// to show that the zone is healthy.
+// to show that the zone is healthy. Only machines that this leader has rented count as booting.
 func (z *zoneRecovery) limitRentals(name string, want int) int {
 	if z == nil || z.tracker.State(name) != zones.Returning {
 		return want
