--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -229,7 +229,7 @@
 
 // limitRentals returns how many of the wanted machines may be rented in a zone. In a returning zone no
 // more machines may boot at once than starts may be in progress, because successful starts have yet
-// to show that the zone is healthy.
+// to show that the zone is healthy. Only machines that this leader has rented count as booting.
 func (z *zoneRecovery) limitRentals(name string, want int) int {
 	if z == nil || z.tracker.State(name) != zones.Returning {
 		return want
@@ -342,8 +342,8 @@
 	return scheduler.RestartRest
 }
 
-// hasFinishObjective reports whether an objective for the finish time applies to a job, whether the
-// job is overdue, will be late or can still finish in time.
+// hasFinishObjective reports whether an objective for the finish time applies to a job, no matter if
+// the job is overdue, will be late or can still finish in time.
 func (l *leader) hasFinishObjective(j *job) bool {
 	return slices.ContainsFunc(l.c.cfg.Facts.Objectives, func(o config.Objective) bool {
 		_, _, applies := j.finishObjective(o, l.c.now)
