--- a/internal/sim/broken_jobs_test.go
+++ b/internal/sim/broken_jobs_test.go
@@ -60,7 +60,7 @@
 	}
 	w.Run(w.now + time.Minute)
 	if len(w.Violations) > 0 {
-		t.Fatalf("rules broken: %v", w.Violations)
+		t.Fatalf("violations: %v", w.Violations)
 	}
 	for _, release := range releasedAsFaulty {
 		t.Errorf("healthy machine released as faulty after failures of broken jobs: %s", release)
--- a/internal/sim/cancellation_gap_test.go
+++ b/internal/sim/cancellation_gap_test.go
@@ -149,8 +149,9 @@
 	}
 }
 
-// As above, but the controller that confirmed the cancellation restarts, so no running process knows of
-// it. The old leader must stop renewing leases early enough for the tasks to end within cancel_s.
+// The state service refuses the leader; another controller confirms a cancellation and restarts, and the
+// state service goes down for all, so no running process knows of the cancellation. The old leader must
+// stop renewing leases early enough for the tasks to end within cancel_s.
 func TestCancellationThatNoRunningControllerKnows(t *testing.T) {
 	for name := range gapDeployments {
 		t.Run(name, func(t *testing.T) {
@@ -200,11 +201,11 @@
 		w.Run(w.now + 8*time.Second)
 		return oldLeader.isLeader(), w.Violations
 	}
-	if leadsAgain, brokenRules := resumesAuthority(false); !leadsAgain || len(brokenRules) > 0 {
-		t.Errorf("all processes ran throughout: leads again %v, want true; rules broken: %v", leadsAgain, brokenRules)
+	if leadsAgain, violations := resumesAuthority(false); !leadsAgain || len(violations) > 0 {
+		t.Errorf("all processes ran throughout: leads again %v, want true; violations: %v", leadsAgain, violations)
 	}
-	if leadsAgain, brokenRules := resumesAuthority(true); leadsAgain || len(brokenRules) > 0 {
-		t.Errorf("one process restarted: leads again %v, want false; rules broken: %v", leadsAgain, brokenRules)
+	if leadsAgain, violations := resumesAuthority(true); leadsAgain || len(violations) > 0 {
+		t.Errorf("one process restarted: leads again %v, want false; violations: %v", leadsAgain, violations)
 	}
 }
 
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -12,20 +12,20 @@
 	"pumicefront/wire"
 )
 
-// expectViolation simulates tampered runs of the Small shape until the checks report a violation
-// of the rule. It fails if no seed leads to one.
-func expectViolation(t *testing.T, rule string, after time.Duration, tamper func() Tamper) {
+// expectViolation simulates tampered runs of the Small shape until the checks report a violation of
+// a rule whose name starts with the given text. It fails if no seed leads to one.
+func expectViolation(t *testing.T, rule string, recovery time.Duration, tamper func() Tamper) {
 	t.Helper()
-	expectViolationOnShape(t, Small, rule, after, tamper)
+	expectViolationOnShape(t, Small, rule, recovery, tamper)
 }
 
-// expectViolationOnShape does the same for a given shape.
-func expectViolationOnShape(t *testing.T, shape Shape, rule string, after time.Duration, tamper func() Tamper) {
+// expectViolationOnShape is expectViolation for a given shape.
+func expectViolationOnShape(t *testing.T, shape Shape, rule string, recovery time.Duration, tamper func() Tamper) {
 	t.Helper()
-	expectViolationInRun(t, shape, rule, func(w *World, faults, _ time.Duration) { RunFaults(w, faults, after) }, tamper)
+	expectViolationInRun(t, shape, rule, func(w *World, faultTime, _ time.Duration) { RunFaults(w, faultTime, recovery) }, tamper)
 }
 
-// expectViolationInRun does the same for a given shape and kind of run.
+// expectViolationInRun is expectViolation for a given shape and kind of run.
 func expectViolationInRun(t *testing.T, shape Shape, rule string, run func(w *World, faultTime, recovery time.Duration), tamper func() Tamper) {
 	t.Helper()
 	for seed := range uint64(200) {
@@ -91,10 +91,11 @@
 	})
 }
 
-// TestCheckerDetectsAdditions does the same for rules on liveness (forgotten, starved) and
-// for faults of single machines and controllers: late reports, machines that receive
-// nothing and controllers without authority.
-func TestCheckerDetectsAdditions(t *testing.T) {
+// TestCheckerDetectsLivenessViolationsAndSingleFaults tampers with messages so that a rule on
+// liveness is violated (forgotten, starved), or that a fault of a single machine or controller
+// violates a safety rule: a late report, a machine that receives nothing, a controller without
+// authority.
+func TestCheckerDetectsLivenessViolationsAndSingleFaults(t *testing.T) {
 	isTask := func(call *controller.StateCall, job string) bool {
 		return call.Op == controller.OpTxn && onlyTasks(call.Txn) && strings.Contains(call.Txn.Then[0].Put, job)
 	}
@@ -165,8 +166,8 @@
 	})
 }
 
-// TestCheckerDetectsBrokenChains does the same for the rules on jobs that need others:
-// too_early and orphaned.
+// TestCheckerDetectsBrokenChains tampers with messages so that the rules on jobs that need others
+// are violated: too_early and orphaned.
 func TestCheckerDetectsBrokenChains(t *testing.T) {
 	t.Run("job records lose the list of needed jobs", func(t *testing.T) {
 		t.Parallel()
@@ -205,18 +206,19 @@
 	})
 }
 
-// TestCheckerDetectsFleetFaults does the same for partitions of many machines, for paused
-// controllers and for machine releases that the cloud did not carry out.
+// TestCheckerDetectsFleetFaults tampers with a paused controller's clock, with releases of machines
+// that the cloud confirms without carrying them out, and with reports of partitioned machines, each
+// of which violates a safety rule.
 func TestCheckerDetectsFleetFaults(t *testing.T) {
 	t.Run("the clock of a paused controller stops", func(t *testing.T) {
 		t.Parallel()
 		expectViolation(t, "authority", time.Second, func() Tamper {
 			behind, since := map[*member]time.Duration{}, map[*member]time.Time{}
 			return Tamper{Clock: func(n *member, now time.Time) time.Time {
-				switch at, still := since[n]; {
-				case n.paused && !still:
+				switch at, wasPaused := since[n]; {
+				case n.paused && !wasPaused:
 					since[n] = now
-				case !n.paused && still:
+				case !n.paused && wasPaused:
 					behind[n] += now.Sub(at)
 					delete(since, n)
 				}
--- a/internal/sim/controller_process.go
+++ b/internal/sim/controller_process.go
@@ -95,9 +95,9 @@
 // loopbackHostsUsed counts the loopback addresses for which freeAddresses has been called.
 var loopbackHostsUsed atomic.Uint32
 
-// freeAddresses returns the given number of unused addresses, all on a loopback host of their own. The
-// simulated services listen on another loopback host: on the same one they could be given a port that was found
-// free a moment ago, and would then answer a controller's users in its place.
+// freeAddresses returns the given number of unused addresses. Each call uses a loopback host of its own, which
+// differs from the one on which the simulated services listen: on the same host a simulated service could be
+// given a port that freeAddresses has just found free, and would then receive requests meant for a controller.
 func freeAddresses(count int) ([]string, error) {
 	host := fmt.Sprintf("127.1.%d.1", loopbackHostsUsed.Add(1)%250)
 	var addresses []string
--- a/internal/sim/coverage.go
+++ b/internal/sim/coverage.go
@@ -25,9 +25,9 @@
 // isLeader reports whether the controller holds the leader's authority by its own clock.
 func (n *member) isLeader() bool { return n.core != nil && n.clock().Before(n.core.Authority()) }
 
-// The functions below count the combinations of faults that a run reaches. The tests that
+// The functions below count the combinations of faults that occur in a run. The tests that
 // simulate overlapping faults require each combination to occur in at least one of their
-// runs, because faults that don't meet test nothing beyond the single faults.
+// runs, because faults that don't overlap test nothing beyond the single faults.
 
 // recordRenewal counts renewals of a worker's lease during an outage of the state service,
 // while tasks run of a job that was reported cancelled to its user.
@@ -38,7 +38,7 @@
 	w.forEachRunningTask(func(_ *host, t *task) {
 		if t.job.reportedCancelled {
 			w.coverage["leases renewed in an outage after a cancellation was reported"]++
-			if n.stateRefused {
+			if n.stateRefused { // besides the outage, the state service refuses the calls of this leader
 				w.coverage["leases renewed in an outage by a leader that only the state service had refused before"]++
 			}
 		}
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -33,7 +33,7 @@
 	downtime      time.Duration // downtime of a process that crashes
 	shortDowntime time.Duration // downtime of a process or machine that restarts quickly
 	machineChoice uint64        // selects a machine
-	share         float64       // share of the machines that is affected
+	share         float64       // probability for each machine of being affected, in faults of many machines
 }
 
 // faultKinds are the kinds of fault that a run draws from.
--- a/internal/sim/federation_test.go
+++ b/internal/sim/federation_test.go
@@ -92,7 +92,7 @@
 				w.after(20*time.Second, func() { w.users.submitRegularly(w.shape.ArrivalInterval / 3) })
 			}
 		},
-		"the home fails": func(c *Federation) {
+		"the home cell fails": func(c *Federation) {
 			w := c.Worlds[0]
 			for _, at := range []time.Duration{40 * time.Second, 80 * time.Second, 110 * time.Second} {
 				w.after(at, func() {
@@ -166,9 +166,9 @@
 }
 
 // Duplicates of calls from before a cell was declared gone reach the cell's new leader ahead of the
-// home's next call. Some of them carry the challenge of the previous leader. The new leader must not
-// start tasks because of them: its grants have ended, and the home runs the jobs again. Meanwhile the
-// home's leader crashes, and the cell's state service is unavailable for a while.
+// home cell's next call. Some of them carry the challenge of the previous leader. The new leader must not
+// start tasks because of them: the grants that it held have ended, and the home cell runs the jobs again.
+// Meanwhile the home cell's leader crashes, and the cell's state service is unavailable for a while.
 func TestLateCallsToCellDeclaredGone(t *testing.T) {
 	const lostAt, recoveredAt, reconnectedAt = 60 * time.Second, 120 * time.Second, 150 * time.Second
 	capturedMessages := 0
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -18,9 +18,9 @@
 	rentedAt, bootedAt time.Duration // when it was rented, and when it has booted
 	hasEnded           bool
 	endedAt            time.Duration
-	drift              float64 // of its clock, as a fraction of the time
+	drift              float64 // relative drift of its clock: by that clock, a lease of LeaseS ends after LeaseS * (1 + drift) seconds
 
-	session, seq, token uint64
+	session, seq, token uint64 // session of the worker, number of the latest report it has built, highest fencing token it has seen
 	tasks               []*task
 	images              map[string]bool
 	leaseStart          time.Duration
@@ -136,9 +136,9 @@
 	}
 	if !on && !h.hasEnded {
 		h.expireLease()
-		frozen := h.deferredWhileHung
+		deferred := h.deferredWhileHung
 		h.deferredWhileHung = nil
-		for _, fn := range frozen {
+		for _, fn := range deferred {
 			h.runOnMachine(fn)
 		}
 	}
--- a/internal/sim/job_chains.go
+++ b/internal/sim/job_chains.go
@@ -13,23 +13,23 @@
 // a job that was submitted before. Jobs of any stage may be cancelled, at any time.
 func (u *users) submitChain() {
 	w := u.w
-	var before []*simJob
+	var needed []*simJob
 	if len(u.list) > 0 && w.chance(0.4) {
 		if j := u.list[w.rng.IntN(len(u.list))]; j.accepted && j.spec.Kind == wire.KindArray {
-			before = append(before, j)
+			needed = append(needed, j)
 		}
 	}
-	u.submitStage(before, 0, 2+w.rng.IntN(3), w.chance(0.2))
+	u.submitStage(needed, 0, 2+w.rng.IntN(3), w.chance(0.2))
 }
 
 // wideStage is the number of jobs of a wide stage: with it, a job of the next stage needs
 // more jobs than a transaction may have conditions.
 const wideStage = 25
 
-// submitStage submits stage n, of one job, two jobs or wideStage jobs that all need the
-// jobs in before, and then the later stages. delayLast delays the last stage until the jobs
+// submitStage submits stage n, which consists of one, two or wideStage jobs that all need the
+// jobs in needed, and then the later stages. delayLast delays the last stage until the jobs
 // of the stage before it have ended.
-func (u *users) submitStage(before []*simJob, n, stages int, delayLast bool) {
+func (u *users) submitStage(needed []*simJob, n, stages int, delayLast bool) {
 	w := u.w
 	if n == stages {
 		return
@@ -49,13 +49,13 @@
 		if width == wideStage {
 			j.spec.Tasks, j.spec.CPUs, j.spec.Spread = 1, 1, false
 		}
-		j.done, j.needs = make([]bool, j.spec.Tasks), before
+		j.done, j.needs = make([]bool, j.spec.Tasks), needed
 		j.spec.EstimateS = j.runTime.Seconds()
 		if n == stages-1 {
 			due := 60.0
 			j.spec.Class, j.spec.Priority, j.spec.DeadlineS = "last", "high", &due
 		}
-		for _, p := range before {
+		for _, p := range needed {
 			j.spec.Needs = append(j.spec.Needs, p.spec.ID)
 		}
 		u.jobs[j.spec.ID] = j
--- a/internal/sim/known_state.go
+++ b/internal/sim/known_state.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// knownState is what the users know for good about a job at some time: whether it was
-// reported done or cancelled, and whether it is orphaned. A job is orphaned once the time
-// for the cancellation of a job that it needs has passed: it may then neither be queued nor
-// run.
+// knownState holds the facts about a job that users know at some time and that must not change
+// afterwards: whether the job was reported done or cancelled, and whether it is orphaned. A job
+// is orphaned once a job that it needs, directly or through others, was reported cancelled more
+// than cancelTime ago: the orphaned job may then neither be queued nor run.
 type knownState struct {
 	done, cancelled, orphaned bool
-	at                        time.Duration // the time of this knowledge
+	at                        time.Duration // when the facts were recorded
 }
 
-// knownState returns what the users know for good about a job now.
+// knownState returns the facts about a job that users know now and that must not change.
 func (w *World) knownState(j *simJob) knownState {
 	at, cancelled := j.neededJobCancelled()
 	return knownState{j.reportedDone, j.reportedCancelled, cancelled && w.now > at+w.cancelTime(), w.now}
@@ -35,9 +35,9 @@
 	return at, cancelled
 }
 
-// mayBeCancelled reports whether a job may end as cancelled: a user has requested it for
-// this job, or for one that it needs directly or through others, and no job
-// from that one to this one was reported done.
+// mayBeCancelled reports whether a job may end as cancelled: a user has requested the
+// cancellation of this job, or of one that it needs directly or through others, and no job
+// on the path of needs between the two, both included, was reported done.
 func (j *simJob) mayBeCancelled() bool {
 	return !j.reportedDone && (j.cancelRequested || slices.ContainsFunc(j.needs, (*simJob).mayBeCancelled))
 }
--- a/internal/sim/live_spread_test.go
+++ b/internal/sim/live_spread_test.go
@@ -30,8 +30,8 @@
 
 // TestLiveSpread runs twenty machines with three controllers as real processes over TCP. Work that is pinned
 // to one zone forces the services into the other zone; when it has ended, load spreading moves replicas
-// back. The leader is killed in the middle of a move. At every moment every task has one owner and every
-// job one final answer, and at the end all replicas run.
+// back. The leader is killed in the middle of a move. No task may run twice at once, no job may be
+// reported in another state after a final one, and at the end all replicas must run.
 func TestLiveSpread(t *testing.T) {
 	const machines, replicas, killAfterStops = 20, 60, 5
 	ctx, cancel := context.WithTimeout(context.Background(), 110*time.Second)
@@ -45,7 +45,7 @@
 	})
 	run := func(d time.Duration) {
 		if err := w.RunLive(d); err != nil || len(w.Violations) > 0 {
-			t.Fatalf("%v, rules broken: %v", err, w.Violations)
+			t.Fatalf("%v, violations: %v", err, w.Violations)
 		}
 	}
 	currentLeader := func() (*controllerProcess, balance.Status) {
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatalf("at %v: %v", w.now, err)
 		}
-		return controllers[status.Member[1]-'0'], status
+		return controllers[status.Member[1]-'0'], status // members are named n0, n1 and n2
 	}
 	submitLiveSpreadJobs(w)
 	run(31 * time.Second)
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -57,7 +57,8 @@
 
 // TestLiveZones runs three zones with three controllers as real processes over TCP. The leader's zone is
 // cut off together with the leader, recovers, and is cut off once more; the next leader is killed during
-// the second loss. At every moment every task has one owner and every job one final answer.
+// the second loss. No task may run twice at once, and no job may be reported in another state after a
+// final one.
 func TestLiveZones(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
@@ -71,7 +72,7 @@
 	addresses := []string{controllers[0].statusAddr, controllers[1].statusAddr, controllers[2].statusAddr}
 	run := func(d time.Duration) {
 		if err := w.RunLive(d); err != nil || len(w.Violations) > 0 {
-			t.Fatalf("%v, rules broken: %v", err, w.Violations)
+			t.Fatalf("%v, violations: %v", err, w.Violations)
 		}
 	}
 	currentLeader := func() (*controllerProcess, zones.Status) {
@@ -79,7 +80,7 @@
 		if err != nil {
 			t.Fatalf("at %v: %v", w.now, err)
 		}
-		return controllers[status.Member[1]-'0'], status
+		return controllers[status.Member[1]-'0'], status // members are named n0, n1 and n2
 	}
 	w.after(2*time.Second, func() { submitLiveZoneJobs(w, 24*time.Second) })
 	run(11 * time.Second)
--- a/internal/sim/load_spreading_test.go
+++ b/internal/sim/load_spreading_test.go
@@ -37,19 +37,19 @@
 	}
 }
 
-// TestSpreadHardCases injects each fault up to three times into a run. No rule may be violated, every job
-// must reach one final state, and moves must keep to their limits.
-func TestSpreadHardCases(t *testing.T) {
+// TestSpreadMoveFaults injects each fault of moveFaults up to three times into a run of its own. No rule may
+// be violated, every job must reach one final state, and moves must keep to their limits.
+func TestSpreadMoveFaults(t *testing.T) {
 	expectedCoverage := map[string]string{ // must occur in at least one run of the fault
-		"the task ends as it is stopped":    "a move ends: completed",
-		"the destination is terminated":     "a move ends: diverted",
-		"the destination hangs":             "a move ends: diverted",
-		"the destination will be taken":     "a reservation is released: destination",
-		"prod services take all room":       "a reservation is released: urgent",
-		"half of the machines are cut off":  "a reservation is released: time-out",
-		"the job is cancelled as it stops":  "a move ends: cancelled",
-		"the job is cancelled as it waits":  "a move ends: cancelled",
-		"the job is cancelled as it starts": "a move ends: cancelled",
+		"the task ends as it is stopped":                         "a move ends: completed",
+		"the destination is terminated":                          "a move ends: diverted",
+		"the destination hangs":                                  "a move ends: diverted",
+		"the cloud announces the termination of the destination": "reserved room is released: destination",
+		"prod services take all room":                            "reserved room is released: urgent",
+		"half of the machines are cut off":                       "reserved room is released: time-out",
+		"the job is cancelled as it stops":                       "a move ends: cancelled",
+		"the job is cancelled as it waits":                       "a move ends: cancelled",
+		"the job is cancelled as it starts":                      "a move ends: cancelled",
 	}
 	type result struct {
 		fault    string
@@ -146,7 +146,7 @@
 }
 
 // Moves must respect the constraints of jobs. While a task of a team at its limit moves, waiting work of
-// the same team must not take the part of the limit that the task uses.
+// the same team must not be started within the part of the limit that the moved task uses.
 func TestSpreadConstraintsAndLimits(t *testing.T) {
 	for seed := range uint64(runCount("PUMICEFRONT_SPREAD_SEEDS", 2)) {
 		o := spreadFaultOptions(seed, 3)
@@ -175,7 +175,7 @@
 }
 
 // Under a steady load no moves start after some time, both when idle machines are kept and when machines
-// are consolidated and released. No machine is rented for balance.
+// are consolidated and released. Load spreading must not cause machines to be rented.
 func TestSpreadMovesEnd(t *testing.T) {
 	for _, keepIdle := range []bool{true, false} {
 		t.Run(fmt.Sprintf("idle machines are kept: %v", keepIdle), func(t *testing.T) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// A skew that moves cannot reduce causes none: tasks fill a machine, cannot save a checkpoint, are pinned
+// A skew that moves cannot reduce must not cause moves: tasks fill a machine, cannot save a checkpoint, are pinned
 // to a full zone, have an image that no other machine has, or belong to a gang.
 func TestSpreadUnfixableSkew(t *testing.T) {
 	for name, spec := range map[string]wire.Job{
--- a/internal/sim/member.go
+++ b/internal/sim/member.go
@@ -17,11 +17,11 @@
 	w                    *World
 	index                int // index in World.controllers
 	name                 string
-	drift                float64 // of its clock, as a fraction of the time
+	drift                float64 // clock drift: seconds gained per second, negative if the clock is slow
 	core                 *controller.Core
-	incarnation          int // number of process starts; replies addressed to an earlier process are dropped
-	wakeAt               time.Duration
-	requests             map[uint64]func(controller.Answer)
+	incarnation          int                                // number of process starts; replies addressed to an earlier process are dropped
+	wakeAt               time.Duration                      // time of the next scheduled tick
+	requests             map[uint64]func(controller.Answer) // callbacks of unanswered requests, by request number
 	nextRequest          uint64
 	stateRefused         bool             // the state service refuses its calls
 	cutFromPeers         bool             // partitioned from the other controllers
--- a/internal/sim/paired_faults.go
+++ b/internal/sim/paired_faults.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// pairedFault is a random fault that a second one is drawn to overlap with. Most of them
-// change the behaviour of the environment for a while.
+// pairedFault is the first fault of a pair, with its parameters; the second one, a randomFault,
+// starts within three seconds of it. Most paired faults change the behaviour of the environment for a while.
 type pairedFault struct {
 	faultSpan
-	share         float64
+	share         float64       // strength of the fault: a probability, or a fraction of a maximum delay
 	hangDuration  time.Duration // how long machines of cancelled jobs hang
 	shortDowntime time.Duration // downtime of a process that restarts quickly
 	cancelCount   int           // number of jobs to cancel
@@ -59,13 +59,13 @@
 	return func() { kind(f) }
 }
 
-// raise sets the probability of a fault of the environment for a while.
-func (f *pairedFault) raise(share *float64) {
-	*share = f.share
-	f.repairAtEnd(func() { *share = 0 })
+// raise sets a probability in World.faults to the fault's share, and back to 0 at its end.
+func (f *pairedFault) raise(probability *float64) {
+	*probability = f.share
+	f.repairAtEnd(func() { *probability = 0 })
 }
 
-// delay returns a share of the given maximum.
+// delay returns the fraction f.share of the given maximum.
 func (f *pairedFault) delay(most time.Duration) time.Duration {
 	return time.Duration(f.share * float64(most))
 }
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -27,7 +27,8 @@
 }
 
 // checkStart checks the rules on a task's start: ran_twice, quota, too_early,
-// wrong_place and ran_cancelled, and in a federation those of the cells.
+// wrong_place and ran_cancelled, and in a federation also two_cells
+// and the quota over all cells.
 func (w *World) checkStart(h *host, t *task, j *simJob) {
 	w.Log("%v %s starts %s attempt %d", w.now, h.id, t.id, t.attempt)
 	j.hasStarted = true
@@ -94,8 +95,9 @@
 	w.highestToken = token
 }
 
-// checkRuns checks that no run command is sent for a cancelled job so late that, if the
-// machine then became unreachable, its lease would end after the time for the cancellation.
+// checkRuns checks that no run command for a cancelled job is sent less than a lease before the
+// end of cancelTime: if the machine then became unreachable, the task could run until its lease
+// ends, which is after cancelTime has passed.
 func (w *World) checkRuns(o controller.Output) {
 	var commands []wire.Command
 	switch o := o.(type) {
@@ -246,6 +248,8 @@
 	}
 }
 
+// cancelTime returns the time within which all tasks of a job must have ended after its cancellation was
+// reported to its user.
 func (w *World) cancelTime() time.Duration {
 	return time.Duration(w.cfg.Facts.Workers.CancelS * float64(time.Second))
 }
--- a/internal/sim/runs_test.go
+++ b/internal/sim/runs_test.go
@@ -136,8 +136,8 @@
 	return Small
 }
 
-// TestChainFaults does the same as TestFaultPairs with chains of dependent jobs, and with
-// a state service that lowers its limits during the run. PUMICEFRONT_CHAIN_RUNS=N sets
+// TestChainFaults simulates runs with overlapping faults like TestFaultPairs, with chains of dependent
+// jobs, and with a state service that lowers its limits during the run. PUMICEFRONT_CHAIN_RUNS=N sets
 // the number of runs, PUMICEFRONT_CHAIN_SEED=N replays one seed.
 func TestChainFaults(t *testing.T) {
 	if seedText := os.Getenv("PUMICEFRONT_CHAIN_SEED"); seedText != "" {
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -50,7 +50,8 @@
 	return n
 }
 
-// memberWithMostWorkers returns the controller that most workers report to.
+// memberWithMostWorkers returns the controller that most workers report to, which is the leader in a
+// settled deployment.
 func memberWithMostWorkers(w *World) *member {
 	count := make([]int, len(w.controllers))
 	for _, h := range w.hosts {
@@ -95,7 +96,7 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader must be replaced if the state service refuses its calls and no one else's: its peers can reach
+// A leader must be replaced if the state service refuses its calls but not those of its peers: they can reach
 // the state service, so they refuse to grant a peer lease.
 func TestRefusedLeaderIsReplaced(t *testing.T) {
 	w := settledWorld(t, 2)
@@ -119,7 +120,7 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// Neither a crash of the leader nor a crash of all controllers may cost a running task.
+// Neither a crash of the leader nor a crash of all controllers may end a running task.
 func TestCrashesKeepTasks(t *testing.T) {
 	w := settledWorld(t, 4)
 	memberWithMostWorkers(w).crash(3 * time.Second)
@@ -183,9 +184,9 @@
 // believes that it started an hour ago and skips the wait: the checks must detect two leaders then,
 // and must report nothing for an untampered one.
 func TestRestartedControllerHonoursPeerLeases(t *testing.T) {
-	breaksRule := func(seed uint64, boot func(time.Time) time.Time) bool {
+	breaksRule := func(seed uint64, startTime func(time.Time) time.Time) bool {
 		w := settledWorld(t, seed)
-		w.Tamper.StartTime = boot
+		w.Tamper.StartTime = startTime
 		oldLeader := memberWithMostWorkers(w)
 		var other *member
 		for _, n := range w.controllers {
@@ -301,8 +302,9 @@
 }
 
 // A submission is checked while the job that it needs is unfinished; that job is cancelled, and its end
-// is written before the submission's own record. No header mentions the cancellation then, and all
-// controllers must report the submitted job as cancelled nevertheless.
+// is written before the submission's own record. The header of the cancelled job has been deleted
+// by then, so no header shows the cancellation. All controllers must report the submitted job as cancelled
+// nevertheless.
 func TestJobAcceptedAfterNeededJobEndedCancelled(t *testing.T) {
 	for seed := range uint64(4) {
 		w := settledWorld(t, 30+seed)
--- a/internal/sim/settings.go
+++ b/internal/sim/settings.go
@@ -6,6 +6,7 @@
 	"pumicefront/config"
 )
 
+// settings returns the platform settings of a deployment of the given shape.
 func settings(s Shape) config.Platform {
 	var p config.Platform
 	f := &p.Facts
@@ -46,9 +47,9 @@
 	Zones           int           // number of zones, with the machines divided evenly; 0: two zones without a limit of their own
 }
 
-// The shapes that are simulated. Small is the size of the first deployments and Grown
-// that of the same deployments later. Fleet has half as many machines again as the fleet
-// deployments. GPUs is small with shared GPUs, and LargeGPUs has more machines than any
+// The shapes that are simulated. Small has the size of the first deployments, and Grown that of
+// the same deployments later. Fleet has 1.5 times as many machines as the fleet
+// deployments. GPUs is Small with GPUs that teams share, and LargeGPUs has more machines than any
 // deployment.
 var (
 	Small     = Shape{Controllers: 3, Machines: 9, Scale: 1, Tasks: 7, ArrivalInterval: 4 * time.Second}
--- a/internal/sim/spread_faults.go
+++ b/internal/sim/spread_faults.go
@@ -30,7 +30,7 @@
 		w.coverage["a move ends: "+string(m.Outcome)]++
 	}
 	if m.ReleaseReason != "" && m.ReleaseReason != balance.ReleasedMoveEnded {
-		w.coverage["a reservation is released: "+string(m.ReleaseReason)]++
+		w.coverage["reserved room is released: "+string(m.ReleaseReason)]++
 	}
 	if w.onMove != nil {
 		w.onMove(n, m)
@@ -116,7 +116,7 @@
 }
 
 // fillCapacity submits a prod service that takes all free cores, and cancels it after 40 s. It reports
-// whether there were any.
+// whether there were free cores for at least one task.
 func (r *spreadRun) fillCapacity() bool {
 	free := 0.0
 	for _, h := range r.w.hostsUp() {
@@ -145,8 +145,8 @@
 			h.finish(t, t.job, m.Index)
 			return true
 		}},
-		{"the leader ends after the stop", balance.Stopping, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool { return r.crashAfter(n, afterCommands) }},
-		{"the leader ends after the save", balance.Stopping, wire.KindArray, func(r *spreadRun, n *member, m controller.MoveChanged) bool {
+		{"the leader crashes after the stop", balance.Stopping, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool { return r.crashAfter(n, afterCommands) }},
+		{"the leader crashes after the save", balance.Stopping, wire.KindArray, func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			r.w.onStopped = func(t *task) {
 				if t.id == wire.TaskID(m.Job, m.Index) && t.job.saved[m.Index] > 0 {
 					r.w.onStopped = nil
@@ -155,8 +155,8 @@
 			}
 			return true
 		}},
-		{"the leader ends after the old attempt has ended", balance.Waiting, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool { return r.crashAfter(n, 0) }},
-		{"the leader ends after the placement is written", balance.Starting, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
+		{"the leader crashes after the old attempt has ended", balance.Waiting, "", func(r *spreadRun, n *member, _ controller.MoveChanged) bool { return r.crashAfter(n, 0) }},
+		{"the leader crashes after the placement is written", balance.Starting, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			return r.onPlacementWritten(m.Job, func(reply *controller.StateReply) {
 				*reply = controller.StateReply{ID: reply.ID}
 				r.crashAfter(n, 0)
@@ -192,14 +192,14 @@
 		{"the destination hangs", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.To, hangHost, resumeHost, 14*time.Second)
 		}},
-		{"the destination will be taken", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
+		{"the cloud announces the termination of the destination", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool {
 			return r.disturbHost(m.To, func(h *host) { h.terminationNotice = true; h.report() }, (*host).terminate, 5*time.Second)
 		}},
 		{"prod services take all room", balance.Stopping, wire.KindArray, func(r *spreadRun, _ *member, _ controller.MoveChanged) bool { return r.fillCapacity() }},
 		{"the job is cancelled as it stops", balance.Stopping, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool { return r.cancelJob(m) }},
 		{"the job is cancelled as it waits", balance.Waiting, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool { return r.cancelJob(m) }},
 		{"the job is cancelled as it starts", balance.Starting, "", func(r *spreadRun, _ *member, m controller.MoveChanged) bool { return r.cancelJob(m) }},
-		{"the job is cancelled and the leader ends", balance.Stopping, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
+		{"the job is cancelled and the leader crashes", balance.Stopping, "", func(r *spreadRun, n *member, m controller.MoveChanged) bool {
 			return r.cancelJob(m) && r.crashAfter(n, afterCommands)
 		}},
 		{"the state service is out", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
@@ -219,7 +219,7 @@
 			r.drainThird()
 			return true
 		}},
-		{"late reports show tasks where they were", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
+		{"old reports are delivered again", balance.Stopping, "", func(r *spreadRun, _ *member, _ controller.MoveChanged) bool {
 			return r.disturbFor(20*time.Second, func() { r.w.faults.duplicateReports, r.w.faults.keepReports = 1, 0.5 },
 				func() { r.w.faults.duplicateReports, r.w.faults.keepReports = 0, 0 })
 		}},
@@ -251,8 +251,8 @@
 	}
 }
 
-// injectRandomly injects a fault that the run's number selects, and once that has occurred, randomly drawn
-// faults at a fifth of the steps. It returns how often each fault was injected, and continues to update
+// injectRandomly injects a fault that the run's number selects, and once that one has been injected, randomly
+// drawn faults at a fifth of the steps. It returns how often each fault was injected, and continues to update
 // that map.
 func (r *spreadRun) injectRandomly(run int) map[string]int {
 	injected := map[string]int{}
--- a/internal/sim/spread_measure.go
+++ b/internal/sim/spread_measure.go
@@ -10,12 +10,12 @@
 	"pumicefront/wire"
 )
 
-// Measurement of how evenly load is spread over a fleet that is skewed, drained in part, and then left
-// undisturbed.
+// Measurement of how evenly load is spread over a fleet whose load is skewed, of which a third is then
+// drained, and which is left undisturbed afterwards.
 
 // The schedule of a measured run.
 const (
-	spreadSkewAt         = 60 * time.Second  // by then all machines are up
+	spreadSkewAt         = 60 * time.Second  // start of the skewed load; all machines are up by then
 	spreadRestartAt      = 110 * time.Second // the controllers restart one after the other, with the settings under measurement
 	spreadDrainAt        = 420 * time.Second // a third of the machines is drained
 	spreadDrainEnd       = 450 * time.Second // the drained machines are back, and empty
@@ -39,7 +39,7 @@
 	shares         []float64 // in the order of machines
 	variation      float64   // coefficient of variation of the shares
 	maximum        float64   // largest share divided by the mean share
-	hotTeamMaximum float64   // largest fraction of the hot team's cores on one machine
+	hotTeamMaximum float64   // largest fraction on one machine of the cores of team red, whose tasks cause the skew
 }
 
 // even reports whether the load counts as even.
@@ -68,9 +68,9 @@
 	spreadOptions
 	w               *World
 	samples         []loadSample
-	fetches         int // starts that had to fetch an image, from spreadRestartAt on
-	lostReplicaTime time.Duration
-	replicas        int
+	fetches         int                        // starts that had to fetch an image, from spreadRestartAt on
+	lostReplicaTime time.Duration              // time during which replicas of services did not run, summed over the replicas, from spreadRestartAt on
+	replicas        int                        // number of replicas of services
 	replicaStarts   map[string][]time.Duration // by task, from spreadRestartAt on
 }
 
--- a/internal/sim/spread_rules.go
+++ b/internal/sim/spread_rules.go
@@ -26,7 +26,7 @@
 	s := r.w.op.Spreading.Settings
 	const window = 30 * time.Second
 	perSecond := s.MovesPerMinute * float64(r.machines) / 100 / 60
-	limit := int(perSecond*(window.Seconds()+5)) + 1 // plus what the budget of moves accumulates in five seconds
+	limit := int(perSecond*(window.Seconds()+5)) + 1 // the 5 s stand for unused budget that has accumulated before the window
 	started := r.startedMoves()
 	for i, m := range started {
 		within := 0
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -221,8 +221,9 @@
 	}
 }
 
-// answer completes a watch if there are new events, and also without any if force is set,
-// as when the watch times out. It reports whether the watch is complete.
+// answer completes a watch if there are new events, or if force is set, as it is when the watch
+// times out. While the service can't be reached the watch stays open even with force. It reports
+// whether the watch is complete.
 func (s *store) answer(x *watch, force bool) bool {
 	if x.done {
 		return true
--- a/internal/sim/zone_faults.go
+++ b/internal/sim/zone_faults.go
@@ -14,8 +14,8 @@
 // zoneHistory records the zone events that leaders emit, and the fetches in each zone.
 type zoneHistory struct {
 	changes     []controller.ZoneChanged
-	restarts    map[scheduler.RestartPhase][]time.Duration // when displaced tasks ran again, by restart phase
-	maxFetching map[string]int                             // the largest number of machines that fetched at once, by zone
+	restarts    map[scheduler.RestartPhase][]time.Duration // when tasks that were lost with their zone ran again, by restart phase
+	maxFetching map[string]int                             // the largest number of machines that fetched an image at once, by zone
 }
 
 // enableZoneRecovery restarts the cores of all controllers with zone recovery on.
--- a/internal/sim/zone_measure.go
+++ b/internal/sim/zone_measure.go
@@ -15,10 +15,10 @@
 type zoneMeasurement struct {
 	violations                               []string
 	machinesUp                               int
-	serviceOutages                           []time.Duration
-	objectiveBatchOutages, otherBatchOutages []time.Duration // of batches with and without an objective: from the loss until a task of the zone runs again
+	serviceOutages                           []time.Duration // by task of a service in the zone: from the loss until the task runs again
+	objectiveBatchOutages, otherBatchOutages []time.Duration // the same for tasks of batches with and without an objective
 	lostReplicaTime                          time.Duration   // of all service replicas, from the loss on
-	maxFetching                              int             // most machines of the zone that fetched at once after its return
+	maxFetching                              int             // largest number of machines of the zone that fetched an image at once after its return
 	startsAfterReturn                        int             // starts in the zone within five seconds of its return
 	rerunTasks                               int             // batch tasks started more than once
 	cpuS, heapMB                             float64
@@ -139,7 +139,7 @@
 
 // String formats the result in one line.
 func (m zoneMeasurement) String() string {
-	return fmt.Sprintf("%d up; p50/max services %s timely %s rest %s; replica-s lost %.0f; fetches %d, starts in 5 s %d; repeated %d of %d; cpu %.1f s, heap %.0f MB; %d tasks left",
+	return fmt.Sprintf("%d up; p50/max services %s batches with an objective %s other batches %s; replica-s lost %.0f; fetches %d, starts in 5 s %d; repeated %d of %d; cpu %.1f s, heap %.0f MB; %d tasks left",
 		m.machinesUp, formatMedianAndMax(m.serviceOutages), formatMedianAndMax(m.objectiveBatchOutages), formatMedianAndMax(m.otherBatchOutages),
 		m.lostReplicaTime.Seconds(), m.maxFetching, m.startsAfterReturn, m.rerunTasks, m.startedTasks, m.cpuS, m.heapMB, m.unfinishedTasks)
 }
--- a/internal/sim/zone_recovery_test.go
+++ b/internal/sim/zone_recovery_test.go
@@ -65,8 +65,8 @@
 	return states
 }
 
-// TestZoneRecovery runs scripted failures of zones with several seeds. Each case must reach the situation
-// that it is about, as the coverage shows.
+// TestZoneRecovery runs scripted failures of zones with several seeds. In each run, every situation in the
+// case's expectedCoverage must occur.
 func TestZoneRecovery(t *testing.T) {
 	cases := []struct {
 		name             string
@@ -78,15 +78,15 @@
 		{"zone lost and back", zoneLostAndBack, nil, 330 * time.Second, []string{"a zone is lost", "a zone is held down", "a zone is returning", "a zone is healthy", "a task that was lost with its zone runs again"}},
 		{"returns before its leases end", zoneBackBeforeLeasesEnd, func(s *zones.Settings) { s.LostAfter = time.Second }, 330 * time.Second,
 			[]string{"a zone is returning", "a lost zone is back while its attempts still run"}},
-		{"fails twice and within the ramp", zoneFailsAgain, nil, 420 * time.Second, []string{"a zone is returning", "a zone fails within its ramp"}},
+		{"fails again, and while starts are throttled", zoneFailsAgain, nil, 420 * time.Second, []string{"a zone is returning", "a zone fails while its starts are throttled"}},
 		{"cut off with a controller", zoneCutOffWithController, nil, 330 * time.Second, []string{"a zone with a controller in it partitioned for longer than a lease", "a zone is lost"}},
 		{"two zones at once", twoZonesLost, nil, 360 * time.Second, []string{"two zones are lost at once"}},
 		{"power lost", zonePoweredOff, nil, 330 * time.Second, []string{"a zone is suspected"}},
 		{"leader in the lost zone", leaderInLostZone, nil, 360 * time.Second, []string{"a zone is lost", "the leader is in the lost zone"}},
-		{"leader ends within the ramp", leaderCrashesInRamp, nil, 360 * time.Second, []string{"a leader ends within a ramp", "a zone is healthy"}},
+		{"leader crashes while starts are throttled", leaderCrashesDuringThrottledStarts, nil, 360 * time.Second, []string{"a leader crashes while starts are throttled", "a zone is healthy"}},
 		{"state service out meanwhile", zoneLostInStateServiceOutage, nil, 360 * time.Second, []string{"a zone is cut off in an outage of the state service", "a zone is lost"}},
 		{"hanging machines and late copies", machinesHangAfterReturn, nil, 360 * time.Second, []string{"machines of a returned zone hang", "a report from an earlier session arrives"}},
-		{"no capacity elsewhere", noCapacityElsewhere, nil, 360 * time.Second, []string{"a zone is lost", "rentals are refused in the zones left"}},
+		{"no capacity elsewhere", noCapacityElsewhere, nil, 360 * time.Second, []string{"a zone is lost", "rentals are refused in the remaining zones"}},
 	}
 	for _, c := range cases {
 		for seed := range uint64(runCount("PUMICEFRONT_ZONE_SEEDS", 3)) {
@@ -119,13 +119,13 @@
 	})
 }
 
-// The zone fails again soon after its return, and once more while its starts are still limited. The
+// The zone fails again soon after its return, and once more while its starts are still throttled. The
 // second hold-down must be longer than the first.
 func zoneFailsAgain(t *testing.T, w *World) {
 	for _, after := range []time.Duration{0, 35 * time.Second, 75 * time.Second} {
 		w.after(zoneLossAt+after, func() {
 			if states := w.zoneStates("a"); after > 0 && len(states) > 0 && states[len(states)-1] == zones.Returning {
-				w.coverage["a zone fails within its ramp"]++
+				w.coverage["a zone fails while its starts are throttled"]++
 			}
 			w.cutOffZone("a", 20*time.Second)
 		})
@@ -198,7 +198,7 @@
 	return slices.MaxFunc(w.shape.zones(), func(a, b string) int { return up[a] - up[b] })
 }
 
-func leaderCrashesInRamp(_ *testing.T, w *World) {
+func leaderCrashesDuringThrottledStarts(_ *testing.T, w *World) {
 	zoneLostAndBack(nil, w)
 	var crashOnReturn func()
 	crashOnReturn = func() {
@@ -206,7 +206,7 @@
 			w.after(100*time.Millisecond, crashOnReturn)
 			return
 		}
-		w.coverage["a leader ends within a ramp"]++
+		w.coverage["a leader crashes while starts are throttled"]++
 		w.leaderOrFirst().crash(5 * time.Second)
 	}
 	w.after(zoneLossAt, crashOnReturn)
@@ -250,7 +250,7 @@
 		for _, zone := range []string{"b", "c"} {
 			w.cloud.refusing[zone] = true
 		}
-		w.coverage["rentals are refused in the zones left"]++
+		w.coverage["rentals are refused in the remaining zones"]++
 	})
 	w.after(zoneLossAt+60*time.Second, func() { clear(w.cloud.refusing) })
 }
@@ -286,7 +286,7 @@
 	return w.zoneHistory.maxFetching["a"], pinned.firstTaskEnd
 }
 
-// A job that can only run in the returning zone completes there. Zone recovery limits the starts in the
+// A job that can only run in the returning zone completes there. Zone recovery throttles the starts in the
 // zone at first, so that fewer machines fetch at once than without it.
 func TestJobPinnedToLostZone(t *testing.T) {
 	without, _ := runPinnedJob(t, false)
