--- a/celllink/client.go
+++ b/celllink/client.go
@@ -32,7 +32,7 @@
 	peers map[cells.Cell][]string // addresses of a cell's controllers, the one that answered last first
 }
 
-// NewClient returns a client for the peers in the settings.
+// NewClient returns a client for the peer cells in the settings.
 func NewClient(settings *config.Cell) *Client {
 	c := &Client{self: cells.Cell(settings.Name), peers: map[cells.Cell][]string{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}}
@@ -53,7 +53,7 @@
 	for i, address := range c.addresses(call.To) {
 		reply, err := c.post(ctx, address, body)
 		if err != nil {
-			continue // the next controller may be the leader; without any answer the core calls again later
+			continue // the next controller may be the leader; without any answer the controller core calls again later
 		}
 		messages, err := decodeMessages(reply.Messages, call.To, c.self)
 		if err != nil {
@@ -81,7 +81,10 @@
 	c.peers[cell] = list
 }
 
-var errNotLeading = errors.New("not the leader")
+// errRejected is the error for a response with another status than 200: the controller is not the leader, or it rejects
+// the request because the request is malformed, beyond the rate limit or from a cell that is not one of its peers, or
+// because the controller is overloaded.
+var errRejected = errors.New("not the leader, or request rejected")
 
 // post sends an encoded request to one controller and decodes its reply.
 func (c *Client) post(ctx context.Context, address string, body []byte) (*Reply, error) {
@@ -91,14 +94,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("call cell at %s: %w", address, err)
 	}
-	req.GetBody = nil // the HTTP client must not resend the body: the core would not know of the copy
+	req.GetBody = nil // the HTTP client must not resend the request: the controller core would not know of the copy
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("call cell at %s: %w", address, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("cell at %s: %w", address, errNotLeading)
+		return nil, fmt.Errorf("cell at %s: %w", address, errRejected)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes))
 	if err != nil {
--- a/cellview/cellview.go
+++ b/cellview/cellview.go
@@ -1,4 +1,5 @@
-// Package cellview shows operators the links between cells, and sends their declarations of gone cells to a cell.
+// Package cellview shows operators the links between cells, and sends an operator's declaration that a cell is
+// permanently gone to the home cell, which had granted jobs to it.
 package cellview
 
 import (
@@ -54,8 +55,9 @@
 	return fmt.Sprintf("up to %d by %s", l.GoneEpoch, l.GoneBy)
 }
 
-// DeclareGone declares to a home that another cell has ended every job granted to it, on the assertion of the operator
-// named by. The home's controllers are called in turn until the leader has recorded the declaration.
+// DeclareGone declares to the home cell, whose controllers have the given addresses, that another cell is permanently
+// gone and has ended every job granted to it. The parameter by is the name of the operator who confirms this. The home
+// cell's controllers are called in turn until the leader has recorded the declaration.
 func DeclareGone(ctx context.Context, addresses []string, cell, by string) error {
 	query := url.Values{"cell": {cell}, "by": {by}}.Encode()
 	var failures []error
--- a/client/client.go
+++ b/client/client.go
@@ -27,7 +27,7 @@
 	services           *http.Client
 	workers            *http.Client
 	workerSlots        chan struct{} // semaphore: worker calls in flight
-	reportSlots        chan struct{} // semaphore: worker calls in flight or waiting that carry no commands
+	reportSlots        chan struct{} // semaphore: worker calls without commands, in flight or waiting for a worker slot
 	hasAuthority       func() bool   // whether this controller may act as leader now
 }
 
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -78,12 +78,12 @@
 		return c.Worker(controller.WorkerCall{Addr: addr, Timeout: time.Minute}).Status,
 			c.Cloud(controller.CloudCall{Op: controller.CloudRelease, Timeout: time.Minute}).Status
 	}
-	if w, k := callBoth(); w != 0 || k != 0 || calls.Load() != 0 {
-		t.Errorf("status %d and %d, %d calls without authority", w, k, calls.Load())
+	if worker, cloud := callBoth(); worker != 0 || cloud != 0 || calls.Load() != 0 {
+		t.Errorf("status %d from the worker and %d from the cloud, %d calls without authority", worker, cloud, calls.Load())
 	}
 	authorized = true
-	if w, k := callBoth(); w != http.StatusOK || k != http.StatusOK || calls.Load() != 2 {
-		t.Errorf("status %d and %d, %d calls with authority", w, k, calls.Load())
+	if worker, cloud := callBoth(); worker != http.StatusOK || cloud != http.StatusOK || calls.Load() != 2 {
+		t.Errorf("status %d from the worker and %d from the cloud, %d calls with authority", worker, cloud, calls.Load())
 	}
 }
 
--- a/cmd/pumicefront/main.go
+++ b/cmd/pumicefront/main.go
@@ -156,7 +156,7 @@
 		Serve         serveCmd   `cmd:"" help:"Run a controller."`
 		CheckSettings checkCmd   `cmd:"" help:"Check both settings files and print the effective settings."`
 		Zones         zonesCmd   `cmd:"" help:"Show the state of the zones (zone recovery must be enabled)."`
-		Cells         cellsCmd   `cmd:"" help:"Show the links to other cells, or declare a cell gone (spill-over must be enabled)."`
+		Cells         cellsCmd   `cmd:"" help:"Show the links to other cells, or declare a cell gone (spillover must be enabled)."`
 		Spread        spreadCmd  `cmd:"" help:"Show machines by load, hot machines and moves in progress (load spreading must be enabled)."`
 		Version       versionCmd `cmd:"" help:"Print the version."`
 	}
--- a/config/cell.go
+++ b/config/cell.go
@@ -54,7 +54,7 @@
 	return c, c.check()
 }
 
-// parseDuration parses an optional duration; without a text it leaves the default in place.
+// parseDuration parses an optional duration. If text is nil, the setting is absent, and into keeps its default.
 func parseDuration(field string, text *string, into *time.Duration) error {
 	if text == nil {
 		return nil
@@ -75,7 +75,7 @@
 		return malformed("cell.listen", err)
 	}
 	if len(c.Peers) == 0 {
-		return missing("cell.peer", "is missing: spill-over needs at least one other cell")
+		return missing("cell.peer", "is missing: spillover needs at least one other cell")
 	}
 	seen := map[string]bool{c.Name: true}
 	for _, p := range c.Peers {
--- a/config/config.go
+++ b/config/config.go
@@ -119,7 +119,7 @@
 // Operator holds the operator settings; docs/operations.md explains each of them.
 type Operator struct {
 	LeaderLife   string  `hcl:"leader_life,optional"`   // time to live of the leader's lease, as a Go duration: "1.4s"
-	SilentShare  float64 `hcl:"silent_share,optional"`  // share of the worker lease that a machine may send no report before it is suspected
+	SilentShare  float64 `hcl:"silent_share,optional"`  // time without a report after which a machine is suspected to have failed, as a share of the worker lease
 	IdleS        float64 `hcl:"idle_s,optional"`        // seconds that an idle machine is kept before scale-in
 	Headroom     float64 `hcl:"headroom,optional"`      // spare capacity, as a share of the capacity in use; grows where machines boot slowly
 	HeadroomMost float64 `hcl:"headroom_most,optional"` // maximum share of spare capacity
--- a/config/next_limits.go
+++ b/config/next_limits.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Minimum limits of the state service that a controller can work with: the end of a job takes two changes,
-// and an election, a rejection and a user's request take a few requests per second.
+// Minimum limits of the state service that a controller can work with: the transaction that ends a job makes
+// two changes, and an election, a rejection and a user's request take a few requests per second.
 const (
 	minRPS      = 10
 	minWriteRPS = 5
@@ -41,11 +41,11 @@
 	return "{" + strings.Join(parts, " ") + "}"
 }
 
-// rawNextLimits holds the values of state.next as decoded from the file, of any type.
+// rawNextLimits holds the values of facts.state.next as decoded from the file, of any type.
 type rawNextLimits struct{ rps, writeRPS, valueKB, txnOps any }
 
-// parseNextLimits parses state.next and ignores unknown fields. If state.next is not a table, it returns the
-// minimum of every limit and a warning.
+// parseNextLimits parses facts.state.next and ignores unknown fields. If facts.state.next is not a table, it
+// returns the minimum of every limit and a warning.
 func parseNextLimits(table any) (NextLimits, []Warning) {
 	if table == nil {
 		return NextLimits{}, nil
--- a/movetrace/recorder.go
+++ b/movetrace/recorder.go
@@ -37,7 +37,8 @@
 	moves  map[balance.TaskID]moveSpan
 }
 
-// moveSpan is the span of an active move, and the leader's term in which the span was started.
+// moveSpan is the span of an active move, and the term in which the span was started: the fencing token that the leader
+// had when it was elected.
 type moveSpan struct {
 	span trace.Span
 	term uint64
--- a/server/cell_listener.go
+++ b/server/cell_listener.go
@@ -75,8 +75,8 @@
 	serveStatus(w, s.cellRequests, id, controller.CellStatusRequest{Req: id})
 }
 
-// serveDeclareCellGone serves an operator's declaration that a cell is permanently gone and has stopped all
-// that it was granted.
+// serveDeclareCellGone serves an operator's declaration that a cell is permanently gone and has ended every
+// job granted to it.
 func (s *Server) serveDeclareCellGone(w http.ResponseWriter, r *http.Request) {
 	id := s.nextID.Add(1)
 	in := controller.CellGoneRequest{Req: id, Cell: cells.Cell(r.URL.Query().Get("cell")), By: r.URL.Query().Get("by")}
--- a/server/server.go
+++ b/server/server.go
@@ -32,10 +32,10 @@
 )
 
 const (
-	answerTimeout       = 3 * time.Second
-	maxAnswerAge        = 2 * time.Second // users time out after 2 s
-	headerTimeout       = 5 * time.Second
-	idleTimeout         = 90 * time.Second
+	answerTimeout       = 3 * time.Second  // for the core's answer to a request
+	maxAnswerAge        = 2 * time.Second  // an older answer is not sent: users time out after 2 s
+	headerTimeout       = 5 * time.Second  // for a client to send the headers of a request; at the status endpoints and the listener for cells, the whole request
+	idleTimeout         = 90 * time.Second // after which an idle connection is closed
 	listenRetryInterval = 200 * time.Millisecond
 	maxListenRetries    = 100
 )
@@ -59,10 +59,12 @@
 	moveTrace      *movetrace.Recorder       // nil: moves are not traced
 }
 
-// The socket budget: three quarters for connections from users and workers, an eighth for calls to workers
-// (see New), and the rest for the state service, the cloud, the other controllers and connections that
-// wait to be accepted.
-func (s *Server) maxConnections() int       { return s.cfg.Facts.Resources.MaxConnections * 3 / 4 }
+// maxConnections returns how many connections from users and workers are accepted: three quarters of the
+// sockets. An eighth of the sockets is for calls to workers (see New), and the rest for the state service,
+// the cloud, the other controllers and connections that wait to be accepted.
+func (s *Server) maxConnections() int { return s.cfg.Facts.Resources.MaxConnections * 3 / 4 }
+
+// nearConnectionLimit reports whether more than five sixths of the accepted connections are in use.
 func (s *Server) nearConnectionLimit() bool { return s.conns.Load() > int64(s.maxConnections()*5/6) }
 
 // trackConnection counts the open connections of users and workers.
@@ -95,9 +97,9 @@
 	return authorityUntil != nil && time.Now().Before(*authorityUntil)
 }
 
-// New returns a controller with the given settings. The queues have room for one request of every
-// connection, so that no request is rejected for a full queue when all clients reconnect in the same
-// second.
+// New returns a controller with the given settings. The queue of requests, except those of and about other
+// cells, has room for one request of every connection, so that no request is rejected for a full queue when
+// all clients reconnect in the same second. The queue of the core's other inputs has the same length.
 func New(cfg *config.Platform, operator config.Operator) *Server {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	conns := cfg.Facts.Resources.MaxConnections
@@ -169,8 +171,9 @@
 	}
 }
 
-// listen retries for a while if the address is in use: after a process was killed, a connection of another
-// process may hold the port for a moment, and exiting because of that would only delay the start.
+// listen listens on a TCP address. While the address is in use, it retries, at most maxListenRetries times:
+// after a process was killed, a connection of another process may hold the port for a moment, and exiting
+// because of that would only delay the start.
 func listen(addr string) (net.Listener, error) {
 	for retries := 0; ; retries++ {
 		ln, err := net.Listen("tcp", addr)
--- a/server/status_endpoint.go
+++ b/server/status_endpoint.go
@@ -12,9 +12,9 @@
 	"pumicefront/spanexport"
 )
 
-// Shared by the listeners for operators and for other cells.
+// Functions shared by the status endpoints for operators and the listener for other cells.
 
-// newHTTPServer returns the HTTP server of such a listener.
+// newHTTPServer returns the HTTP server of a status endpoint or of the listener for other cells.
 func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 8 << 10}
 }
--- a/spreadview/render.go
+++ b/spreadview/render.go
@@ -14,7 +14,7 @@
 // View displays the state of load spreading.
 var View = statusview.View[balance.Status]{Path: balance.StatusPath, Render: Render}
 
-// maxListedMachines bounds how many machines are listed; hot machines beyond it are listed too.
+// maxListedMachines is the number of machines after which only hot ones are listed.
 const maxListedMachines = 20
 
 // Render formats a status as lines of text.
@@ -89,7 +89,7 @@
 	return "-"
 }
 
-// movableText returns how many tasks of a hot machine tolerate a move, or "-" for other machines.
+// movableText returns how many tasks of a hot machine may be moved, or "-" for other machines.
 func movableText(m balance.MachineStatus) string {
 	if !m.Hot {
 		return "-"
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -112,7 +112,7 @@
 	Saved      bool   `cbor:"stored,omitempty"` // a stopped task saved a checkpoint
 }
 
-// Report is a worker's report on its machine.
+// Report is a worker's periodic report on its machine. The controller core treats it as the worker's heartbeat.
 type Report struct {
 	Machine string   `cbor:"host"`      // machine id
 	Addr    string   `cbor:"addr"`      // address of the worker, host:port
@@ -288,7 +288,8 @@
 	return v
 }
 
-// Marshal encodes a message. The types of this module always encode.
+// Marshal encodes a message. It panics if the value cannot be encoded, which does not happen for the types that this
+// module passes to it.
 func Marshal(v any) []byte { return must(encMode.Marshal(v)) }
 
 // Unmarshal decodes a message; unknown fields are ignored. The error names the Go
