--- a/client/client.go
+++ b/client/client.go
@@ -160,7 +160,7 @@
 		req.result, req.decodeErrorBody = &reply.Txn, true
 	case controller.OpGrant:
 		req.op, req.method, req.target = OpGrantLease, http.MethodPost, req.target+wire.PathLeases
-		req.body, req.result = wire.LeaseRequest{TTLMS: sc.Life.Milliseconds()}, &reply.Grant
+		req.body, req.result = wire.LeaseRequest{TTLMS: sc.TTL.Milliseconds()}, &reply.Grant
 	case controller.OpRenew:
 		req.op, req.method, req.target = OpRenewLease, http.MethodPost, req.target+wire.PathLeases+"/"+strconv.FormatUint(sc.Lease, 10)+wire.PathRenewLease
 	case controller.OpRevoke:
--- a/controller/api.go
+++ b/controller/api.go
@@ -26,11 +26,11 @@
 // UserOp is the kind of a user request.
 type UserOp uint8
 
-// The kinds of user requests. UserAbort cancels a job; UserReady is the load balancer's readiness probe.
+// The kinds of user requests. UserCancel cancels a job; UserReady is the load balancer's readiness probe.
 const (
 	UserSubmit UserOp = iota
 	UserPoll
-	UserAbort
+	UserCancel
 	UserReady
 )
 
@@ -77,7 +77,7 @@
 	Key      string // the prefix for OpRange and OpWatch
 	After    string // the key after which a page of OpRange starts; empty: the first page
 	Txn      wire.Txn
-	Life     time.Duration // time to live of the lease that OpGrant requests
+	TTL      time.Duration // time to live of the lease that OpGrant requests
 	Lease    uint64        // the lease of OpRenew and OpRevoke
 	Revision uint64        // the revision after which the changes of OpWatch start
 	Wait     time.Duration // how long OpWatch waits for a change
@@ -153,8 +153,8 @@
 	Envelope *mesh.Envelope
 }
 
-// Event is a log record, which the shell writes to its log. Attrs are key-value pairs as for slog.
-type Event struct {
+// LogRecord is a log record, which the shell writes to its log. Attrs are key-value pairs as for slog.
+type LogRecord struct {
 	Level slog.Level
 	Text  string
 	Attrs []any
--- a/controller/autoscaler.go
+++ b/controller/autoscaler.go
@@ -17,7 +17,7 @@
 	releasedRetention     = 10 * time.Minute // how long a released machine is remembered
 	refusalRetention      = 15 * time.Second // how long a refused offer is not requested again
 	peakHalfLife          = 90.0             // seconds after which the weight of a job class's past peak demand has halved
-	minCharge             = 50 * time.Second // minimum rental time: at least a minute is charged, and the release call takes some of it
+	minRentalTime         = 50 * time.Second // at least a minute is charged, and the release call takes some of it
 	scaleInMax            = 4                // unneeded machines released in one round: at most this number,
 	scaleInDivisor        = 16               // or the number of all machines divided by this, if that is more
 	maxMachinesPerRequest = 50               // machines in one request, the cloud's limit
--- a/controller/broken_jobs.go
+++ b/controller/broken_jobs.go
@@ -19,7 +19,7 @@
 	if !a.runningSince.IsZero() {
 		ran = l.c.now.Sub(a.runningSince)
 	}
-	if j.failureClass.Failed(m.id, ran) {
+	if j.failureClass.RecordFailure(m.id, ran) {
 		attempts, lost := j.failureClass.FailureCost()
 		l.c.log(slog.LevelInfo, "job fails on every machine", "job", j.id, "machines", len(j.failureClass.Machines()),
 			"failed_attempts", attempts, "machine_time_lost", lost)
--- a/controller/cell_holder.go
+++ b/controller/cell_holder.go
@@ -30,7 +30,7 @@
 	s.raiseFloor(r.From, r.Floor)
 	answer := CellAnswer{Challenge: s.challenge}
 	for _, m := range r.Messages {
-		if m.From != r.From || m.To != s.self() || !wire.ValidID(m.Job) {
+		if m.From != r.From || m.To != s.self() || !wire.ValidJobID(m.Job) {
 			continue
 		}
 		if status, known := s.receive(m); known {
--- a/controller/cell_home.go
+++ b/controller/cell_home.go
@@ -124,10 +124,10 @@
 	return scheduler.Resources{}.Add(taskResources(&j.spec), float64(j.tasksLeft()))
 }
 
-// abortGranted handles a user's request to cancel a job that another cell (the holder) may run. It records the
+// cancelGranted handles a user's request to cancel a job that another cell (the holder) may run. It records the
 // cancellation, which is then sent to the holder, and asks the user to retry: the job is reported as cancelled only
 // once the holder has recorded the end of the grant.
-func (c *Core) abortGranted(r UserRequest, h headerRecord) {
+func (c *Core) cancelGranted(r UserRequest, h headerRecord) {
 	if h.Grant.Cancel {
 		c.retryLater(r.Req, "another cell has the job")
 		return
--- a/controller/cell_spillover_test.go
+++ b/controller/cell_spillover_test.go
@@ -102,7 +102,7 @@
 	c, l, _ := newSpilloverLeader(t)
 	h := grantToCellB(c)
 	c.out = nil
-	c.abortGranted(UserRequest{Req: 8, Op: UserAbort, Job: "req-000077"}, *h)
+	c.cancelGranted(UserRequest{Req: 8, Op: UserCancel, Job: "req-000077"}, *h)
 	writes := headerWrites(c)
 	if len(writes) != 1 {
 		t.Fatalf("%d writes", len(writes))
--- a/controller/core.go
+++ b/controller/core.go
@@ -67,7 +67,7 @@
 	lead              *leader
 	peerLease         peerLeaseState
 	relays            relays
-	hints             map[string]*mesh.Hint // by machine: address and images, as last broadcast by a leader
+	machineHints      map[string]*mesh.Hint // by machine: address and images, as last broadcast by a leader
 	rejected          map[string]*wire.Job  // submissions refused for now, to be reported to the leader
 }
 
@@ -97,7 +97,7 @@
 		quotas:       map[string]quota{},
 		progress:     map[string]jobCount{},
 		dependencies: reduction.NewDynamicGraph(),
-		hints:        map[string]*mesh.Hint{},
+		machineHints: map[string]*mesh.Hint{},
 		rejected:     map[string]*wire.Job{},
 		// IDs start at a random number: an answer to a request that an earlier process of this
 		// controller relayed over the mesh must not match a request of this process, or a worker would
@@ -207,7 +207,7 @@
 func (c *Core) emit(o Output) { c.out = append(c.out, o) }
 
 func (c *Core) log(level slog.Level, text string, attrs ...any) {
-	c.emit(Event{level, text, attrs})
+	c.emit(LogRecord{level, text, attrs})
 }
 
 func (c *Core) callStateService(call StateCall, fn func(StateReply)) {
--- a/controller/deadline_inheritance.go
+++ b/controller/deadline_inheritance.go
@@ -12,20 +12,20 @@
 // deadline is the time by which a job should end: its own deadline, or that of a job that depends on
 // it, less the estimated durations of the dependents.
 type deadline struct {
-	last        *wire.Job // the job that specifies the deadline; nil if there is none
+	fromJob     *wire.Job // the job that specifies the deadline; nil if there is none
 	acceptedAt  time.Time // when that job was accepted
 	dependentsS float64   // estimated duration of the dependents, in seconds
 }
 
-// within returns how many seconds after d.acceptedAt a job should end if the deadline of d.last is
-// multiplied by the given factor.
-func (d deadline) within(times float64) float64 { return *d.last.DeadlineS*times - d.dependentsS }
+// within returns how many seconds after d.acceptedAt a job should end if the deadline of d.fromJob
+// is multiplied by the given factor.
+func (d deadline) within(times float64) float64 { return *d.fromJob.DeadlineS*times - d.dependentsS }
 
 func (d deadline) at() time.Time { return d.acceptedAt.Add(config.Seconds(d.within(1))) }
 
 // earlier reports whether d is an earlier deadline than o.
 func (d deadline) earlier(o deadline) bool {
-	return d.last != nil && (o.last == nil || d.at().Before(o.at()))
+	return d.fromJob != nil && (o.fromJob == nil || d.at().Before(o.at()))
 }
 
 // inheritUrgency passes a job's priority and deadline on to the jobs that it needs, transitively,
--- a/controller/demands.go
+++ b/controller/demands.go
@@ -52,7 +52,7 @@
 // delaysChain reports whether a job belongs to a chain of dependent jobs with a deadline. The loss of one of its tasks then
 // delays the later jobs of the chain, or wastes the time that the earlier jobs left before the deadline.
 func (j *job) delaysChain(dependencies *reduction.DynamicGraph) bool {
-	return j.deadline.last != nil && (len(j.spec.Needs) > 0 || len(dependencies.Successors(j.id)) > 0)
+	return j.deadline.fromJob != nil && (len(j.spec.Needs) > 0 || len(dependencies.Successors(j.id)) > 0)
 }
 
 // Ages beyond which a waiting job is placed before all others. Even the largest jobs must start within four minutes,
@@ -113,7 +113,7 @@
 // passed by now, and whether the objective applies to the end of the job at all.
 func (j *job) finishObjective(o config.Objective, now time.Time) (within, age float64, applies bool) {
 	switch {
-	case o.Kind == "deadline" && j.deadline.last != nil && o.Class == j.deadline.last.Class:
+	case o.Kind == "deadline" && j.deadline.fromJob != nil && o.Class == j.deadline.fromJob.Class:
 		return j.deadline.within(o.Times), now.Sub(j.deadline.acceptedAt).Seconds(), true
 	case o.Kind == "finished" && o.Class == j.spec.Class:
 		return o.WithinS, now.Sub(j.ready).Seconds(), true
--- a/controller/election.go
+++ b/controller/election.go
@@ -39,7 +39,7 @@
 	}
 	c.claiming = true
 	sent := c.now
-	c.callStateService(StateCall{Op: OpGrant, Life: c.op.LeaderLeaseTTL(), Timeout: userCallTimeout}, func(r StateReply) {
+	c.callStateService(StateCall{Op: OpGrant, TTL: c.op.LeaderLeaseTTL(), Timeout: userCallTimeout}, func(r StateReply) {
 		if r.Status != http.StatusOK {
 			c.claimFailed()
 			return
--- a/controller/failure_detector.go
+++ b/controller/failure_detector.go
@@ -47,7 +47,7 @@
 
 // checkNotUp releases or probes a machine that has sent no heartbeat to this leader, where due.
 func (s *failureScan) checkNotUp(m *machine) {
-	hint := s.c.hints[m.id]
+	hint := s.c.machineHints[m.id]
 	switch {
 	case s.bootTimedOut(m):
 		s.release(m, releaseNeverUp)
--- a/controller/failure_detector_test.go
+++ b/controller/failure_detector_test.go
@@ -110,7 +110,7 @@
 	probed, unprobed := l.machine("j-0"), l.machine("j-1")
 	placeAttempt(l, j, 0, probed)
 	placeAttempt(l, j, 1, unprobed)
-	c.hints["j-0"] = &mesh.Hint{Machine: "j-0", Addr: "j-0"}
+	c.machineHints["j-0"] = &mesh.Hint{Machine: "j-0", Addr: "j-0"}
 	seq := uint64(1)
 	step := func() {
 		c.now = c.now.Add(250 * time.Millisecond)
--- a/controller/final_records.go
+++ b/controller/final_records.go
@@ -73,7 +73,7 @@
 		fn(jobFinal)
 		return
 	}
-	if !wire.ValidID(job) {
+	if !wire.ValidJobID(job) {
 		fn(jobUnknown)
 		return
 	}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -32,8 +32,8 @@
 	}
 	switch {
 	case !l.recovered: // the machine is probed once the records are read
-		if heartbeat.Addr != "" && c.hints[m.id] == nil {
-			c.hints[m.id] = &mesh.Hint{Machine: m.id, Addr: heartbeat.Addr}
+		if heartbeat.Addr != "" && c.machineHints[m.id] == nil {
+			c.machineHints[m.id] = &mesh.Hint{Machine: m.id, Addr: heartbeat.Addr}
 		}
 	case !m.up && heartbeat.Token < l.electedToken:
 		// Sent before this leader's election, so it may be a delayed copy from a machine that
@@ -189,7 +189,7 @@
 		m.images[j.spec.Image] = true
 		clear(m.failedJobs)
 		delete(j.failureCounts, a.task)
-		j.failureClass.Succeeded()
+		j.failureClass.RecordSuccess()
 		f.removeAttempt(a, reduction.Succeeded, proofFromHeartbeat(exitReason))
 		return
 	case exitReason == wire.ExitReasonError:
--- a/controller/job.go
+++ b/controller/job.go
@@ -32,17 +32,17 @@
 	attempts        map[int]*attempt // the active ones, by task
 	tasksPerRecord  int
 	chunks          []chunk
-	divided         bool              // chunks are smaller than the header specifies, see divide
-	undividedKeys   []string          // keys of the undivided records, which stay until the job is finished
-	retryAt         map[int]time.Time // by task: earliest time of the next attempt after a failure
-	failureCounts   map[int]int       // by task
-	avoidedMachines map[string]bool   // by machine ID, see taskFailed
-	failureClass    failureclass.Job  // classifies whether the job fails on every machine
-	dirty           bool              // chunks differ from their records, or the final record is due
+	divided         bool                 // chunks are smaller than the header specifies, see divide
+	undividedKeys   []string             // keys of the undivided records, which stay until the job is finished
+	retryAt         map[int]time.Time    // by task: earliest time of the next attempt after a failure
+	failureCounts   map[int]int          // by task
+	avoidedMachines map[string]bool      // by machine ID, see taskFailed
+	failureClass    failureclass.History // classifies whether the job fails on every machine
+	dirty           bool                 // chunks differ from their records, or the final record is due
 	dirtyAt         time.Time
 	urgent          bool      // its write starts tasks or is the final one; one that only records completed tasks can wait
 	write           *write    // the write whose result is not known yet; nil: none
-	holdUntil       time.Time // no write before this time, after one that was not executed
+	noWriteBefore   time.Time // no write before this time, after one that was not executed
 	ended           bool      // the final record is written
 	terms           *scheduler.PreemptionTerms
 	hasStarted      bool          // a task has run at some time
@@ -93,7 +93,7 @@
 		j.terms.Rank, j.terms.Borrowed = len(wire.Priorities)-1, true
 	}
 	if j.spec.DeadlineS != nil {
-		j.deadline = deadline{last: &j.spec, acceptedAt: j.accepted}
+		j.deadline = deadline{fromJob: &j.spec, acceptedAt: j.accepted}
 	}
 	l.guaranteesAssignedAt = time.Time{}
 	l.jobs[id] = j
--- a/controller/job_dependencies_test.go
+++ b/controller/job_dependencies_test.go
@@ -184,7 +184,7 @@
 	for name, request := range map[string]UserRequest{
 		"poll":                          {Req: 6, Op: UserPoll, Job: "req-000011"},
 		"repeated submission":           {Req: 6, Op: UserSubmit, Body: jobBody("req-000011")},
-		"cancel":                        {Req: 6, Op: UserAbort, Job: "req-000011"},
+		"cancel":                        {Req: 6, Op: UserCancel, Job: "req-000011"},
 		"poll of an indirect dependent": {Req: 6, Op: UserPoll, Job: "req-000012"},
 		"repeated submission of an indirect dependent": {Req: 6, Op: UserSubmit, Body: jobBody("req-000012")},
 	} {
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -82,7 +82,7 @@
 			attempts: map[taskKey]*attempt{}, runToken: map[taskKey]uint64{}, endedAttempts: map[taskKey]time.Time{},
 			unknownAttempts: map[taskKey]bool{}, images: map[string]bool{}, failedJobs: map[string]bool{},
 		}
-		if h := l.c.hints[id]; h != nil {
+		if h := l.c.machineHints[id]; h != nil {
 			for _, image := range h.Images {
 				m.images[image] = true
 			}
--- a/controller/mesh_messages.go
+++ b/controller/mesh_messages.go
@@ -46,11 +46,11 @@
 		if body.Progress.WorkersUnheard {
 			c.relays.leaderCutOffUntil = c.now.Add(relayModePeriod)
 		}
-		if len(c.hints) > maxHints {
-			clear(c.hints)
+		if len(c.machineHints) > maxHints {
+			clear(c.machineHints)
 		}
 		for _, h := range body.Progress.Hints {
-			c.hints[h.Machine] = h
+			c.machineHints[h.Machine] = h
 		}
 	case *mesh.Envelope_DemandHints:
 		for _, raw := range body.DemandHints.Jobs {
--- a/controller/progress.go
+++ b/controller/progress.go
@@ -63,7 +63,7 @@
 		}
 		m.imagesAnnounced = len(m.images)
 		h := &mesh.Hint{Machine: m.id, Addr: m.addr, Images: slices.Sorted(maps.Keys(m.images))}
-		l.c.hints[m.id] = h
+		l.c.machineHints[m.id] = h
 		hs = append(hs, h)
 	}
 	return hs
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -136,9 +136,9 @@
 	l.fetchUnknownOutcomes()
 	c.log(slog.LevelInfo, "recovered", "token", l.token, "jobs", len(l.jobs), "machines", len(l.machines),
 		"after", c.now.Sub(l.elected))
-	for _, id := range slices.Sorted(maps.Keys(c.hints)) {
-		if m := l.machines[id]; (m == nil || !m.up) && c.hints[id].Addr != "" {
-			l.probe(id, c.hints[id].Addr)
+	for _, id := range slices.Sorted(maps.Keys(c.machineHints)) {
+		if m := l.machines[id]; (m == nil || !m.up) && c.machineHints[id].Addr != "" {
+			l.probe(id, c.machineHints[id].Addr)
 		}
 	}
 	l.schedulePlacement()
--- a/controller/scale_in.go
+++ b/controller/scale_in.go
@@ -99,7 +99,7 @@
 	var idle []*machine
 	for _, m := range s.machinesByName {
 		// A machine is charged for a minute at least: releasing it sooner saves nothing.
-		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || s.c.now.Sub(m.rentedAt) >= minCharge &&
+		if m.up && !m.releasing && len(m.attempts)+len(m.unknownAttempts) == 0 && (m.consolidating || s.c.now.Sub(m.rentedAt) >= minRentalTime &&
 			s.c.now.Sub(m.idleSince) >= config.Seconds(s.c.op.IdleS)) && !s.failureDetector.unresponsive(m) {
 			idle = append(idle, m)
 		}
--- a/controller/spreading_bench_test.go
+++ b/controller/spreading_bench_test.go
@@ -37,7 +37,7 @@
 		l.spreading.tracker = balance.NewMoveTracker(*l.spreading.settings(), l.c.now.Add(-time.Second)) // the allowance of one second has accrued
 		l.spreading.plannedAt = time.Time{}
 		machines := l.schedulerView(false)
-		fleet := l.spreading.fleetState(machines)
+		fleet := l.spreading.fleetSnapshot(machines)
 		l.spreading.moveBlock()
 		l.spreading.listMovableTasks(&fleet)
 		if moves := planOnly(l, fleet); moves == 0 {
--- a/controller/spreading_plan.go
+++ b/controller/spreading_plan.go
@@ -32,7 +32,7 @@
 		return
 	}
 	machines := s.schedulerView(false)
-	fleet := s.fleetState(machines)
+	fleet := s.fleetSnapshot(machines)
 	untrackedMoves, listed := s.stoppedByEarlierLeaders(), len(fleet.Machines)
 	allowance := s.tracker.Allowance(s.c.now, listed, untrackedMoves)
 	if allowance.Moves == 0 || !s.anyHot(&fleet) {
@@ -118,10 +118,10 @@
 	used scheduler.Resources
 }
 
-// fleetState returns a snapshot of the machines that take part in load spreading, without their tasks. Machines that are
+// fleetSnapshot returns a snapshot of the machines that take part in load spreading, without their tasks. Machines that are
 // suspected faulty do not take part, and empty ones only if KeepIdle is set. Resources of tasks that are being stopped do
 // not count as used; reserved resources do.
-func (s *spreading) fleetState(machines []*scheduler.Machine) balance.FleetSnapshot {
+func (s *spreading) fleetSnapshot(machines []*scheduler.Machine) balance.FleetSnapshot {
 	byID := make(map[string]fleetMachine, len(machines))
 	fleet := balance.FleetSnapshot{Machines: make([]balance.Machine, 0, len(machines))}
 	for _, m := range machines {
@@ -187,15 +187,15 @@
 
 // movableTask returns an attempt's task for balance.Plan. costS is the time in seconds that the task loses by a move.
 func (a *attempt) movableTask(costS float64) balance.Task {
-	t := balance.Task{TaskID: a.moveID(), Team: a.job.spec.Team, Resources: a.job.terms.TaskResources, Cost: costS}
+	t := balance.Task{TaskID: a.balanceTaskID(), Team: a.job.spec.Team, Resources: a.job.terms.TaskResources, Cost: costS}
 	if a.job.spec.Kind == wire.KindService {
 		t.OnlyImage = a.job.spec.Image
 	}
 	return t
 }
 
-// moveID returns the ID by which package balance identifies an attempt's task.
-func (a *attempt) moveID() balance.TaskID { return balance.TaskID{Job: a.job.id, Index: a.task} }
+// balanceTaskID returns the ID by which package balance identifies an attempt's task.
+func (a *attempt) balanceTaskID() balance.TaskID { return balance.TaskID{Job: a.job.id, Index: a.task} }
 
 // preserveHeadroom returns all moves if as many headroom tasks can be placed with them as without, else the first and best
 // move if that is so for it alone, else none. After none, further moves are blocked for headroomPause.
--- a/controller/spreading_record.go
+++ b/controller/spreading_record.go
@@ -22,7 +22,7 @@
 type movesRecordState struct {
 	until             time.Time // moves may start until then
 	version           uint64
-	writing           bool
+	writeInFlight     bool
 	restoredStayUntil time.Time // until then, attempts placed by an earlier leader stay: they may have moved recently
 }
 
@@ -64,11 +64,11 @@
 
 // writeMovesRecord extends the record if the write budget allows it.
 func (s *spreading) writeMovesRecord() {
-	if s.record.writing || !s.budget.allows(s.c.now, 1, false) {
+	if s.record.writeInFlight || !s.budget.allows(s.c.now, 1, false) {
 		return
 	}
 	s.budget.spend(s.c.now, 1, false)
-	s.record.writing = true
+	s.record.writeInFlight = true
 	until := s.c.now.Add(movesRecordHorizon)
 	txn := wire.Txn{
 		If:   []wire.Cond{s.leadershipCondition(), {Key: movesKey, Version: s.record.version}},
@@ -78,7 +78,7 @@
 		switch {
 		case s.c.lead != s.leader:
 		case r.Status == http.StatusOK:
-			s.record.writing, s.record.until, s.record.version = false, until, r.Txn.Revision
+			s.record.writeInFlight, s.record.until, s.record.version = false, until, r.Txn.Revision
 		default:
 			s.c.after(retryPause, s.rereadMovesRecord)
 		}
@@ -91,7 +91,7 @@
 		return
 	}
 	s.getWithRetry(movesKey, func(it *wire.Item) {
-		s.record.writing, s.record.version = false, 0
+		s.record.writeInFlight, s.record.version = false, 0
 		if it != nil {
 			s.record.version = it.Version
 		}
--- a/controller/spreading_status.go
+++ b/controller/spreading_status.go
@@ -36,7 +36,7 @@
 // fillStatus fills in the parts of the status that only the leader knows: distribution, hot share, block reason, counts,
 // machines, teams, images and active moves.
 func (s *spreading) fillStatus(status *balance.Status) {
-	fleet := s.fleetState(s.schedulerView(false))
+	fleet := s.fleetSnapshot(s.schedulerView(false))
 	status.Distribution = balance.NewDistribution(fleet.Machines)
 	status.HotShare = s.settings().HotShare(status.Distribution.Mean)
 	status.Block, status.Counts = s.block, s.tracker.Counts()
--- a/controller/spreading_test.go
+++ b/controller/spreading_test.go
@@ -407,7 +407,7 @@
 		l.machines["m0003"].snapshot = nil
 		var to *balance.Machine
 		prepare := func() balance.FleetSnapshot {
-			fleet := l.spreading.fleetState(l.schedulerView(false))
+			fleet := l.spreading.fleetSnapshot(l.schedulerView(false))
 			to = &fleet.Machines[3]
 			return fleet
 		}
@@ -439,7 +439,7 @@
 	for _, j := range jobs[:2] {
 		l.stop(j.attempts[0], 0)
 	}
-	for _, m := range l.spreading.fleetState(l.schedulerView(false)).Machines {
+	for _, m := range l.spreading.fleetSnapshot(l.schedulerView(false)).Machines {
 		if want := map[string]float64{"m0000": 0.5}[m.ID]; m.Share() != want {
 			t.Errorf("%s has a share of %v, want %v", m.ID, m.Share(), want)
 		}
@@ -500,10 +500,10 @@
 	// Two jobs failed on this machine and succeeded elsewhere, so the machine is suspected.
 	for _, j := range jobs[:2] {
 		l.machines["m0001"].failedJobs[j.id] = true
-		j.failureClass.Succeeded()
+		j.failureClass.RecordSuccess()
 	}
 	l.machines["m0001"].snapshot = nil
-	for _, m := range l.spreading.fleetState(l.schedulerView(false)).Machines {
+	for _, m := range l.spreading.fleetSnapshot(l.schedulerView(false)).Machines {
 		if m.ID == "m0001" {
 			t.Error("a faulty machine is in the fleet state")
 		}
--- a/controller/spreading_tolerance.go
+++ b/controller/spreading_tolerance.go
@@ -34,7 +34,7 @@
 		return balance.Gang, 0
 	case a.job.origin != nil:
 		return balance.OwnedByOtherCell, 0
-	case a.job.deadline.last != nil && (len(spec.Needs) > 0 || len(t.c.dependencies.Successors(a.job.id)) > 0):
+	case a.job.deadline.fromJob != nil && (len(spec.Needs) > 0 || len(t.c.dependencies.Successors(a.job.id)) > 0):
 		return balance.DeadlineChain, 0
 	case t.movedRecently(a):
 		return balance.RecentlyMoved, 0
@@ -48,7 +48,7 @@
 
 // movedRecently reports whether a task has moved recently, or may have moved under an earlier leader.
 func (t *moveTolerances) movedRecently(a *attempt) bool {
-	return a.restored && t.c.now.Before(t.record.restoredStayUntil) || t.tracker.MovedRecently(t.c.now, a.moveID())
+	return a.restored && t.c.now.Before(t.record.restoredStayUntil) || t.tracker.MovedRecently(t.c.now, a.balanceTaskID())
 }
 
 // checkService checks a replica of a service; replicas are moved one at a time.
@@ -97,7 +97,7 @@
 // the finish time of its job.
 func (t *moveTolerances) wouldBeLate(a *attempt, cost float64) bool {
 	left := t.remainingS(a) + cost
-	if due := a.job.deadline; due.last != nil && t.c.now.Add(config.Seconds(left)).After(due.at()) {
+	if due := a.job.deadline; due.fromJob != nil && t.c.now.Add(config.Seconds(left)).After(due.at()) {
 		return true
 	}
 	return slices.ContainsFunc(t.c.cfg.Facts.Objectives, func(o config.Objective) bool {
--- a/controller/user_requests.go
+++ b/controller/user_requests.go
@@ -19,7 +19,7 @@
 		c.submit(r)
 	case UserPoll:
 		c.lookup(r.Job, func(k lookupResult) { c.answerJobState(r, k, http.StatusNotFound) })
-	case UserAbort:
+	case UserCancel:
 		c.cancelJob(r, 3)
 	}
 }
@@ -169,7 +169,7 @@
 			return
 		}
 		if header.Grant != nil {
-			c.abortGranted(r, *header)
+			c.cancelGranted(r, *header)
 			return
 		}
 		if attemptsLeft == 0 || !c.writes.AllowN(c.now, 1) {
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -179,7 +179,7 @@
 	if first == nil || first.state.Count(reduction.Completed) != 2 || len(first.attempts) != 1 || l.blocked(first) {
 		t.Fatalf("first job of the chain: %+v", first)
 	}
-	if first.terms.Rank != 1 || first.deadline.last == nil || first.deadline.last.ID != "req-000012" {
+	if first.terms.Rank != 1 || first.deadline.fromJob == nil || first.deadline.fromJob.ID != "req-000012" {
 		t.Errorf("first job has rank %d and deadline %+v", first.terms.Rank, first.deadline)
 	}
 	for _, id := range []string{"req-000011", "req-000012", "req-000015"} {
--- a/controller/write_queue.go
+++ b/controller/write_queue.go
@@ -72,7 +72,7 @@
 	var due []*job
 	for _, j := range q.jobsByAcceptance {
 		ready := j.urgent || q.c.now.Sub(j.dirtyAt) >= progressWriteDelay
-		if j.dirty && ready && j.write == nil && !q.c.now.Before(j.holdUntil) {
+		if j.dirty && ready && j.write == nil && !q.c.now.Before(j.noWriteBefore) {
 			due = append(due, j)
 		}
 	}
@@ -274,7 +274,7 @@
 func (q *writeQueue) discard(j *job) {
 	j.markUnwritten(j.write)
 	j.write = nil
-	j.holdUntil = q.c.now.Add(retryPause / 2)
+	j.noWriteBefore = q.c.now.Add(retryPause / 2)
 	q.c.after(retryPause/2, func() {})
 	if j.cancelled {
 		q.cancel(j)
--- a/controller/zone_displacement.go
+++ b/controller/zone_displacement.go
@@ -28,9 +28,9 @@
 // is assumed to wait for reasons other than the loss of its zone.
 const maxRecoveryTime = 15 * time.Minute
 
-// trackDisplaced records a task that was lost with its machine, if the machine's zone is suspected or lost. Tasks of
+// recordDisplacement records a task that was lost with its machine, if the machine's zone is suspected or lost. Tasks of
 // cancelled jobs are not tracked, because they do not restart.
-func (z *zoneRecovery) trackDisplaced(a *attempt) {
+func (z *zoneRecovery) recordDisplacement(a *attempt) {
 	state := z.tracker.State(a.machine.zone)
 	if a.job.cancelled || state != zones.Suspected && state != zones.Lost {
 		return
@@ -39,8 +39,8 @@
 	z.c.emit(TaskDisplaced{Zone: a.machine.zone, Class: a.job.spec.Class, At: z.c.now})
 }
 
-// trackRestart emits TaskRestarted for a displaced task that runs again, and stops tracking it.
-func (z *zoneRecovery) trackRestart(a *attempt) {
+// recordRestart emits TaskRestarted for a displaced task that runs again, and stops tracking it.
+func (z *zoneRecovery) recordRestart(a *attempt) {
 	key := displacedTask{a.job.id, a.task}
 	lost, tracked := z.displaced[key]
 	if !tracked {
--- a/controller/zone_records.go
+++ b/controller/zone_records.go
@@ -22,10 +22,10 @@
 
 // storedZoneRecord is one zone record as last known to be in the state service.
 type storedZoneRecord struct {
-	record   zones.Record
-	version  uint64 // 0: no record is stored
-	writing  bool
-	dueSince time.Time // when the record was found to be out of date; zero: it is up to date
+	record        zones.Record
+	version       uint64 // 0: no record is stored
+	writeInFlight bool
+	dueSince      time.Time // when the record was found to be out of date; zero: it is up to date
 }
 
 // maxRecordDelay is how long the write of a zone record may be deferred because other background writes
@@ -69,7 +69,7 @@
 
 // saveRecord writes or removes one zone record if that is due and the write budget allows it.
 func (z *zoneRecovery) saveRecord(name string, stored *storedZoneRecord) {
-	if stored.writing {
+	if stored.writeInFlight {
 		return
 	}
 	record, exists := z.tracker.Record(name, z.c.now)
@@ -95,7 +95,7 @@
 
 // writeRecord writes one zone record, or removes it if record is nil.
 func (z *zoneRecovery) writeRecord(name string, stored *storedZoneRecord, record *zones.Record) {
-	stored.writing = true
+	stored.writeInFlight = true
 	key := zonePrefix + name
 	change := wire.Change{Delete: key}
 	if record != nil {
--- a/controller/zone_recovery.go
+++ b/controller/zone_recovery.go
@@ -359,13 +359,13 @@
 	if !a.restored { // an attempt of an earlier leader may have been running for a long time
 		z.tracker.Succeeded(a.start())
 	}
-	z.trackRestart(a)
+	z.recordRestart(a)
 }
 
 // recordAttemptEnd handles the end of an attempt. An attempt that ends before a heartbeat has reported it
 // as running counts as a successful start if its task is done, and otherwise as a failed one, unless
 // it was stopped, its job was cancelled or its run command was not sent. Attempts of an earlier
-// leader are not counted. A task lost with its machine is passed to trackDisplaced.
+// leader are not counted. A task lost with its machine is passed to recordDisplacement.
 func (z *zoneRecovery) recordAttemptEnd(a *attempt, o reduction.Outcome, proof terminationProof) {
 	if z == nil {
 		return
@@ -378,7 +378,7 @@
 		z.tracker.Failed(a.start())
 	}
 	if o == reduction.Reset && (proof == proofLeaseExpired || proof == proofMachineReleased) {
-		z.trackDisplaced(a)
+		z.recordDisplacement(a)
 	}
 }
 
--- a/controller/zone_recovery_test.go
+++ b/controller/zone_recovery_test.go
@@ -97,7 +97,7 @@
 		}
 	}
 	stored := l.zones.records["a"]
-	if reads != 1 || stored.version != 7 || stored.writing || stored.record.State != zones.HeldDown.String() {
+	if reads != 1 || stored.version != 7 || stored.writeInFlight || stored.record.State != zones.HeldDown.String() {
 		t.Errorf("%d reads, want 1, then the stored record is %+v", reads, stored)
 	}
 }
--- a/controller/zone_status.go
+++ b/controller/zone_status.go
@@ -71,7 +71,7 @@
 		}
 		s.Tasks += len(d.Tasks)
 		s.TeamLimit += len(d.Tasks) - allowed
-		s.Ramp += throttled
+		s.ZoneLimit += throttled
 		s.Room += allowed - throttled
 	}
 	var all []zones.ClassStatus
--- a/failureclass/failureclass.go
+++ b/failureclass/failureclass.go
@@ -37,17 +37,17 @@
 	MaxBrokenRetryDelay = 30 * time.Second
 )
 
-// Job is the failure history of one job. The zero value is that of a job without failures.
-type Job struct {
+// History is the failure history of one job. The zero value is that of a job without failures.
+type History struct {
 	machines  []string      // IDs of the machines where its tasks failed, each once, in the order of their first failure
 	succeeded bool          // a task has succeeded
 	failures  int           // number of failures, also repeated ones of the same task
 	lostTime  time.Duration // total run time of the failed attempts, as far as it is known; see FailureCost
 }
 
-// Failed records that one of the job's tasks failed on machine after it had run for runTime
+// RecordFailure records that one of the job's tasks failed on machine after it had run for runTime
 // (zero where that is not known). It reports whether the job became broken through this failure.
-func (j *Job) Failed(machine string, runTime time.Duration) (becameBroken bool) {
+func (j *History) RecordFailure(machine string, runTime time.Duration) (becameBroken bool) {
 	wasBroken := j.Broken()
 	j.failures++
 	j.lostTime += max(runTime, 0)
@@ -57,30 +57,30 @@
 	return !wasBroken && j.Broken()
 }
 
-// Succeeded records that a task of the job succeeded: its earlier failures were caused by the
+// RecordSuccess records that a task of the job succeeded: its earlier failures were caused by the
 // machines, and the job is not broken.
-func (j *Job) Succeeded() { j.succeeded = true }
+func (j *History) RecordSuccess() { j.succeeded = true }
 
 // HasSucceeded reports whether a task of the job has succeeded.
-func (j *Job) HasSucceeded() bool { return j.succeeded }
+func (j *History) HasSucceeded() bool { return j.succeeded }
 
 // Broken reports whether the job has failed on BrokenAfterMachines machines and no task of it has succeeded.
-func (j *Job) Broken() bool {
+func (j *History) Broken() bool {
 	return !j.succeeded && len(j.machines) >= BrokenAfterMachines
 }
 
 // Machines returns the machines on which the job's tasks failed, each once, in the order of
 // their first failure. The caller must not change the slice.
-func (j *Job) Machines() []string { return j.machines }
+func (j *History) Machines() []string { return j.machines }
 
 // FailureCost returns how many attempts of the job failed and the machine time that they took, as far
 // as their run times were known.
-func (j *Job) FailureCost() (attempts int, lostTime time.Duration) { return j.failures, j.lostTime }
+func (j *History) FailureCost() (attempts int, lostTime time.Duration) { return j.failures, j.lostTime }
 
 // RetryDelay returns how long a task waits before it is retried after a failure, where
 // earlierFailures counts its failures before that one. A broken job's delay keeps doubling up
 // to MaxBrokenRetryDelay.
-func (j *Job) RetryDelay(earlierFailures int) time.Duration {
+func (j *History) RetryDelay(earlierFailures int) time.Duration {
 	earlierFailures = max(earlierFailures, 0)
 	if !j.Broken() {
 		return BaseRetryDelay << min(earlierFailures, maxRetryDoublings)
--- a/failureclass/failureclass_test.go
+++ b/failureclass/failureclass_test.go
@@ -8,16 +8,16 @@
 // A job is broken only after it has failed on three different machines without a success.
 // Repeated failures on the same machine count once.
 func TestBrokenAfterThreeMachines(t *testing.T) {
-	var j Job
+	var j History
 	for i, machine := range []string{"i-1", "i-1", "i-2", "i-2"} {
-		if j.Failed(machine, time.Second) || j.Broken() {
+		if j.RecordFailure(machine, time.Second) || j.Broken() {
 			t.Fatalf("broken after failure %d on %v", i+1, j.Machines())
 		}
 	}
-	if !j.Failed("i-3", 2*time.Second) {
+	if !j.RecordFailure("i-3", 2*time.Second) {
 		t.Fatal("a failure on a third machine did not make the job broken")
 	}
-	if j.Failed("i-4", time.Second) {
+	if j.RecordFailure("i-4", time.Second) {
 		t.Fatal("becameBroken was reported twice")
 	}
 	if !j.Broken() {
@@ -33,15 +33,15 @@
 
 // One success shows that the job can run, so its failures were caused by the machines.
 func TestSuccessClearsBroken(t *testing.T) {
-	var j Job
+	var j History
 	for _, machine := range []string{"i-1", "i-2", "i-3"} {
-		j.Failed(machine, 0)
+		j.RecordFailure(machine, 0)
 	}
-	j.Succeeded()
+	j.RecordSuccess()
 	if !j.HasSucceeded() || j.Broken() {
 		t.Fatal("broken, or not known to have succeeded, after a success")
 	}
-	if j.Failed("i-4", 0) || j.Broken() {
+	if j.RecordFailure("i-4", 0) || j.Broken() {
 		t.Fatal("broken again after a success")
 	}
 }
@@ -49,7 +49,7 @@
 // The retry delay of a job that is not broken doubles from 500 ms up to 16 s; that of a broken job
 // doubles further, up to 30 s.
 func TestRetryDelay(t *testing.T) {
-	var healthy Job
+	var healthy History
 	want := []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second,
 		8 * time.Second, 16 * time.Second, 16 * time.Second, 16 * time.Second}
 	for n, w := range want {
@@ -57,9 +57,9 @@
 			t.Errorf("not broken, failure %d: %v, want %v", n, got, w)
 		}
 	}
-	var broken Job
+	var broken History
 	for _, machine := range []string{"i-1", "i-2", "i-3"} {
-		broken.Failed(machine, 0)
+		broken.RecordFailure(machine, 0)
 	}
 	want = []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second,
 		8 * time.Second, 16 * time.Second, 30 * time.Second, 30 * time.Second, 30 * time.Second}
--- a/internal/sim/broken_jobs_test.go
+++ b/internal/sim/broken_jobs_test.go
@@ -49,7 +49,7 @@
 			Priority: "prod", Tasks: 6, CPUs: 4, MemoryGB: 4, Image: "img-0", ImageGB: 1}, runTime: 20 * time.Second,
 			done: make([]bool, 6), alwaysFails: true}
 		w.users.jobs[j.spec.ID] = j
-		w.users.list = append(w.users.list, j)
+		w.users.jobsBySubmission = append(w.users.jobsBySubmission, j)
 		w.users.submit(j)
 		brokenJobs = append(brokenJobs, j)
 	}
--- a/internal/sim/cancellation_gap_test.go
+++ b/internal/sim/cancellation_gap_test.go
@@ -39,7 +39,7 @@
 	j := w.users.jobs[job]
 	j.cancelRequested = true
 	before := w.knownState(j)
-	w.users.requestFrom(n, controller.UserRequest{Op: controller.UserAbort, Job: job}, func(a controller.Answer) {
+	w.users.requestFrom(n, controller.UserRequest{Op: controller.UserCancel, Job: job}, func(a controller.Answer) {
 		if a.Status == http.StatusOK {
 			w.checkState(j, before, a.Body.(wire.JobState))
 		}
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -194,7 +194,7 @@
 			asked := map[string]bool{}
 			return Tamper{User: func(r *controller.UserRequest, a *controller.Answer) {
 				s, ok := a.Body.(wire.JobState)
-				if r.Op == controller.UserAbort {
+				if r.Op == controller.UserCancel {
 					asked[r.Job] = true
 				}
 				if ok && s.State == wire.StateCancelled && !asked[r.Job] && r.Op == controller.UserPoll {
--- a/internal/sim/edge_case_requests.go
+++ b/internal/sim/edge_case_requests.go
@@ -32,10 +32,10 @@
 // most teams' limits, names an unknown team or machine type, or lacks a required field.
 func (u *users) edgeCaseRequests() {
 	w := u.w
-	if len(u.list) == 0 {
+	if len(u.jobsBySubmission) == 0 {
 		return
 	}
-	j := u.list[w.rng.IntN(len(u.list))]
+	j := u.jobsBySubmission[w.rng.IntN(len(u.jobsBySubmission))]
 	if j.accepted {
 		u.askController(w.controllers[w.rng.IntN(len(w.controllers))], j, controller.UserRequest{Op: controller.UserSubmit, Job: j.spec.ID, Body: encodeJob(j.spec)})
 		if j.reportedDone {
--- a/internal/sim/guarantee_test.go
+++ b/internal/sim/guarantee_test.go
@@ -23,7 +23,7 @@
 
 // observe is a Tamper.Output hook; it returns every output unchanged.
 func (m *preemptionMonitor) observe(_ *member, o controller.Output) controller.Output {
-	e, ok := o.(controller.Event)
+	e, ok := o.(controller.LogRecord)
 	if !ok || e.Text != "placed" && e.Text != "preempting" {
 		return o
 	}
--- a/internal/sim/job_chains.go
+++ b/internal/sim/job_chains.go
@@ -14,8 +14,8 @@
 func (u *users) submitChain() {
 	w := u.w
 	var needed []*simJob
-	if len(u.list) > 0 && w.chance(0.4) {
-		if j := u.list[w.rng.IntN(len(u.list))]; j.accepted && j.spec.Kind == wire.KindArray {
+	if len(u.jobsBySubmission) > 0 && w.chance(0.4) {
+		if j := u.jobsBySubmission[w.rng.IntN(len(u.jobsBySubmission))]; j.accepted && j.spec.Kind == wire.KindArray {
 			needed = append(needed, j)
 		}
 	}
@@ -59,7 +59,7 @@
 			j.spec.Needs = append(j.spec.Needs, p.spec.ID)
 		}
 		u.jobs[j.spec.ID] = j
-		u.list = append(u.list, j)
+		u.jobsBySubmission = append(u.jobsBySubmission, j)
 		jobs = append(jobs, j)
 		u.submit(j)
 		if w.chance(0.12) {
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -190,7 +190,7 @@
 	case path == wire.PathTxn:
 		return controller.StateCall{Op: controller.OpTxn, Txn: decodeRequestBody[wire.Txn](r)}
 	case path == wire.PathLeases:
-		return controller.StateCall{Op: controller.OpGrant, Life: time.Duration(decodeRequestBody[wire.LeaseRequest](r).TTLMS) * time.Millisecond}
+		return controller.StateCall{Op: controller.OpGrant, TTL: time.Duration(decodeRequestBody[wire.LeaseRequest](r).TTLMS) * time.Millisecond}
 	case r.Method == http.MethodDelete:
 		return controller.StateCall{Op: controller.OpRevoke, Lease: leaseID}
 	case strings.HasPrefix(path, wire.PathLeases):
@@ -312,8 +312,8 @@
 			return http.MethodPost, wire.PathJobs, in.Body
 		case controller.UserPoll:
 			return http.MethodGet, wire.PathJobs + "/" + in.Job, nil
-		case controller.UserAbort:
-			return http.MethodPost, wire.PathJobs + "/" + in.Job + wire.PathAbort, nil
+		case controller.UserCancel:
+			return http.MethodPost, wire.PathJobs + "/" + in.Job + wire.PathCancel, nil
 		}
 	}
 	return http.MethodGet, wire.PathReady, nil
--- a/internal/sim/live_cells_test.go
+++ b/internal/sim/live_cells_test.go
@@ -124,7 +124,7 @@
 		t.Errorf("%d violations in the history, the first: %+v", len(found), found[0])
 	}
 	cancelled := 0
-	for _, j := range federation.Worlds[0].users.list {
+	for _, j := range federation.Worlds[0].users.jobsBySubmission {
 		if j.reportedCancelled {
 			cancelled++
 		}
--- a/internal/sim/member.go
+++ b/internal/sim/member.go
@@ -205,7 +205,7 @@
 		n.w.recordTaskRestart(o)
 	case controller.MoveChanged:
 		n.w.recordMove(n, o)
-	case controller.Event:
+	case controller.LogRecord:
 		n.w.Log("%v %s %s %v", n.w.now, n.name, o.Text, o.Attrs)
 	}
 }
--- a/internal/sim/paired_faults.go
+++ b/internal/sim/paired_faults.go
@@ -181,7 +181,7 @@
 	w.faults.slowLinks = f.delay(400 * time.Millisecond)
 	f.repairAtEnd(func() {
 		w.faults.slowLinks = 0
-		if slices.ContainsFunc(w.users.list, (*simJob).waitsForStart) {
+		if slices.ContainsFunc(w.users.jobsBySubmission, (*simJob).waitsForStart) {
 			w.coverage["much more work than room over slow links"]++
 		}
 	})
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -126,7 +126,7 @@
 	since := map[*simJob]time.Duration{}
 	var check func()
 	check = func() {
-		for _, j := range w.users.list {
+		for _, j := range w.users.jobsBySubmission {
 			if !w.waitsDespiteCapacity(j) {
 				delete(since, j)
 			} else if at, ok := since[j]; !ok {
@@ -185,7 +185,7 @@
 // started. Jobs that may be cancelled don't count.
 func (w *World) checkServed() {
 	all, started := map[string]int{}, map[string]int{}
-	for _, j := range w.users.list {
+	for _, j := range w.users.jobsBySubmission {
 		if !j.accepted || j.mayBeCancelled() {
 			continue
 		}
@@ -224,7 +224,7 @@
 // out.
 func (w *World) checkStartsInTime(j *simJob) {
 	largest := 0
-	for _, o := range w.users.list {
+	for _, o := range w.users.jobsBySubmission {
 		if o.spec.Class == j.spec.Class {
 			largest = max(largest, o.spec.Tasks)
 		}
@@ -299,7 +299,7 @@
 // cancelled, and that at least one task has finished in the run.
 func (w *World) checkEnds() {
 	ran := false
-	for _, j := range w.users.list {
+	for _, j := range w.users.jobsBySubmission {
 		for _, d := range j.done {
 			ran = ran || d
 		}
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -33,7 +33,7 @@
 				Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 1}, runTime: time.Hour, done: make([]bool, 4)}
 			j.spec.ID = map[string]string{wire.KindService: "req-000001", wire.KindArray: "req-000002"}[kind]
 			w.users.jobs[j.spec.ID] = j
-			w.users.list = append(w.users.list, j)
+			w.users.jobsBySubmission = append(w.users.jobsBySubmission, j)
 			w.users.submit(j)
 		}
 	})
@@ -140,7 +140,7 @@
 	w.store.setOutage(true)
 	w.Run(w.now + 2*time.Second)
 	sentAt, answered := w.now, 0
-	for _, op := range []controller.UserOp{controller.UserSubmit, controller.UserPoll, controller.UserAbort, controller.UserReady} {
+	for _, op := range []controller.UserOp{controller.UserSubmit, controller.UserPoll, controller.UserCancel, controller.UserReady} {
 		r := controller.UserRequest{Op: op, Job: "req-000001"}
 		if op == controller.UserSubmit {
 			r.Body = encodeJob(wire.Job{ID: "req-000009", Class: "web", Team: "red", Kind: wire.KindArray, Priority: "prod",
@@ -169,7 +169,7 @@
 	w.after(time.Second, func() { w.users.submitRegularly(w.shape.ArrivalInterval) })
 	w.Run(2 * time.Minute)
 	jobs, tasks := 0, 0
-	for _, j := range w.users.list {
+	for _, j := range w.users.jobsBySubmission {
 		if j.accepted {
 			jobs, tasks = jobs+1, tasks+j.spec.Tasks
 		}
@@ -272,7 +272,7 @@
 			j := &simJob{spec: wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "web", Team: "red", Kind: wire.KindService, Priority: "prod",
 				Tasks: 4, CPUs: 2, MemoryGB: 1, Image: "img-0", ImageGB: 1}, done: make([]bool, 4)}
 			w.users.jobs[j.spec.ID] = j
-			w.users.list = append(w.users.list, j)
+			w.users.jobsBySubmission = append(w.users.jobsBySubmission, j)
 			w.users.submit(j)
 		}
 	})
--- a/internal/sim/spread_faults.go
+++ b/internal/sim/spread_faults.go
@@ -122,7 +122,7 @@
 	for _, h := range r.w.hostsUp() {
 		free += spreadMachineCores - h.usedCores()
 	}
-	spec := wire.Job{ID: fmt.Sprintf("req-%06d", 900000+len(r.w.users.list)), Class: "web", Team: "blue", Kind: wire.KindService, Priority: "prod",
+	spec := wire.Job{ID: fmt.Sprintf("req-%06d", 900000+len(r.w.users.jobsBySubmission)), Class: "web", Team: "blue", Kind: wire.KindService, Priority: "prod",
 		Tasks: int(free / 2), CPUs: 2, MemoryGB: 2, Image: "img-0", ImageGB: 1, Types: []string{"big"}}
 	if spec.Tasks == 0 {
 		return false
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -111,7 +111,7 @@
 		reply(s.txn(call.Txn))
 	case controller.OpGrant:
 		s.nextID++
-		s.leases[s.nextID] = &lease{call.Life, s.w.now + call.Life}
+		s.leases[s.nextID] = &lease{call.TTL, s.w.now + call.TTL}
 		reply(controller.StateReply{Status: http.StatusOK, Grant: wire.LeaseAnswer{Lease: s.nextID}})
 	case controller.OpRenew:
 		l := s.leases[call.Lease]
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -12,10 +12,10 @@
 
 // users simulates the users: they submit jobs, poll them and cancel some.
 type users struct {
-	w              *World
-	jobs           map[string]*simJob // submitted jobs by ID
-	list           []*simJob          // the same jobs in the order of their submission
-	submissionsEnd time.Duration      // when submitRegularly stops submitting jobs
+	w                *World
+	jobs             map[string]*simJob // submitted jobs by ID
+	jobsBySubmission []*simJob          // the same jobs in the order of their submission
+	submissionsEnd   time.Duration      // when submitRegularly stops submitting jobs
 }
 
 // simJob is a job with its actual progress on the simulated machines, and with the state that controllers have
@@ -89,7 +89,7 @@
 func (u *users) drawJob() *simJob {
 	w := u.w
 	j := &simJob{spec: wire.Job{
-		ID: fmt.Sprintf("req-%06d", w.rng.IntN(1000)*1000+len(u.list)), Class: "batch", Team: w.cfg.Facts.Teams[w.rng.IntN(len(w.cfg.Facts.Teams))].Name,
+		ID: fmt.Sprintf("req-%06d", w.rng.IntN(1000)*1000+len(u.jobsBySubmission)), Class: "batch", Team: w.cfg.Facts.Teams[w.rng.IntN(len(w.cfg.Facts.Teams))].Name,
 		Kind: wire.KindArray, Priority: "standard", Tasks: 1 + w.rng.IntN(w.shape.Tasks), CPUs: float64(int(1) << w.rng.IntN(3)), MemoryGB: 2,
 		Image: fmt.Sprintf("img-%d", w.rng.IntN(3)), ImageGB: 1, Spot: w.chance(0.5), Spread: w.chance(0.3),
 	}, runTime: w.between(2*time.Second, 25*time.Second)}
@@ -123,7 +123,7 @@
 	w := u.w
 	u.assignHome(j)
 	u.jobs[j.spec.ID] = j
-	u.list = append(u.list, j)
+	u.jobsBySubmission = append(u.jobsBySubmission, j)
 	u.submit(j)
 	if j.spec.Kind == wire.KindService || w.chance(0.25) {
 		w.after(w.between(0, 50*time.Second), func() { u.cancel(j) })
@@ -133,7 +133,7 @@
 // submitUncancelled submits a job without scheduling a cancellation.
 func (u *users) submitUncancelled(j *simJob) {
 	u.jobs[j.spec.ID] = j
-	u.list = append(u.list, j)
+	u.jobsBySubmission = append(u.jobsBySubmission, j)
 	u.submit(j)
 }
 
@@ -250,10 +250,10 @@
 func (u *users) cancel(j *simJob) {
 	j.cancelRequested = true
 	accepted, known := j.accepted, u.w.knownState(j)
-	u.request(controller.UserRequest{Op: controller.UserAbort, Job: j.spec.ID}, func(a controller.Answer) {
+	u.request(controller.UserRequest{Op: controller.UserCancel, Job: j.spec.ID}, func(a controller.Answer) {
 		if a.Status == http.StatusOK {
 			u.w.checkState(j, known, a.Body.(wire.JobState))
-			if j.reportedDone && slices.ContainsFunc(u.list, func(later *simJob) bool { return slices.Contains(later.needs, j) }) {
+			if j.reportedDone && slices.ContainsFunc(u.jobsBySubmission, func(later *simJob) bool { return slices.Contains(later.needs, j) }) {
 				u.w.coverage["a cancellation answered with done, and jobs that need the job go on"]++
 			}
 			u.askAllControllers(j)
--- a/internal/sim/zone_measure.go
+++ b/internal/sim/zone_measure.go
@@ -95,7 +95,7 @@
 	}
 	w.Run(end)
 	m.violations = w.Violations
-	for _, j := range w.users.list {
+	for _, j := range w.users.jobsBySubmission {
 		if j.spec.Kind == wire.KindArray {
 			m.unfinishedTasks += j.tasksLeft()
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -255,7 +255,7 @@
 		s.zoneTrace.Record(o)
 	case controller.MoveChanged:
 		s.moveTrace.Record(o)
-	case controller.Event:
+	case controller.LogRecord:
 		slog.Log(context.Background(), o.Level, o.Text, o.Attrs...)
 	}
 }
@@ -328,8 +328,8 @@
 		return controller.UserRequest{Req: id, Op: controller.UserSubmit, Body: body}, 0
 	case strings.HasPrefix(path, wire.PathJobs+"/"):
 		job := strings.TrimPrefix(path, wire.PathJobs+"/")
-		if rest, ok := strings.CutSuffix(job, wire.PathAbort); ok && !strings.Contains(rest, "/") {
-			return controller.UserRequest{Req: id, Op: controller.UserAbort, Job: rest}, checkMethod(r, http.MethodPost)
+		if rest, ok := strings.CutSuffix(job, wire.PathCancel); ok && !strings.Contains(rest, "/") {
+			return controller.UserRequest{Req: id, Op: controller.UserCancel, Job: rest}, checkMethod(r, http.MethodPost)
 		}
 		if strings.Contains(job, "/") {
 			return nil, http.StatusNotFound
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -28,7 +28,7 @@
 		{"GET", "/ready", nil, 0, controller.UserReady},
 		{"POST", "/v2/runs", []byte("x"), 0, controller.UserSubmit},
 		{"GET", "/v2/runs/req-1", nil, 0, controller.UserPoll},
-		{"POST", "/v2/runs/req-1/abort", nil, 0, controller.UserAbort},
+		{"POST", "/v2/runs/req-1/abort", nil, 0, controller.UserCancel},
 		{"POST", "/v1/report", report, 0, 0},
 		{"GET", "/v2/runs", nil, http.StatusMethodNotAllowed, 0},
 		{"POST", "/ready", nil, http.StatusMethodNotAllowed, 0},
--- a/wire/submit.go
+++ b/wire/submit.go
@@ -14,8 +14,8 @@
 
 var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,18}$`)
 
-// ValidID reports whether id has the form of a job ID.
-func ValidID(id string) bool { return jobIDPattern.MatchString(id) }
+// ValidJobID reports whether id has the form of a job ID.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // TaskID returns the ID of task n of a job.
 func TaskID(job string, n int) string { return job + "/" + strconv.Itoa(n) }
@@ -66,12 +66,12 @@
 		var idOnly struct {
 			ID string `cbor:"uid"`
 		}
-		if Unmarshal(body, &idOnly) == nil && ValidID(idOnly.ID) {
+		if Unmarshal(body, &idOnly) == nil && ValidJobID(idOnly.ID) {
 			id = idOnly.ID
 		}
 		return Job{}, id, err
 	}
-	if s.ID != nil && ValidID(*s.ID) {
+	if s.ID != nil && ValidJobID(*s.ID) {
 		id = *s.ID
 	}
 	p := parser{}
@@ -92,7 +92,7 @@
 	} else {
 		job.Tasks = int(*s.Tasks)
 	}
-	p.require("uid", ValidID(job.ID))
+	p.require("uid", ValidJobID(job.ID))
 	p.require("shape", job.Kind == KindArray || job.Kind == KindGang || job.Kind == KindService)
 	p.require("urgency", slices.Contains(Priorities, job.Priority))
 	// A task must use at least one resource; the error names the cores.
@@ -101,7 +101,7 @@
 		p.nonNegative("due_s", s.DeadlineS)
 	}
 	for _, needed := range s.Needs {
-		p.require("waits_on", ValidID(needed))
+		p.require("waits_on", ValidJobID(needed))
 		if !slices.Contains(job.Needs, needed) { // duplicates are dropped
 			job.Needs = append(job.Needs, needed)
 		}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -12,7 +12,7 @@
 // Paths of the HTTP APIs.
 const (
 	PathJobs         = "/v2/runs"
-	PathAbort        = "/abort"
+	PathCancel       = "/abort"
 	PathReady        = "/ready"
 	PathReport       = "/v1/report"
 	PathCommands     = "/commands"
--- a/zones/status.go
+++ b/zones/status.go
@@ -35,7 +35,7 @@
 	Class     string `json:"class"`                // the job class
 	Tasks     int    `json:"tasks"`                // number of its pending tasks
 	TeamLimit int    `json:"team_limit,omitempty"` // tasks that wait because of their team's limit
-	Ramp      int    `json:"ramp,omitempty"`       // tasks that wait for a zone that is held down or returning
+	ZoneLimit int    `json:"ramp,omitempty"`       // tasks that wait for a zone that is held down or returning
 	Room      int    `json:"room,omitempty"`       // tasks that wait for free resources
 }
 
--- a/zonetrace/recorder_test.go
+++ b/zonetrace/recorder_test.go
@@ -21,7 +21,7 @@
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	return []controller.Output{
 		controller.ZoneChanged{Zone: "a", From: zones.Healthy, To: zones.Suspected, At: at(0)},
-		controller.Event{},
+		controller.LogRecord{},
 		controller.ZoneChanged{Zone: "a", From: zones.Suspected, To: zones.Lost, At: at(8)},
 		controller.TaskDisplaced{Zone: "a", Class: "web", At: at(9)},
 		controller.TaskDisplaced{Zone: "a", Class: "web", At: at(10)},
--- a/zoneview/render.go
+++ b/zoneview/render.go
@@ -24,7 +24,7 @@
 	}
 	fmt.Fprintln(table, "\nCLASS\tWAITING\tTEAM LIMIT\tZONE\tROOM")
 	for _, c := range s.Waiting {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\n", c.Class, c.Tasks, c.TeamLimit, c.Ramp, c.Room)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\n", c.Class, c.Tasks, c.TeamLimit, c.ZoneLimit, c.Room)
 	}
 	if err := table.Flush(); err != nil {
 		return err.Error()
--- a/zoneview/view_test.go
+++ b/zoneview/view_test.go
@@ -44,7 +44,7 @@
 		{Name: "east", State: zones.HeldDown, ForS: 3, Responsive: 5, Silent: 2, Losses: 1, HeldForS: 4, Window: 8, StartsInProgress: 3, Displaced: 12},
 		{Name: "west", ForS: 60, Responsive: 9},
 	},
-	Waiting: []zones.ClassStatus{{Class: "batch", Tasks: 9, TeamLimit: 1, Ramp: 5, Room: 3}},
+	Waiting: []zones.ClassStatus{{Class: "batch", Tasks: 9, TeamLimit: 1, ZoneLimit: 5, Room: 3}},
 }
 
 func TestPrintQueriesUntilLeaderAnswers(t *testing.T) {
