--- a/controller/authority.go
+++ b/controller/authority.go
@@ -48,7 +48,7 @@
 }
 
 // scheduleRenewal schedules the next lease renewal, with a read of the headers if the last one is too
-// old and a peer lease request if the state service is unreachable.
+// old and a peer lease request if renewals or reads have failed for some time.
 func (l *leader) scheduleRenewal() {
 	interval := min(l.c.op.LeaderLeaseTTL(), l.c.cancellationWindow()) / 4
 	l.c.after(interval, func() {
@@ -127,9 +127,9 @@
 // renewalDeadline returns the time from which the leader must not answer any worker until it has
 // a more recent copy of the headers. A user's cancellation may have been confirmed right after
 // headersKnownUntil. A machine lease that is renewed before this deadline expires at most cancel_s
-// after that, which stops the task. Settings that leave hardly any time between lease_s and
-// cancel_s can't be met by leases alone; the leader then also relies on reading the headers
-// several times a second.
+// after headersKnownUntil, which stops the task. Settings that leave hardly any time between
+// lease_s and cancel_s can't be met by leases alone; the leader then also relies on reading the
+// headers several times a second.
 func (l *leader) renewalDeadline() time.Time {
 	return l.headersKnownUntil().Add(l.c.cancellationWindow())
 }
--- a/controller/core.go
+++ b/controller/core.go
@@ -67,7 +67,7 @@
 	lead              *leader
 	peerLease         peerLeaseState
 	relays            relays
-	machineHints      map[string]*mesh.Hint // by machine: address and images, as last broadcast by a leader
+	machineHints      map[string]*mesh.Hint // by machine: address and images as last broadcast by a leader, or the address from a heartbeat during recovery
 	rejected          map[string]*wire.Job  // submissions refused for now, to be reported to the leader
 }
 
@@ -77,8 +77,8 @@
 	fn func()
 }
 
-// jobCount holds the numbers of a job's done and running tasks, as counted by the leader for
-// display.
+// jobCount holds the numbers of a job's done and running tasks, as counted by the leader, for display
+// and for lookupOutcomes.
 type jobCount struct{ done, running int }
 
 // New returns the core of a controller that starts now.
--- a/controller/deadline_inheritance.go
+++ b/controller/deadline_inheritance.go
@@ -14,7 +14,7 @@
 type deadline struct {
 	fromJob     *wire.Job // the job that specifies the deadline; nil if there is none
 	acceptedAt  time.Time // when that job was accepted
-	dependentsS float64   // estimated duration of the dependents, in seconds
+	dependentsS float64   // estimated duration of the dependents with their image fetches, in seconds
 }
 
 // within returns how many seconds after d.acceptedAt a job should end if the deadline of d.fromJob
--- a/controller/demand_hints.go
+++ b/controller/demand_hints.go
@@ -11,9 +11,9 @@
 )
 
 // Demand hints. While the state service can take no more changes, submissions are rejected, and each is retried after
-// a second or two. When many arrive at once, a submission may be rejected many times, and a machine takes longer
-// to boot than the interval between two retries. So rejected jobs are reported to the leader, which scales out for them,
-// and keeps room for services among them, before they are accepted. A hint has no other effect.
+// a second or two. When many arrive at once, the rejections may go on for a long time, and a machine needs further time to
+// boot if it is requested only after the acceptance. So rejected jobs are reported to the leader, which scales out for
+// them, and keeps room for services among them, before they are accepted. A hint has no other effect.
 
 const (
 	demandHintInterval = 200 * time.Millisecond
--- a/controller/draining.go
+++ b/controller/draining.go
@@ -4,8 +4,8 @@
 
 // Draining: stopping tasks on machines that the cloud will reclaim.
 
-// drain stops the tasks on a machine that the cloud reclaims in leftS seconds which are service replicas and so lose no work,
-// can save a checkpoint, or are not expected to end in time. They restart elsewhere before the machine is reclaimed.
+// drain stops tasks on a machine that the cloud reclaims in leftS seconds: service replicas, which lose no work, tasks that
+// can save a checkpoint, and tasks that are not expected to end in time. They restart elsewhere that much sooner.
 func (l *leader) drain(m *machine, leftS float64) {
 	for _, a := range m.attemptsInOrder {
 		j := &a.job.spec
--- a/controller/job_dependencies_test.go
+++ b/controller/job_dependencies_test.go
@@ -87,8 +87,8 @@
 }
 
 // The jobs that a submission needs are looked up anew. One that was never accepted gives 422, one
-// whose state can't be determined now gives 503. The header is written on the condition that the
-// needed jobs are unchanged since the lookup.
+// whose state can't be determined now gives 503. While a controller of version 2 may run, the header
+// is written on the condition that the needed jobs are unchanged since the lookup.
 func TestSubmissionsThatNeedOthers(t *testing.T) {
 	c, _, first, _ := newDependentJobs(t)
 	acceptSubmissions(c)
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -38,7 +38,7 @@
 	spreading      *spreading // nil if load spreading is off
 }
 
-// run does the leader's work at the end of every step.
+// run does the leader's work at the end of every step in which it has authority.
 func (l *leader) run() {
 	if !l.recovered {
 		return
--- a/controller/lease_expiry.go
+++ b/controller/lease_expiry.go
@@ -36,9 +36,10 @@
 	return m.leaseRenewedAt.Add(lease + 200*time.Millisecond)
 }
 
-// checkLeaseExpiry ends the attempts on machines whose lease has expired. It raises the fencing
-// token for ended attempts that workers cannot forget otherwise, and for stopped attempts that have
-// not appeared in a heartbeat and whose run command may still be in transit.
+// checkLeaseExpiry updates the suspected network partitions and ends the attempts on machines whose
+// lease has expired. It raises the fencing token for ended attempts that workers cannot forget
+// otherwise, and for stopped attempts that have not appeared in a heartbeat and whose run command may
+// still be in transit.
 func (f *failureDetector) checkLeaseExpiry() {
 	now := f.c.now
 	if now.Sub(f.leasesCheckedAt) < leaseCheckInterval {
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -28,7 +28,7 @@
 	knownSince            time.Time // when the machine became known, less its listed age if it became known from the cloud's list
 	rentedAt              time.Time // when this leader rented it; zero: rented by an earlier leader
 	lastHeartbeat         time.Time // when its last heartbeat or answer arrived
-	leaseRenewedAt        time.Time // when this leader last answered 200, which may have renewed its lease
+	leaseRenewedAt        time.Time // latest time at which its lease may have been renewed: the last 200, the first status in its session, or the election
 	idleSince             time.Time // the last time it was known to have tasks or to be booting
 	reclaimNotice         bool      // the cloud has announced that it will reclaim the machine
 	expectedInListSince   time.Time // from when on the cloud's list must show it; zero: not known
--- a/controller/progress.go
+++ b/controller/progress.go
@@ -18,8 +18,9 @@
 
 // broadcastProgress sends the other controllers the task counts that have changed and the hints. Other
 // controllers answer job status requests from the counts, and lookupOutcomes skips its reads for a job with
-// running or done tasks. While most workers can't reach the leader, a message is sent even without
-// counts and hints, so that the other controllers relay the reports of workers at once.
+// running or done tasks. While more than a quarter of all machines are silent (see partitions.observe), a
+// message is sent even without counts and hints, so that the other controllers relay the reports of workers at
+// once.
 func (l *leader) broadcastProgress() {
 	const interval = 500 * time.Millisecond
 	if l.c.now.Sub(l.progressSentAt) < interval {
