--- a/controller/scale_in.go
+++ b/controller/scale_in.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// A releaseReason is why a machine is released, as the log shows it.
+// releaseReason is why a machine is released, as the log shows it.
 type releaseReason string
 
 // The reasons for a release; docs/operations.md explains them.
--- a/controller/spreading_status.go
+++ b/controller/spreading_status.go
@@ -19,7 +19,7 @@
 	maxStatusMachines    = 200 // the machines with the highest shares are listed, the others only counted
 	maxStatusTeams       = 50
 	maxStatusImages      = 50
-	maxDestinationChecks = 20 // machines whose movable tasks are checked for a destination, those with the highest shares first
+	maxDestinationChecks = 20 // hot machines whose movable tasks are checked for a destination, the hottest first
 )
 
 // spreadStatus answers a request for the status. A controller that does not lead names only itself and the leader that
--- a/controller/transfer_index.go
+++ b/controller/transfer_index.go
@@ -2,8 +2,8 @@
 
 import "pumicefront/cells"
 
-// transferIndex indexes the headers of jobs that are granted to other cells or held for them. There may be
-// thousands of headers, and the index is read twice a second.
+// transferIndex indexes the headers of jobs that are granted to other cells or held for them. The leader reconciles
+// these jobs with the other cells twice a second, and must not scan all headers each time: there may be thousands.
 type transferIndex struct {
 	granted map[string]bool                // by job ID: own jobs that another cell may run
 	foreign map[cells.Cell]map[string]bool // by home and job ID: jobs held for other cells
