--- a/controller/watch_cache.go
+++ b/controller/watch_cache.go
@@ -27,7 +27,7 @@
 	memberVersions  map[string]int            // the software version that each member has recorded
 
 	syncing     bool
-	unreachable bool      // the last sync failed; syncs are retried until one succeeds
+	unreachable bool      // the last sync got no reply or "unavailable"; syncs are retried until that ends
 	lastRead    time.Time // when the last read applied to the copy was sent
 	syncWaiters []func(ok bool)
 }
