--- a/config/config.go
+++ b/config/config.go
@@ -121,7 +121,7 @@
 	LeaderLife   string  `hcl:"leader_life,optional"`   // time to live of the leader's lease, as a Go duration: "1.4s"
 	SilentShare  float64 `hcl:"silent_share,optional"`  // time without a report after which a machine is suspected to have failed, as a share of the worker lease
 	IdleS        float64 `hcl:"idle_s,optional"`        // seconds that an idle machine is kept before scale-in
-	Headroom     float64 `hcl:"headroom,optional"`      // spare capacity, as a share of the capacity in use; grows where machines boot slowly
+	Headroom     float64 `hcl:"headroom,optional"`      // spare capacity, as a share of a class's recent peak; grows with slow boots, 0 if machines boot within the start objective
 	HeadroomMost float64 `hcl:"headroom_most,optional"` // maximum share of spare capacity
 	Surge        float64 `hcl:"surge,optional"`         // maximum spare capacity for services, in standard deviations of the arrivals during a machine's boot
 	SurgeBatch   float64 `hcl:"surge_batch,optional"`   // as Surge, for batch jobs
--- a/scheduler/balance_test.go
+++ b/scheduler/balance_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// PlaceOn checks every constraint of a demand, and changes nothing when it refuses.
+// PlaceOn checks a demand's constraints on machines, zones and starts, and takes no resources when it refuses.
 func TestPlaceOn(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(d *Demand, m *Machine)
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -182,7 +182,8 @@
 	return out
 }
 
-// capacity counts the tasks of a demand that fit on a set of machines.
+// capacity counts the tasks of a demand that fit on a set of machines. Machines that are suspected faulty count only
+// in all.
 type capacity struct {
 	exclusive int // on machines that no other class can use and that have the image; with WaitForBooting, also without it
 	cached    int // on machines that have the image or fetch it, as long as they are not hot
--- a/zones/state.go
+++ b/zones/state.go
@@ -8,7 +8,7 @@
 	Healthy   State = iota // starts are not limited
 	Suspected              // most of its machines are silent, but not yet for long enough to count as lost
 	Lost                   // most of its machines have been silent for LostAfter
-	HeldDown               // its machines respond again, and must keep doing so until the hold-down ends
+	HeldDown               // its machines respond again, or it has none left; it returns after the hold-down unless it is lost again
 	Returning              // the limit on starts grows with starts that succeed
 )
 
--- a/zones/window.go
+++ b/zones/window.go
@@ -9,7 +9,7 @@
 	minSize int
 }
 
-// maxWindow limits the size of a window; it is more than any deployment starts at once.
+// maxWindow limits the size of a window; a window of this size no longer limits any known deployment.
 const maxWindow = 1 << 20
 
 func (w *window) succeeded() { w.size = min(w.size+1, maxWindow) }
