--- a/internal/sim/broken_jobs_test.go
+++ b/internal/sim/broken_jobs_test.go
@@ -9,13 +9,13 @@
 	"pumicefront/wire"
 )
 
-// Guards against releasing healthy machines as faulty because of broken jobs. A job submitted with a
-// mistake fails on every machine until its user cancels it, and workers report such failures like
-// those of a faulty machine. A machine on which two such tasks failed was quarantined, released and
-// replaced by a newly rented one although it was healthy: 124 machines on a day of karoo-sms-joburg-ops
-// with 4% of its arrays broken. With three controllers and only healthy machines, none may be released
-// as faulty while broken jobs keep failing, nor after their users have cancelled them, and the retries
-// must back off.
+// TestBrokenJobsKeepHealthyMachinesInService guards against releasing healthy machines as faulty because of
+// broken jobs. A job submitted with a mistake fails on every machine until its user cancels it, and workers
+// report such failures like those of a faulty machine. A machine on which two such tasks failed was
+// quarantined, released and replaced by a newly rented one although it was healthy: 124 machines on a day of
+// karoo-sms-joburg-ops with 4% of its arrays broken. With three controllers and only healthy machines, none
+// may be released as faulty while broken jobs keep failing, nor after their users have cancelled them, and
+// the retries must back off.
 func TestBrokenJobsKeepHealthyMachinesInService(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/sim/cancellation_gap_test.go
+++ b/internal/sim/cancellation_gap_test.go
@@ -110,10 +110,10 @@
 	return j
 }
 
-// The state service refuses the leader and no other controller; another one confirms a cancellation;
-// then the state service is down for all, for longer than cancel_s, while workers still report to the
-// old leader. It learns of the cancellation with the first peer lease, so the job's tasks are stopped in
-// time and no worker loses its lease.
+// TestOldLeaderLearnsOfCancellationFromPeerLeases: the state service refuses the leader and no other
+// controller; another one confirms a cancellation; then the state service is down for all, for longer than
+// cancel_s, while workers still report to the old leader. It learns of the cancellation with the first peer
+// lease, so the job's tasks are stopped in time and no worker loses its lease.
 func TestOldLeaderLearnsOfCancellationFromPeerLeases(t *testing.T) {
 	for name := range gapDeployments {
 		t.Run(name, func(t *testing.T) {
@@ -149,9 +149,10 @@
 	}
 }
 
-// The state service refuses the leader; another controller confirms a cancellation and restarts, and the
-// state service goes down for all, so no running process knows of the cancellation. The old leader must
-// stop renewing leases early enough for the tasks to end within cancel_s.
+// TestCancellationThatNoRunningControllerKnows: the state service refuses the leader; another controller
+// confirms a cancellation and restarts, and the state service goes down for all, so no running process knows
+// of the cancellation. The old leader must stop renewing leases early enough for the tasks to end within
+// cancel_s.
 func TestCancellationThatNoRunningControllerKnows(t *testing.T) {
 	for name := range gapDeployments {
 		t.Run(name, func(t *testing.T) {
@@ -179,10 +180,10 @@
 	}
 }
 
-// The state service refuses the leader and no other controller, and goes down for all just after the leader's
-// authority has expired and before any other controller could claim the leadership. If all processes
-// have run throughout, none can have led meanwhile, and the leader resumes its authority. If one of
-// them has restarted, the leader must not.
+// TestExpiredAuthorityIsResumed: the state service refuses the leader and no other controller, and goes down
+// for all just after the leader's authority has expired and before any other controller could claim the
+// leadership. If all processes have run throughout, none can have led meanwhile, and the leader resumes its
+// authority. If one of them has restarted, the leader must not.
 func TestExpiredAuthorityIsResumed(t *testing.T) {
 	resumesAuthority := func(restart bool) (bool, []string) {
 		w := settledWorldWith(t, 26, Small, func(*World) {})
@@ -209,9 +210,10 @@
 	}
 }
 
-// The state service refuses a leader, and no other controller, for so long that another one is elected. The old
-// leader has not learned of the election when the state service goes down for all. It must grant the
-// new leader a peer lease all the same, or every worker would lose its lease.
+// TestOldLeaderGrantsPeerLeaseToNewLeader: the state service refuses a leader, and no other controller, for
+// so long that another one is elected. The old leader has not learned of the election when the state service
+// goes down for all. It must grant the new leader a peer lease all the same, or every worker would lose its
+// lease.
 func TestOldLeaderGrantsPeerLeaseToNewLeader(t *testing.T) {
 	w := settledWorldWith(t, 25, Small, func(*World) {})
 	w.deterministic = true
@@ -232,8 +234,9 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader elected just before an outage can't read the records of placed tasks. It renews leases all
-// the same; the tasks of a job that was cancelled before must not outlive cancel_s because of that.
+// TestLeaderWithoutRecordsStopsCancelledTasks: a leader elected just before an outage can't read the records
+// of placed tasks. It renews leases all the same; the tasks of a job that was cancelled before must not
+// outlive cancel_s because of that.
 func TestLeaderWithoutRecordsStopsCancelledTasks(t *testing.T) {
 	w := settledWorldWith(t, 23, Small, func(*World) {})
 	w.deterministic = true
@@ -269,9 +272,9 @@
 	checkNoTaskRuns(t, w, arrayJobID)
 }
 
-// The command to run a task is delayed on its way. Its job is cancelled meanwhile, and the state service
-// is down, so the fencing token can't be raised to reject the command. The task must not start when the
-// command arrives.
+// TestDelayedRunOfCancelledJob: the command to run a task is delayed on its way. Its job is cancelled
+// meanwhile, and the state service is down, so the fencing token can't be raised to reject the command. The
+// task must not start when the command arrives.
 func TestDelayedRunOfCancelledJob(t *testing.T) {
 	w := settledWorldWith(t, 24, Small, func(*World) {})
 	w.deterministic = true
--- a/internal/sim/coverage.go
+++ b/internal/sim/coverage.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// recordOldReport counts copies of reports that arrive after newer ones.
+// recordOldReport counts copies of reports that arrive in a later session of their worker, and those with an
+// outdated token that reach a new leader within two seconds of its start.
 func (w *World) recordOldReport(h *host, n *member, r *wire.Report) {
 	if r.Session < h.session {
 		w.coverage["a report from an earlier session arrives"]++
--- a/internal/sim/federation.go
+++ b/internal/sim/federation.go
@@ -12,8 +12,8 @@
 	"pumicefront/internal/history"
 )
 
-// Federation simulates several cells, each a World, on one clock. The links between them lose, delay
-// and duplicate calls and answers.
+// Federation simulates several cells, each a World, on one clock. The links between them lose and delay
+// calls and answers, and duplicate calls.
 type Federation struct {
 	Worlds []*World
 
--- a/internal/sim/federation_test.go
+++ b/internal/sim/federation_test.go
@@ -15,9 +15,10 @@
 	cellRecoveryPhase = 240 * time.Second
 )
 
-// runCells runs four cells, of which the first receives far more work than it has room for, with the
-// given fault (nil: only the losses of the links). After a recovery without losses it checks that no
-// rule was violated and that every accepted array has completed, unless it was cancelled.
+// runCells runs four cells, of which the first receives far more work than it has room for, with the given
+// fault, if any. Sporadic faults inside the cells are off only in runs with a fault and an even seed. After
+// a recovery with lossless links it checks that no rule was violated and that every accepted array has
+// completed, unless it was cancelled.
 func runCells(t *testing.T, seed uint64, fault func(c *Federation)) *Federation {
 	t.Helper()
 	c := NewFederation(seed, 4, 64)
@@ -50,8 +51,8 @@
 	return c
 }
 
-// TestCellsSpillOver runs four cells without faults, except for lost and duplicated calls on the links.
-// Jobs must run in other cells than their home.
+// TestCellsSpillOver runs four cells without faults, except for lost and duplicated calls on the links and
+// the sporadic faults inside each cell. Jobs must run in other cells than their home.
 func TestCellsSpillOver(t *testing.T) {
 	for seed := range uint64(runCount("PUMICEFRONT_CELL_RUNS", 4)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -143,8 +144,8 @@
 	})
 }
 
-// Operators declare a cell gone after all its machines have ended. The jobs that it held must run
-// elsewhere, and the cell must not start them again when it returns.
+// TestCellDeclaredGone: operators declare a cell gone after all its machines have ended. The jobs that it
+// held must run elsewhere, and the cell must not start them again when it returns.
 func TestCellDeclaredGone(t *testing.T) {
 	for seed := range uint64(runCount("PUMICEFRONT_CELL_RUNS", 2)) {
 		c := runCells(t, seed, func(c *Federation) {
@@ -165,10 +166,11 @@
 	}
 }
 
-// Duplicates of calls from before a cell was declared gone reach the cell's new leader ahead of the
-// home cell's next call. Some of them carry the challenge of the previous leader. The new leader must not
-// start tasks because of them: the grants that it held have ended, and the home cell runs the jobs again.
-// Meanwhile the home cell's leader crashes, and the cell's state service is unavailable for a while.
+// TestLateCallsToCellDeclaredGone: duplicates of calls from before a cell was declared gone reach the cell's
+// new leader ahead of the home cell's next call. Some of them carry the challenge of the previous leader.
+// The new leader must not start tasks because of them: the grants that it held have ended, and the home cell
+// runs the jobs again. Meanwhile the home cell's leader crashes, and the cell's state service is unavailable
+// for a while.
 func TestLateCallsToCellDeclaredGone(t *testing.T) {
 	const lostAt, recoveredAt, reconnectedAt = 60 * time.Second, 120 * time.Second, 150 * time.Second
 	capturedMessages := 0
--- a/internal/sim/live_cells_test.go
+++ b/internal/sim/live_cells_test.go
@@ -29,7 +29,7 @@
 // work to the first cell, the home, than it has room for, so jobs spill over into the others. The
 // controllers of each of the other cells are killed and restarted while the cell holds jobs granted by the
 // home, then those of the home, one at a time. Every job must end with one final answer, and no task may run
-// in two cells at the same time.
+// twice at once, in one cell or in two.
 func TestLiveCells(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 110*time.Second)
 	defer cancel()
--- a/internal/sim/load_spreading_test.go
+++ b/internal/sim/load_spreading_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Ten leaders crash within two minutes. Each new one starts without a budget of moves, and tasks that an
-// earlier leader has moved stay where they are.
+// TestSpreadManyLeaders: ten leaders crash within two minutes. Each new one starts without a budget of
+// moves, and tasks that an earlier leader has moved stay where they are.
 func TestSpreadManyLeaders(t *testing.T) {
 	o := spreadFaultOptions(3, 5)
 	o.arrayTaskRun = 400 * time.Second
@@ -145,8 +145,9 @@
 	}
 }
 
-// Moves must respect the constraints of jobs. While a task of a team at its limit moves, waiting work of
-// the same team must not be started within the part of the limit that the moved task uses.
+// TestSpreadConstraintsAndLimits: moves must respect the constraints of jobs. While a task of a team at its
+// limit moves, waiting work of the same team must not be started within the part of the limit that the moved
+// task uses.
 func TestSpreadConstraintsAndLimits(t *testing.T) {
 	for seed := range uint64(runCount("PUMICEFRONT_SPREAD_SEEDS", 2)) {
 		o := spreadFaultOptions(seed, 3)
@@ -174,8 +175,8 @@
 	}
 }
 
-// Under a steady load no moves start after some time, both when idle machines are kept and when machines
-// are consolidated and released. Load spreading must not cause machines to be rented.
+// TestSpreadMovesEnd: under a steady load no moves start after some time, both when idle machines are kept
+// and when machines are consolidated and released. Load spreading must not cause machines to be rented.
 func TestSpreadMovesEnd(t *testing.T) {
 	for _, keepIdle := range []bool{true, false} {
 		t.Run(fmt.Sprintf("idle machines are kept: %v", keepIdle), func(t *testing.T) {
@@ -212,8 +213,9 @@
 	}
 }
 
-// A skew that moves cannot reduce must not cause moves: tasks fill a machine, cannot save a checkpoint, are pinned
-// to a full zone, have an image that no other machine has, or belong to a gang.
+// TestSpreadUnfixableSkew: a skew that moves cannot reduce must not cause moves: tasks fill a machine,
+// cannot save a checkpoint, are pinned to a full zone, have an image that no other machine has, or belong to
+// a gang.
 func TestSpreadUnfixableSkew(t *testing.T) {
 	for name, spec := range map[string]wire.Job{
 		"tasks that fill a machine":            {Kind: wire.KindArray, Tasks: 10, CPUs: 16, EstimateS: 3600, CheckpointS: 20, SaveS: 1},
@@ -244,8 +246,8 @@
 	}
 }
 
-// A job whose image only hot machines have starts at once, partly on other machines: a few of them fetch
-// the image.
+// TestSpreadStartsWhenImageMachinesAreHot: a job whose image only hot machines have starts at once, partly
+// on other machines: a few of them fetch the image.
 func TestSpreadStartsWhenImageMachinesAreHot(t *testing.T) {
 	o := defaultSpreadOptions(20, 2, true)
 	r := newSpreadRun(o)
@@ -270,8 +272,9 @@
 	}
 }
 
-// Controllers with and without load spreading lead in turn. Every task must keep one owner and every job
-// one final state, and each leader continues with the tasks that the other kind has placed.
+// TestSpreadBesideEarlierVersions: controllers with and without load spreading lead in turn, as when a
+// version with it is rolled out and rolled back. Every task must keep one owner and every job one final
+// state, and each leader continues with the tasks that the other kind has placed.
 func TestSpreadBesideEarlierVersions(t *testing.T) {
 	for seed := range uint64(runCount("PUMICEFRONT_SPREAD_SEEDS", 2)) {
 		r := newSpreadRun(spreadFaultOptions(seed, 3))
--- a/internal/sim/paired_faults.go
+++ b/internal/sim/paired_faults.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// outageAfterCancellations makes the state service refuse the leader, while the others
-// confirm cancellations. The state service then has an outage for all controllers, longer
-// than the time within which cancellations must take effect.
+// outageAfterCancellations makes the state service refuse the leader, while the others confirm
+// cancellations. The state service then has an outage for all controllers, longer than the time within which
+// cancellations must take effect if the faults last that long.
 func (f *pairedFault) outageAfterCancellations() {
 	w := f.w
 	w.refuse(w.leaderOrFirst(), w.cancelTime()+f.duration, f.end)
@@ -213,8 +213,8 @@
 	w.after(f.duration/4+w.between(0, time.Second), func() { w.leaderOrFirst().crash(f.shortDowntime) })
 }
 
-// allDownForALease crashes all controllers for at least the duration of a lease; they
-// return one after the other.
+// allDownForALease crashes all controllers for at least the duration of a lease, if the faults last that
+// long; they return one after the other.
 func (f *pairedFault) allDownForALease() {
 	w := f.w
 	w.after(w.leaseTime()-time.Millisecond, func() { // the first controller returns one millisecond later
--- a/internal/sim/runs.go
+++ b/internal/sim/runs.go
@@ -28,10 +28,10 @@
 	w.after(5*time.Second, u.askUnknownJobs)
 }
 
-// RunFaultPairs simulates a run in which faults come in pairs, the second within three
-// seconds of the first: most violations found so far came from overlapping faults. The
-// first of each pair is one of pairedFaultKinds, most of which change the environment for
-// a while; the second is any of faultKinds.
+// RunFaultPairs simulates a run in which faults come in pairs, the second within three seconds of the first
+// and usually while that lasts: most violations found so far came from overlapping faults. The first of each
+// pair is one of pairedFaultKinds, most of which change the environment for a while; the second is any of
+// faultKinds.
 func RunFaultPairs(w *World, faultTime, recovery time.Duration) {
 	w.startUsers(faultTime)
 	w.after(faultTime, func() { w.checkWaitingJobs(5 * time.Second) })
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against workers losing their leases in an outage of the state service that is longer than
-// the lease.
+// TestOutageKeepsLeases guards against workers losing their leases in an outage of the state service that is
+// longer than the lease.
 func TestOutageKeepsLeases(t *testing.T) {
 	w := settledWorld(t, 1)
 	w.store.setOutage(true)
@@ -96,8 +96,8 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader must be replaced if the state service refuses its calls but not those of its peers: they can reach
-// the state service, so they refuse to grant a peer lease.
+// TestRefusedLeaderIsReplaced: a leader must be replaced if the state service refuses its calls but not
+// those of its peers: they can reach the state service, so they refuse to grant a peer lease.
 func TestRefusedLeaderIsReplaced(t *testing.T) {
 	w := settledWorld(t, 2)
 	oldLeader := memberWithMostWorkers(w)
@@ -109,7 +109,8 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader that is cut off from the workers, and from nothing else, must not let all their leases run out.
+// TestLeaderCutOffFromWorkersKeepsLeases: a leader that is cut off from the workers, and from nothing else,
+// must not let all their leases run out.
 func TestLeaderCutOffFromWorkersKeepsLeases(t *testing.T) {
 	w := settledWorld(t, 3)
 	n := memberWithMostWorkers(w)
@@ -120,7 +121,7 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// Neither a crash of the leader nor a crash of all controllers may end a running task.
+// TestCrashesKeepTasks: neither a crash of the leader nor a crash of all controllers may end a running task.
 func TestCrashesKeepTasks(t *testing.T) {
 	w := settledWorld(t, 4)
 	memberWithMostWorkers(w).crash(3 * time.Second)
@@ -133,8 +134,8 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// Controllers must not hold requests back in an outage of the state service: every request is answered
-// within a second, with status 503 and the time after which to retry.
+// TestRequestsAreAnsweredAtOnceInOutage: controllers must not hold requests back in an outage of the state
+// service: every request is answered within a second, with status 503 and the time after which to retry.
 func TestRequestsAreAnsweredAtOnceInOutage(t *testing.T) {
 	w := settledWorld(t, 5)
 	w.store.setOutage(true)
@@ -161,8 +162,8 @@
 	}
 }
 
-// The state service allows few changes per second, so the changes written for a job must not grow to
-// one for every task that finishes.
+// TestChangesWrittenPerJob: the state service allows few changes per second, so the changes written for a
+// job must not grow to one for every task that finishes.
 func TestChangesWrittenPerJob(t *testing.T) {
 	w := New(20, Grown)
 	w.users.submissionsEnd = 60 * time.Second
@@ -179,10 +180,10 @@
 	}
 }
 
-// A controller that restarts quickly may have granted a peer lease in its earlier incarnation. It has
-// no record of the peer lease and must wait until it would have expired. The tampered controller
-// believes that it started an hour ago and skips the wait: the checks must detect two leaders then,
-// and must report nothing for an untampered one.
+// TestRestartedControllerHonoursPeerLeases: a controller that restarts quickly may have granted a peer lease
+// in its earlier incarnation. It has no record of the peer lease and must wait until it would have expired.
+// The tampered controller believes that it started an hour ago and skips the wait: the checks must detect
+// two leaders then, and must report nothing for an untampered one.
 func TestRestartedControllerHonoursPeerLeases(t *testing.T) {
 	breaksRule := func(seed uint64, startTime func(time.Time) time.Time) bool {
 		w := settledWorld(t, seed)
@@ -216,8 +217,9 @@
 	}
 }
 
-// A leader whose process is paused must be replaced without ending its tasks. Once resumed it must
-// rejoin by itself and answer readiness requests within seconds, as the other controllers do.
+// TestPausedLeaderIsReplaced: a leader whose process is paused must be replaced without ending its tasks.
+// Once resumed it must rejoin by itself and answer readiness requests within seconds, as the other
+// controllers do.
 func TestPausedLeaderIsReplaced(t *testing.T) {
 	w := settledWorld(t, 7)
 	oldLeader := memberWithMostWorkers(w)
@@ -242,7 +244,8 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// While all controllers are paused no reports are received. No machine may be declared lost for that.
+// TestAllControllersPaused: while all controllers are paused no reports are received. No machine may be
+// declared lost for that.
 func TestAllControllersPaused(t *testing.T) {
 	w := settledWorld(t, 8)
 	for _, n := range w.controllers {
@@ -252,8 +255,9 @@
 	checkLeasesAndTasksKept(t, w)
 }
 
-// A leader of many machines that is cut off from all of them must not declare lost those whose reports
-// are overdue first nor, once the connection is back, those whose reports arrive last.
+// TestLeaderCutOffFromWorkersReleasesNoMachine: a leader of many machines that is cut off from all of them
+// must not declare lost those whose reports are overdue first nor, once the connection is back, those whose
+// reports arrive last.
 func TestLeaderCutOffFromWorkersReleasesNoMachine(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -301,10 +305,10 @@
 	}
 }
 
-// A submission is checked while the job that it needs is unfinished; that job is cancelled, and its end
-// is written before the submission's own record. The header of the cancelled job has been deleted
-// by then, so no header shows the cancellation. All controllers must report the submitted job as cancelled
-// nevertheless.
+// TestJobAcceptedAfterNeededJobEndedCancelled: a submission is checked while the job that it needs is
+// unfinished; that job is cancelled, and its end is written before the submission's own record. The header
+// of the cancelled job has been deleted by then, so no header shows the cancellation. All controllers must
+// report the submitted job as cancelled nevertheless.
 func TestJobAcceptedAfterNeededJobEndedCancelled(t *testing.T) {
 	for seed := range uint64(4) {
 		w := settledWorld(t, 30+seed)
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -92,7 +92,7 @@
 	isolated           isolatedZone    // a zone that is partitioned from the rest, with one controller in it
 	unreachableZones   map[string]bool // zones whose machines, including new ones, reach no controller
 	cancelAtEnd        float64         // jobs cancelled at the moment their last task ends
-	askAllControllers  bool            // users query every controller within milliseconds of each answer
+	askAllControllers  bool            // users query every controller within 20 ms when a job is accepted, cancelled or has ended
 }
 
 // isolatedZone is a zone that is partitioned from everything else, together with the
--- a/internal/sim/zone_recovery_test.go
+++ b/internal/sim/zone_recovery_test.go
@@ -107,7 +107,8 @@
 	w.after(zoneLossAt, func() { w.cutOffZone("a", 40*time.Second) })
 }
 
-// The zone returns after 8 s, before the leases of its machines end (10 s): its tasks still run.
+// zoneBackBeforeLeasesEnd cuts a zone off for 8 s, less than the leases of its machines (10 s): its tasks
+// still run when it returns.
 func zoneBackBeforeLeasesEnd(_ *testing.T, w *World) {
 	w.after(zoneLossAt, func() { w.cutOffZone("a", 8*time.Second) })
 	w.after(zoneLossAt+8*time.Second, func() {
@@ -119,8 +120,8 @@
 	})
 }
 
-// The zone fails again soon after its return, and once more while its starts are still throttled. The
-// second hold-down must be longer than the first.
+// zoneFailsAgain makes a zone fail again soon after its return, and once more while its starts are still
+// throttled. The second hold-down must be longer than the first.
 func zoneFailsAgain(t *testing.T, w *World) {
 	for _, after := range []time.Duration{0, 35 * time.Second, 75 * time.Second} {
 		w.after(zoneLossAt+after, func() {
@@ -154,8 +155,8 @@
 	return durations
 }
 
-// The controller in the zone continues to answer its workers until its authority expires. Then another
-// controller leads.
+// zoneCutOffWithController cuts a zone off with a controller in it, which continues to answer its workers
+// until its authority expires. Then another controller leads.
 func zoneCutOffWithController(_ *testing.T, w *World) {
 	w.after(zoneLossAt, func() { w.isolateZoneWithController("a", w.controllers[0], 30*time.Second) })
 }
@@ -172,8 +173,8 @@
 	})
 }
 
-// The zone's machines do not return, and the cloud refuses rentals in the zone for 30 s. Only newly
-// rented machines can show that the zone is healthy.
+// zonePoweredOff ends a zone's machines for good, and the cloud refuses rentals in the zone for 30 s. Only
+// newly rented machines can show that the zone is healthy.
 func zonePoweredOff(_ *testing.T, w *World) {
 	w.after(zoneLossAt, func() {
 		w.powerOffZone("a")
@@ -226,8 +227,8 @@
 	})
 }
 
-// A third of the zone's machines hang right after their return, and delayed duplicates of old reports
-// arrive.
+// machinesHangAfterReturn hangs a third of the zone's machines right after their return, while delayed
+// duplicates of old reports arrive.
 func machinesHangAfterReturn(_ *testing.T, w *World) {
 	w.faults.duplicateReports = 0.3
 	w.after(zoneLossAt, func() { w.cutOffZone("a", 22*time.Second) })
@@ -286,8 +287,8 @@
 	return w.zoneHistory.maxFetching["a"], pinned.firstTaskEnd
 }
 
-// A job that can only run in the returning zone completes there. Zone recovery throttles the starts in the
-// zone at first, so that fewer machines fetch at once than without it.
+// TestJobPinnedToLostZone: a job that can only run in the returning zone completes there. Zone recovery
+// throttles the starts in the zone at first, so that fewer machines fetch at once than without it.
 func TestJobPinnedToLostZone(t *testing.T) {
 	without, _ := runPinnedJob(t, false)
 	with, _ := runPinnedJob(t, true)
@@ -296,8 +297,8 @@
 	}
 }
 
-// When the remaining zones have little capacity, services of a lost zone restart before its batches,
-// whichever were submitted first.
+// TestServicesRestartFirst: when the remaining zones have little capacity, services of a lost zone restart
+// before its batches, whichever were submitted first.
 func TestServicesRestartFirst(t *testing.T) {
 	services, batches := []time.Duration{}, []time.Duration{}
 	for seed := range uint64(4) {
@@ -321,8 +322,8 @@
 	return times[len(times)/2]
 }
 
-// A leader must not declare a zone lost when the leader itself is cut off from the workers or from
-// everything, is refused by the state service, or pauses.
+// TestLeaderFaultIsNotZoneLoss: a leader must not declare a zone lost when the leader itself is cut off from
+// the workers or from everything, is refused by the state service, or pauses.
 func TestLeaderFaultIsNotZoneLoss(t *testing.T) {
 	for name, cut := range map[string]func(w *World, n *member){
 		"cut off from workers":     func(_ *World, n *member) { n.cutFromWorkers = true },
@@ -366,12 +367,12 @@
 	}
 }
 
-// Without the zone_recovery block in the operators' settings, zone recovery must not change any decision.
-// The hashes cover the complete logs of runs at commit ca6fa4c, which has no zone recovery. A later,
-// intended change of decisions changes them as well. In that case, first check them at the commit before
-// that change, and then update them. The hashes of Chains seed 1 and Grown seeds 0 and 1 are those of the
-// commit since which failures count against a machine only once the job has run elsewhere (these runs
-// have faulty machines); at its parent the original hashes still held.
+// TestZoneRecoveryOffChangesNothing: without the zone_recovery block in the operators' settings, zone
+// recovery must not change any decision. The hashes cover the complete logs of runs at commit ca6fa4c, which
+// has no zone recovery. A later, intended change of decisions changes them as well. In that case, first
+// check them at the commit before that change, and then update them. The hashes of Chains seed 1 and Grown
+// seeds 0 and 1 are those of the commit since which failures count against a machine only once the job has
+// run elsewhere (these runs have faulty machines); at its parent the original hashes still held.
 func TestZoneRecoveryOffChangesNothing(t *testing.T) {
 	for _, c := range []struct {
 		shape Shape
@@ -393,7 +394,7 @@
 	}
 }
 
-// Only the leader answers with the status of the zones, and it answers at once.
+// TestZoneStatus: only the leader answers with the status of the zones, and it answers at once.
 func TestZoneStatus(t *testing.T) {
 	w := newZoneRun(1, nil)
 	w.after(zoneLossAt, func() { w.cutOffZone("a", 30*time.Second) })
