--- a/internal/sim/cancellation_gap_test.go
+++ b/internal/sim/cancellation_gap_test.go
@@ -84,8 +84,8 @@
 	"cancel_s is a second longer than a lease": func(w *World) { w.cfg.Facts.Workers.CancelS = w.cfg.Facts.Workers.LeaseS + 1 },
 }
 
-// newGapWorld returns a settled world of one of gapDeployments in which both arrays have been submitted and
-// no message is lost or delayed by chance any more.
+// newGapWorld returns a settled world of one of gapDeployments in which both arrays have been submitted and,
+// apart from calls to the cloud, no message is lost or delayed by chance any more.
 func newGapWorld(t *testing.T, name string, seed uint64) *World {
 	t.Helper()
 	shape := Small
--- a/internal/sim/spread_measure.go
+++ b/internal/sim/spread_measure.go
@@ -57,7 +57,7 @@
 	changeSettings func(*balance.Settings) // adjusts the settings; nil: the defaults
 	arrayTaskRun   time.Duration           // run time of the tasks of arrays
 	constrained    bool                    // jobs are pinned to a zone, kept in one zone, or spread over zones
-	noLoad         bool                    // only the jobs that a test submits run
+	noLoad         bool                    // besides the jobs that a test submits, only the tasks that boot the machines run
 }
 
 // large reports whether the fleet is so large that the run is shortened.
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -55,7 +55,7 @@
 	keepHistory        bool
 	history            []history.Event
 	live               *liveRuntime   // real controllers in real time; nil: cores in virtual time
-	deterministic      bool           // disables sporadic loss, duplication and delay of messages
+	deterministic      bool           // disables sporadic loss, duplication and delay of messages, except of calls to the cloud
 	highestToken       uint64         // highest fencing token sent so far
 	keptReports        []func()       // each delivers a copy of a report once a higher token is used
 	coverage           map[string]int // how often each combination of faults has come about
--- a/internal/sim/zone_recovery_test.go
+++ b/internal/sim/zone_recovery_test.go
@@ -18,8 +18,8 @@
 // then.
 const zoneLossAt = 60 * time.Second
 
-// newZoneRun returns a run with three zones and zone recovery on, without random faults. Users submit
-// jobs until 40 s after the loss.
+// newZoneRun returns a run with three zones and zone recovery on, without random faults except for machines
+// that are faulty or don't boot, and for lost calls to the cloud. Users submit jobs until 40 s after the loss.
 func newZoneRun(seed uint64, change func(*zones.Settings)) *World {
 	w := New(seed, Zoned)
 	w.deterministic = true
