--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -55,7 +55,7 @@
 	keepHistory        bool
 	history            []history.Event
 	live               *liveRuntime   // real controllers in real time; nil: cores in virtual time
-	deterministic      bool           // disables sporadic loss, duplication and delay of messages
+	deterministic      bool           // disables sporadic loss, duplication and delay of messages, except of calls to the cloud
 	highestToken       uint64         // highest fencing token sent so far
 	keptReports        []func()       // each delivers a copy of a report once a higher token is used
 	coverage           map[string]int // how often each combination of faults has come about
@@ -92,7 +92,7 @@
 	isolated           isolatedZone    // a zone that is partitioned from the rest, with one controller in it
 	unreachableZones   map[string]bool // zones whose machines, including new ones, reach no controller
 	cancelAtEnd        float64         // jobs cancelled at the moment their last task ends
-	askAllControllers  bool            // users query every controller within milliseconds of each answer
+	askAllControllers  bool            // users query every controller within 20 ms when a job is accepted, cancelled or has ended
 }
 
 // isolatedZone is a zone that is partitioned from everything else, together with the
